--- a/src/coordination/autoscale.ts
+++ b/src/coordination/autoscale.ts
@@ -13,8 +13,10 @@
   returning: boolean;
   /** Time since its rental if it boots, else since this leader knows it. */
   ageMs: number;
-  /** Has not reported to its part's owner yet. */
+  /** Nobody has heard it yet. */
   booting: boolean;
+  /** Time since some owner last heard it; 0 while it boots. */
+  unheardMs: number;
   failed: boolean;
   /** For how long its part's owner has taken it to be at fault, 0: not now. */
   faultyMs: number;
@@ -61,6 +63,10 @@
 /** A machine is charged for this long at least (PROTOCOL, "Controller nodes -> cloud"). */
 const LEAST_CHARGED_MS = 60_000;
 const SILENT_MS = 30_000;
+/** A machine that nobody has heard for this long is no room to count on: a move or a lost report takes less. */
+const MISSED_MS = 8000;
+/** If more than this share of a part's machines is silent, it is the owner who does not hear them. */
+const MANY_SILENT = 0.25;
 /** Whether machine or job is at fault shows elsewhere within this time; meanwhile it gets nothing. */
 const SURELY_FAULTY_MS = 8000;
 /** Ordinary machines cost more: they are rented once the work would take this many times as long as meant. */
@@ -92,6 +98,8 @@
   supply: Supply[];
   /** CPU seconds that run or wait, down to the urgency looked at. */
   ahead: number;
+  /** Some waiting tasks find no room on the machines that the part has in use. */
+  short: boolean;
 }
 
 /** How many tasks of a demand find no room yet. */
@@ -111,8 +119,11 @@
     const why = m.returning ? null : broken(m, loadOf.get(m.id), picture);
     if (why) actions.push({ kind: 'retire', machine: m.id, part: m.part, why, force: true });
   }
-  const pool = empties(picture, loadOf);
-  const views = picture.loads.map((load) => view(load, picture, loadOf, pool));
+  const missing = missingMachines(picture);
+  const pool = empties(picture, loadOf, missing);
+  // Neither is room: what is empty is in the pool, what is missing takes nothing.
+  const apart = new Set([...pool.map((e) => e.id), ...missing]);
+  const views = picture.loads.map((load) => view(load, picture, loadOf, apart));
   for (const part of views) cover(part);
   const inZone = new Map<string, number>();
   for (const m of picture.machines) if (!m.returning) inZone.set(m.zone, (inZone.get(m.zone) ?? 0) + 1);
@@ -158,7 +169,9 @@
   if (m.faultyMs > SURELY_FAULTY_MS) return 'fails every task';
   const bootMs = (picture.types.get(m.type)?.bootS ?? 60) * 1000;
   if (m.booting && m.ageMs > 3 * bootMs + 15_000) return 'never came up';
-  if (load && load.silentMs > Math.max(SILENT_MS, picture.leaseMs + 5000)) return 'silent';
+  // Not the owner's word alone: one that fell silent while it changed owners has never been silent for the new one.
+  const silentMs = Math.max(m.unheardMs, load?.silentMs ?? 0);
+  if (silentMs > Math.max(SILENT_MS, picture.leaseMs + 5000)) return 'silent';
   return null;
 }
 
@@ -172,7 +185,11 @@
 }
 
 /** Machines that are idle or booting. Some take several times as long to boot as they should: not those. */
-function empties(picture: FleetPicture, loadOf: ReadonlyMap<string, MachineLoad>): Empty[] {
+function empties(
+  picture: FleetPicture,
+  loadOf: ReadonlyMap<string, MachineLoad>,
+  missing: ReadonlySet<string>,
+): Empty[] {
   const pool: Empty[] = [];
   for (const m of picture.machines) {
     const type = picture.types.get(m.type);
@@ -180,6 +197,7 @@
     if (!type || isLate(m, picture) || m.returning || unusable(state) || (!m.booting && state?.tasks !== 0))
       continue;
     const leftS = m.booting ? Math.max(0, type.bootS - m.ageMs / 1000) : 0;
+    if (missing.has(m.id)) continue;
     const free = { cpus: type.cpus, accelerators: type.accelerators, memoryGb: type.memoryGb };
     const settling = (!m.booting && (state?.idleMs ?? 0) < SETTLE_MS) || m.movedMs < STAYS_MS;
     pool.push({ id: m.id, part: m.part, free, type, zone: m.zone, spot: m.spot, readyInS: leftS, settling });
@@ -187,6 +205,22 @@
   return pool;
 }
 
+/**
+ * Machines that nobody has heard for too long to count on their room. If most of a part's are silent it is their owner who does
+ * not hear them, and no reason to rent them a second time.
+ */
+function missingMachines(picture: FleetPicture): Set<string> {
+  const silent = new Map<string, string[]>();
+  const up = new Map<string, number>();
+  for (const m of picture.machines) {
+    if (m.booting || m.returning) continue;
+    up.set(m.part, (up.get(m.part) ?? 0) + 1);
+    if (m.unheardMs > MISSED_MS) silent.set(m.part, [...(silent.get(m.part) ?? []), m.id]);
+  }
+  const few = [...silent].filter(([part, ids]) => ids.length <= MANY_SILENT * (up.get(part) ?? 0));
+  return new Set(few.flatMap(([, ids]) => ids));
+}
+
 function isLate(m: FleetMachine, picture: FleetPicture): boolean {
   const type = picture.types.get(m.type);
   return m.booting && type !== undefined && m.ageMs > LATE_BOOT * type.bootS * 1000;
@@ -200,15 +234,14 @@
   load: PartLoad,
   picture: FleetPicture,
   loadOf: ReadonlyMap<string, MachineLoad>,
-  pool: readonly Empty[],
+  apart: ReadonlySet<string>,
 ): PartView {
   const supply: Supply[] = [];
-  const empty = new Set(pool.map((e) => e.id));
   for (const m of picture.machines) {
     const type = picture.types.get(m.type);
     const state = loadOf.get(m.id);
     if (m.part !== load.part || m.returning || !type || !state || unusable(state) || m.booting) continue;
-    if (empty.has(m.id)) continue;
+    if (apart.has(m.id)) continue;
     const free = { cpus: state.freeCpus, accelerators: state.freeAccelerators, memoryGb: state.freeMemoryGb };
     supply.push({ id: m.id, free, type, zone: m.zone, spot: m.spot });
   }
@@ -218,6 +251,7 @@
     waits: demands.map((demand) => ({ demand, tasks: demand.tasks, looked: 0 })),
     supply,
     ahead: load.workLeft.reduce((sum, w) => sum + w, 0),
+    short: false,
   };
 }
 
@@ -237,6 +271,7 @@
 /** Sets what waits against the room on machines that the part uses already. */
 function cover(part: PartView): void {
   for (const wait of part.waits) useRoom(part, wait);
+  part.short = part.waits.some((wait) => wait.tasks > 0);
 }
 
 function useRoom(part: PartView, wait: Wait): void {
@@ -403,7 +438,10 @@
   }
 }
 
-/** Takes a draining back that the work since has made wrong. */
+/**
+ * Takes a draining back that the work since has made wrong. Waiting tasks that other machines have room for are no reason: the
+ * tasks stopped on a draining machine wait themselves for a moment, and once had every drain of their partition taken back.
+ */
 function keep(
   views: readonly PartView[],
   picture: FleetPicture,
@@ -419,7 +457,7 @@
     const rank = taker ? pressing(taker) : Infinity;
     const wanted =
       to === LEAVES_FLEET
-        ? from.waits.length === 0
+        ? !from.short
         : taker && rank < Infinity && horizon(taker, cpusOf(taker), rank) > horizon(from, cpusOf(from), rank);
     if (!wanted) actions.push({ kind: 'move', machine: m.id, fromPart: m.part, toPart: m.part, drain: true });
   }
@@ -438,7 +476,7 @@
     const { part: fromPart, machines } = part.load;
     // One that may never come up must not keep all others: for two minutes nothing was sent off because of it.
     const booting = picture.machines.some((m) => m.part === fromPart && m.booting && !isLate(m, picture));
-    if (part.waits.length > 0 || booting) continue;
+    if (part.short || booting) continue;
     const running = part.supply.filter((s) => !moved.has(s.id) && (loadOf.get(s.id)?.tasks ?? 0) > 0);
     // Room for what is moved off, less what was sent off before and has not settled elsewhere.
     let free = running.reduce((sum, s) => sum + s.free.cpus, 0);
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -50,7 +50,8 @@
   movedAt: number;
   firstListed: number | null;
   status: ListedMachine['status'] | null;
-  reported: boolean;
+  /** When some owner last heard it, as far as this leader was told; null: nobody has since this leader began. */
+  heardAt: number | null;
   /** Since when its part's owner takes it to be at fault. */
   faultySince: number | null;
 }
@@ -164,7 +165,7 @@
         for (const m of message.load.machines) {
           if (m.silentMs < 0) continue;
           const seen = this.seenOf(m.machine, now);
-          seen.reported = true;
+          seen.heardAt = Math.max(seen.heardAt ?? Number.NEGATIVE_INFINITY, message.at - m.silentMs);
           seen.faultySince = m.faulty ? (seen.faultySince ?? now) : null;
         }
         return;
@@ -234,7 +235,7 @@
         bootsSince: now,
         firstListed: null,
         status: null,
-        reported: false,
+        heardAt: null,
         faultySince: null,
       };
       this.seen.set(id, seen);
@@ -439,7 +440,6 @@
       .filter((l): l is { load: PartLoad; at: number } => l !== undefined && now - l.at < LOAD_FRESH_MS)
       .map((l) => l.load);
     if (loads.some((load) => this.settles(load, now))) return;
-    const loadOf = new Map(loads.flatMap((l) => l.machines).map((m) => [m.machine, m]));
     const machines: FleetMachine[] = [...this.book.machines].map(([id, { record }]) => {
       const seen = this.seenOf(id, now);
       return {
@@ -450,7 +450,8 @@
         spot: record.spot,
         returning: record.phase === 'returning',
         ageMs: now - seen.bootsSince,
-        booting: !seen.reported && (loadOf.get(id)?.silentMs ?? -1) < 0,
+        booting: seen.heardAt === null,
+        unheardMs: seen.heardAt === null ? 0 : now - seen.heardAt,
         failed: seen.status === 'failed',
         faultyMs: seen.faultySince === null ? 0 : now - seen.faultySince,
         movedMs: now - seen.movedAt,
@@ -461,7 +462,7 @@
       const [part, type, zone, spot] = JSON.parse(key) as [string, string, string, boolean];
       for (let i = 0; i < n; i++) {
         const base = { id: '', part, type, zone, spot, returning: false, ageMs: 0, faultyMs: 0 };
-        machines.push({ ...base, booting: true, failed: false, movedMs: Infinity });
+        machines.push({ ...base, booting: true, unheardMs: 0, failed: false, movedMs: Infinity });
       }
     }
     const actions = scale({
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -22,7 +22,7 @@
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { DEFAULT_POLICY } from '../src/protocol/policy';
-import { type Demand, type MachineLoad, type PartLoad } from '../src/protocol/peers';
+import { LEAVES_FLEET, type Demand, type MachineLoad, type PartLoad } from '../src/protocol/peers';
 
 function node(state: NodeState, reExecutable = true, alternates: number[] = []): PipelineNode {
   return { state, reExecutable, inputsRecorded: true, alternates };
@@ -219,7 +219,8 @@
 function machine(id: string, change: Partial<FleetMachine> = {}): FleetMachine {
   return {
     ...{ id, part: 'p0', type: 'small', zone: 'a', spot: true, returning: false },
-    ...{ ageMs: 60_000, booting: false, failed: false, faultyMs: 0, movedMs: Infinity, ...change },
+    ...{ ageMs: 60_000, booting: false, unheardMs: 0, failed: false, faultyMs: 0, movedMs: Infinity },
+    ...change,
   };
 }
 
@@ -296,6 +297,38 @@
       },
       (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force,
     ],
+    [
+      // Two machines fell silent while they changed parts: kept and paid for ten minutes, and counted as room all the time.
+      'one that fell silent while it changed parts is returned',
+      {
+        loads: [part('p0', [], [load('i-1', { silentMs: -1 })])],
+        machines: [machine('i-1', { unheardMs: 31_000 })],
+      },
+      (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force && a[0].why === 'silent',
+    ],
+    [
+      'nor is it room for what waits before that',
+      {
+        loads: [
+          part(
+            'p0',
+            [demand({ tasks: 4, seconds: 300 })],
+            [load('i-1', { silentMs: -1 }), ...['i-2', 'i-3', 'i-4'].map((id) => load(id, busy))],
+          ),
+        ],
+        machines: [machine('i-1', { unheardMs: 9000 }), machine('i-2'), machine('i-3'), machine('i-4')],
+      },
+      (a) => a.length > 0 && a.every((x) => x.kind === 'rent'),
+    ],
+    [
+      // An owner that is cut from its workers for some seconds must not rent its fleet a second time.
+      'machines that all fall silent together still count: it is their owner who does not hear',
+      {
+        loads: [part('p0', [demand({ tasks: 4 })], [load('i-1', { silentMs: 9000 })])],
+        machines: [machine('i-1', { unheardMs: 9000 })],
+      },
+      (a) => a.length === 0,
+    ],
     [
       'an idle machine of another part moves instead of a rental',
       {
@@ -378,6 +411,42 @@
       },
       (a) => a.length === 0,
     ],
+    [
+      // Tasks stopped on a draining machine wait for a moment: they had every drain of their partition taken back.
+      'a drain out of the fleet goes on while others have room for what waits',
+      {
+        loads: [
+          part(
+            'p0',
+            [demand({ tasks: 2 })],
+            [
+              load('i-1', { tasks: 1, freeCpus: 3, leavingTo: LEAVES_FLEET }),
+              load('i-2', { tasks: 1, freeCpus: 3 }),
+            ],
+          ),
+        ],
+        machines: [machine('i-1'), machine('i-2')],
+      },
+      (a) => a.length === 0,
+    ],
+    [
+      'a drain out of the fleet is taken back once something waits that nobody has room for',
+      {
+        loads: [
+          part(
+            'p0',
+            [demand({ tasks: 5 })],
+            [
+              load('i-1', { tasks: 1, freeCpus: 3, leavingTo: LEAVES_FLEET }),
+              load('i-2', { tasks: 1, freeCpus: 3 }),
+            ],
+          ),
+        ],
+        machines: [machine('i-1'), machine('i-2')],
+        soldOut: () => true,
+      },
+      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPart === 'p0',
+    ],
     [
       'a drain that the work since has made wrong is taken back',
       {
