--- a/src/coordination/autoscale.ts
+++ b/src/coordination/autoscale.ts
@@ -60,6 +60,9 @@
 /** A machine that was moved is not moved again before both parts have told what came of it. */
 const STAYS_MS = 6000;
 const LATE_BOOT = 1.7;
+/** A kind of which a larger share than this is late counts as dearer, by so much if all of them are. */
+const LATE_SHARE = 0.2;
+const LATE_COST = 1.5;
 /** A machine is charged for this long at least (PROTOCOL, "Controller nodes -> cloud"). */
 const LEAST_CHARGED_MS = 60_000;
 const SILENT_MS = 30_000;
@@ -80,6 +83,9 @@
 /** More at once if the other part would need this many times as long for work that is as urgent. */
 const FAR_BEHIND = 2;
 const DRAIN_FAR_BEHIND = 0.1;
+/** A donor that has room for all of its own drains machines with up to this share of its free CPUs, however busy they are. */
+const IDLE_LENT = 0.5;
+const DRAIN_IDLE_WITHIN_S = 90;
 /** So many in any case: of a small fleet a share is less than a machine. */
 const FEW_DRAINED = 4;
 
@@ -406,22 +412,26 @@
     const farBehind = at(taker) > FAR_BEHIND * at(donor);
     let draining = (farBehind ? DRAIN_FAR_BEHIND : DRAIN_AT_ONCE) * cpusOf(donor);
     let few = FEW_DRAINED;
+    // A donor that has room for all of its own loses by a drain no more than the room that is free on that machine.
+    let idle = donor.short ? 0 : IDLE_LENT * donor.supply.reduce((sum, s) => sum + s.free.cpus, 0);
     for (const m of donor.load.machines) {
       if (m.leavingTo === null) continue;
       draining -= typeOf(m.machine, picture)?.cpus ?? 0;
       few--;
+      idle -= (1 - IDLE_LENT) * m.freeCpus;
     }
+    const withinS = idle > 0 ? DRAIN_IDLE_WITHIN_S : DRAIN_WITHIN_S;
     // Emptiest first: what is free or still booting moves at once.
     const offers = donor.supply
       .filter((s) => !taken.has(s.id) && loadOf.has(s.id) && unmet.some((w) => suits(w.demand, s)))
-      .filter((s) => !loadOf.get(s.id)?.noticed && (loadOf.get(s.id)?.emptyInS ?? 0) < DRAIN_WITHIN_S)
+      .filter((s) => !loadOf.get(s.id)?.noticed && (loadOf.get(s.id)?.emptyInS ?? 0) < withinS)
       .sort((a, b) => b.free.cpus / b.type.cpus - a.free.cpus / a.type.cpus);
     for (const s of offers) {
       const [has, gets] = [cpus.get(donor) ?? 0, cpus.get(taker) ?? 0];
       // Work beyond the teams' limits cannot use more machines.
       if (missing <= 0 || at(taker) < LEND_FROM_S || at(taker) < LEND_RATIO * at(donor)) break;
       const busy = (loadOf.get(s.id)?.tasks ?? 0) > 0;
-      if (busy && draining <= 0 && few <= 0) break;
+      if (busy && draining <= 0 && few <= 0 && idle <= 0) break;
       // It must not turn the two round.
       if (horizon(donor, has - s.type.cpus, rank) > horizon(taker, gets + s.type.cpus, rank)) continue;
       cpus.set(donor, has - s.type.cpus);
@@ -430,6 +440,7 @@
       if (busy) {
         draining -= s.type.cpus;
         few--;
+        idle -= s.free.cpus;
       }
       taken.add(s.id);
       const [fromPart, toPart] = [donor.load.part, taker.load.part];
@@ -471,12 +482,14 @@
   quiet: boolean,
   actions: FleetAction[],
 ): void {
+  // What one part can spare another may need, as soon as it can be emptied.
+  if (views.some((v) => v.short)) return;
   const moved = new Set(actions.map((a) => (a.kind === 'move' ? a.machine : '')));
   for (const part of views) {
     const { part: fromPart, machines } = part.load;
     // One that may never come up must not keep all others: for two minutes nothing was sent off because of it.
     const booting = picture.machines.some((m) => m.part === fromPart && m.booting && !isLate(m, picture));
-    if (part.short || booting) continue;
+    if (booting) continue;
     const running = part.supply.filter((s) => !moved.has(s.id) && (loadOf.get(s.id)?.tasks ?? 0) > 0);
     // Room for what is moved off, less what was sent off before and has not settled elsewhere.
     let free = running.reduce((sum, s) => sum + s.free.cpus, 0);
@@ -507,6 +520,24 @@
   return machine && picture.types.get(machine.type);
 }
 
+function kindOf(kind: { type: string; zone: string; spot: boolean }): string {
+  return `${kind.type}/${kind.zone}/${kind.spot}`;
+}
+
+/** Of each kind of machine that comes up late or never, which share of those that were rented does. */
+function lateShares(picture: FleetPicture): Map<string, number> {
+  const counts = new Map<string, { late: number; all: number }>();
+  for (const m of picture.machines) {
+    if (m.returning || m.id === '') continue;
+    const count = counts.get(kindOf(m)) ?? { late: 0, all: 0 };
+    counts.set(kindOf(m), count);
+    count.all++;
+    if (isLate(m, picture)) count.late++;
+  }
+  const shares = [...counts].map(([kind, { late, all }]): [string, number] => [kind, late / all]);
+  return new Map(shares.filter(([, share]) => share > LATE_SHARE));
+}
+
 /** The kind of machine that costs least for what is missing; spread over zones where the price is the same. */
 function cheapest(
   demand: Demand,
@@ -516,6 +547,7 @@
   ordinaryToo: boolean,
   inZone: ReadonlyMap<string, number>,
 ): RentalOrder | null {
+  const late = lateShares(picture);
   let best: RentalOrder | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of picture.types.values()) {
@@ -528,7 +560,8 @@
         const order = { type: type.name, zone, spot, count: 1 };
         if (!permits(demand, order) || picture.soldOut(order)) continue;
         if (!spot && !ordinaryToo) continue;
-        const cost = (spot ? type.spotPrice : type.price) / useful + (inZone.get(zone) ?? 0) * 1e-6;
+        const rate = (spot ? type.spotPrice : type.price) * (1 + LATE_COST * (late.get(kindOf(order)) ?? 0));
+        const cost = rate / useful + (inZone.get(zone) ?? 0) * 1e-6;
         if (cost < bestCost) [best, bestCost] = [order, cost];
       }
     }
--- a/src/coordination/part-actor.ts
+++ b/src/coordination/part-actor.ts
@@ -141,7 +141,7 @@
         return;
       case 'move':
         if (!this.active) return;
-        if (message.drain) this.core.drainTo(message.machine, message.toPart);
+        if (message.drain) this.core.drainTo(message.machine, message.toPart, now);
         else this.relend(message.machine, { part: message.toPart }, false);
         return;
       case 'retire':
--- a/src/coordination/part.ts
+++ b/src/coordination/part.ts
@@ -24,6 +24,8 @@
 const FAULTY_AFTER = 3;
 const REORDER_MS = 1000;
 const IMAGE_PATIENCE_MS = 30_000;
+/** A task that has run for less than this is not stopped for another part's sake: it would seem never to have begun. */
+const RUN_BEFORE_STOP_MS = 30_000;
 const ATTEMPTS_PER_INCARNATION = 1_000_000;
 /** Marks are raised ahead of what can start now by this share of the part's machines. */
 const MARK_AHEAD = 0.5;
@@ -67,6 +69,8 @@
   private readonly leftOvers = new Map<string, Quantity>();
   private readonly ended = new Map<string, FinalState>();
   private readonly pipelines = new PartPipelines();
+  /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
+  private slackCpus: number | null = null;
   readonly counters = { started: 0, done: 0, lost: 0, failed: 0, reports: 0, stale: 0, looks: 0 };
 
   constructor(
@@ -140,18 +144,44 @@
   }
 
   /** Empties a machine for another part: nothing new is put on it. */
-  drainTo(id: string, part: string): void {
+  drainTo(id: string, part: string, now: number): void {
     const machine = this.machines.get(id);
     if (!machine || machine.locked) return;
     machine.leavingTo = part === this.id ? null : part;
-    if (machine.leavingTo !== LEAVES_FLEET) return;
-    // A dear machine is not kept for the sake of tasks that can go on elsewhere from what they saved.
+    if (machine.leavingTo === null) return;
+    const leavesFleet = machine.leavingTo === LEAVES_FLEET;
     for (const task of machine.tasks.values()) {
       if (task.runningSince === null) continue;
-      this.saveElsewhere(task);
+      // A dear machine is not kept for the sake of tasks that can go on elsewhere from what they saved. For another part's
+      // sake a task is stopped only if it loses next to nothing by that: there is room for it here, and it has run a while.
+      if (leavesFleet) this.saveElsewhere(task);
+      else if (now - task.runningSince > RUN_BEFORE_STOP_MS && this.takeSlack(task, now))
+        this.saveElsewhere(task);
     }
   }
 
+  /** Reserves room for a task that is to go on elsewhere in this part; false: there is none beyond what waits. */
+  private takeSlack({ spec }: Presumed, now: number): boolean {
+    if (!spec || spec.checkpointS <= 0) return false;
+    this.slackCpus ??= this.freeCpus(now) - this.waitingCpus();
+    if (this.slackCpus < spec.cpus) return false;
+    this.slackCpus -= spec.cpus;
+    return true;
+  }
+
+  private freeCpus(now: number): number {
+    let free = 0;
+    for (const machine of this.machines.values())
+      if (this.takesWork(machine, now)) free += this.free(machine)?.cpus ?? 0;
+    return free;
+  }
+
+  private waitingCpus(): number {
+    let needed = 0;
+    for (const job of this.sorted()) needed += job.waiting * job.spec.cpus;
+    return needed;
+  }
+
   /**
    * Machines that could take tasks once the store knows that they may have some. Names of machines that are not here make
    * room in the store's list, so they are forgotten here as well: one that had been here under an earlier owner came back
@@ -485,6 +515,7 @@
       this.resolved(machine.id);
     }
     this.hidden = null;
+    this.slackCpus = null;
     this.chooseMachines(now);
   }
 
@@ -556,8 +587,7 @@
    * to be given back. The others are passed over until more waits.
    */
   private chooseMachines(now: number): void {
-    let needed = 0;
-    for (const job of this.sorted()) needed += job.waiting * job.spec.cpus;
+    let needed = this.waitingCpus();
     const usable: { machine: MachineState; free: number }[] = [];
     for (const machine of this.machines.values()) {
       machine.passedOver = false;
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -376,6 +376,79 @@
       },
       (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].drain,
     ],
+    [
+      'one that has room for all of its own lends machines that are busy for long, up to half of what is free',
+      {
+        loads: [
+          part(
+            'p0',
+            [],
+            ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) =>
+              load(id, { tasks: 1, freeCpus: 3, emptyInS: 70 }),
+            ),
+            { workLeft: [0, 0, 100, 0] },
+          ),
+          part('p1', [demand({ tasks: 200 })], [load('j-1', busy)]),
+        ],
+        machines: [
+          ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) => machine(id)),
+          machine('j-1', { part: 'p1' }),
+        ],
+        soldOut: () => true,
+      },
+      (a) => a.length === 5 && a.every((x) => x.kind === 'move' && x.toPart === 'p1' && x.drain),
+    ],
+    [
+      'one whose own work waits keeps them',
+      {
+        loads: [
+          part(
+            'p0',
+            [demand({ tasks: 200, seconds: 1 })],
+            ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => load(id, { ...busy, emptyInS: 70 })),
+            { workLeft: [0, 0, 100, 0] },
+          ),
+          part('p1', [demand({ tasks: 2000 })], [load('j-1', busy)]),
+        ],
+        machines: [
+          ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => machine(id)),
+          machine('j-1', { part: 'p1' }),
+        ],
+        soldOut: () => true,
+      },
+      (a) => a.length === 0,
+    ],
+    [
+      // Nights on which new machines of one kind came up late or never: what was asked for next was of the same kind.
+      'a kind of machine that comes up late is asked for in another zone',
+      {
+        loads: [part('p0', [demand({ tasks: 4 })], [])],
+        machines: ['i-1', 'i-2'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
+      },
+      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.zone === 'b' && x.order.spot),
+    ],
+    [
+      'or of another type, where that is not much dearer',
+      {
+        loads: [part('p0', [demand({ tasks: 32, zones: ['a'] })], [])],
+        machines: ['i-1', 'i-2', 'i-3'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
+      },
+      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.type === 'large'),
+    ],
+    [
+      'one late machine among many says nothing of its kind',
+      {
+        loads: [part('p0', [demand({ tasks: 4 })], [])],
+        machines: [
+          machine('i-0', { booting: true, ageMs: 40_000 }),
+          ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5'].map((id) => machine(id, { part: 'p1' })),
+          ...['j-1', 'j-2', 'j-3', 'j-4', 'j-5', 'j-6', 'j-7'].map((id) =>
+            machine(id, { part: 'p1', zone: 'b' }),
+          ),
+        ],
+      },
+      (a) => a.length === 1 && a[0]?.kind === 'rent' && a[0].order.zone === 'a',
+    ],
     [
       // One part's idle work held a thousand CPUs while another's urgent work waited: their whole work took as long.
       'urgent work of one part counts for more than idle work of another',
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -173,7 +173,7 @@
       b.job(spec('job-2', { tasks: 1 }));
       const live = b.report('m', 0).map((c) => shown(c, 'running'));
       b.report('m', 2000, live);
-      b.core.drainTo('m', '');
+      b.core.drainTo('m', '', 3000);
       const commands = b.report('m', 4000, live);
       assert.deepEqual(
         commands.map((c) => `${c.op} ${c.ref}`),
@@ -181,6 +181,29 @@
       );
     },
   ],
+  ...(
+    [
+      ['a task that can save leaves a machine that another part gets', 40_000, true, ['stop job-1']],
+      ['not if nothing else here has room for it', 40_000, false, []],
+      ['nor if it has only just begun', 20_000, true, []],
+    ] as const
+  ).map(([name, now, roomElsewhere, expected]): [string, (b: Bench) => void] => [
+    name,
+    (b) => {
+      b.machine('m', FRESH);
+      b.job(spec('job-1', { tasks: 1, checkpointS: 30, saveS: 3 }));
+      b.job(spec('job-2', { tasks: 1 }));
+      const live = b.report('m', 0).map((c) => shown(c, 'running'));
+      b.report('m', 1000, live);
+      if (roomElsewhere) b.machine('n', FRESH);
+      b.report('n', now - 500);
+      b.core.drainTo('m', 'p1', now);
+      assert.deepEqual(
+        b.report('m', now, live).map((c) => `${c.op} ${c.ref}`),
+        expected,
+      );
+    },
+  ]),
   [
     "a team's limit holds over all machines",
     (b) => {
@@ -756,11 +779,11 @@
     'an emptied machine is given to the part that waits for it, unless that is taken back',
     (b) => {
       b.machine('m', FRESH);
-      b.core.drainTo('m', 'p1');
+      b.core.drainTo('m', 'p1', 0);
       assert.deepEqual(b.core.emptied(), [{ id: 'm', toPart: 'p1' }]);
       b.job(spec('job-1'));
       assert.deepEqual(starts(b.report('m', 0)), []);
-      b.core.drainTo('m', 'p0');
+      b.core.drainTo('m', 'p0', 1000);
       assert.equal(starts(b.report('m', 2000)).length, 2);
     },
   ],
