--- /dev/null
+++ b/test/recorded-bytes.test.ts
@@ -0,0 +1,120 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peers';
+import {
+  decodeBatch,
+  decodeFleet,
+  decodeProgress,
+  encodeAccepted,
+  encodeFleet,
+  encodeProgress,
+  keys,
+} from '../src/protocol/records';
+
+/** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
+const status: PeerMessage = {
+  ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, heardMs: 1.5, revision: 412 },
+  strays: [{ part: 'p0', machines: 3 }],
+  parts: [
+    {
+      ...{ part: 'p0', version: 9, workLeft: [1, 0, 0, 0], backlog: [0, 2, 0, 0], unresolved: 2, quietS: 3 },
+      demands: [
+        {
+          ...{ workload: 'w', cpus: 1, accelerators: 0, memoryGb: 2, types: ['a'], zones: ['z'] },
+          ...{ spot: true, rank: 1, tasks: 3, seconds: 9 },
+        },
+      ],
+      machines: [
+        {
+          ...{ machine: 'i-1', tasks: 1, freeCpus: 2, freeMemoryGb: 3, freeAccelerators: 0, idleMs: 0 },
+          ...{ silentMs: 5, faulty: false, noticed: false, leavingTo: '', emptyInS: 4 },
+        },
+      ],
+    },
+  ],
+};
+
+const frames: [PeerMessage, string][] = [
+  [
+    status,
+    'AAJhAgEIAgRwMBIIAAAAAAAA8D8AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAACAAAAAAAAAAAAAAAAAAAAEAAAAAAAAAAAAAA' +
+      'AAAAAAAAAAAAAAAAAAhABAICdwAAAAAAAPA/AAAAAAAAAAAAAAAAAAAAQAICAmEAAgICegABAgYAAAAAAAAiQAACBmktMQIA' +
+      'AAAAAAAAQAAAAAAAAAhAAAAAAAAAAAAAAAAAAAAAAAAAAAAAABRAAAACAAAAAAAAABBAAAACBHAwBgAAAAAAAAD4P7gG',
+  ],
+  [
+    {
+      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, promised: true, page: 1, pages: 2 },
+      cancelled: [{ job: 'job-000001', version: 413 }],
+    },
+    'AgJhDgABAgQCFGpvYi0wMDAwMDG6BgA=',
+  ],
+  [{ kind: 'move', machine: 'i-1', toPart: 'p1', drain: true }, 'BAZpLTEEcDEB'],
+  [{ kind: 'retire', machine: 'i-1', why: 'idle', force: false }, 'BgZpLTEIaWRsZQA='],
+  [{ kind: 'handover', part: 'p0', to: 'b' }, 'CARwMAJi'],
+];
+
+const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+
+test('frames that earlier builds recorded are read and written as before', async (t) => {
+  for (const [message, recorded] of frames) {
+    await t.test(message.kind, () => {
+      assert.equal(encodePeer(message).toString('base64'), recorded);
+      assert.deepEqual(plain(decodePeer(Buffer.from(recorded, 'base64'))), plain(message));
+    });
+  }
+});
+
+test('values and keys that earlier builds stored are read and written as before', async (t) => {
+  await t.test('an accepted job', () => {
+    const stored = [
+      'job-000001',
+      {
+        ...{ w: 'w', t: 't', r: 2, n: 5, c: 1, a: 0, m: 2, i: 'i', g: 1, y: ['a'], z: 'z', b: 5, e: 30 },
+        ...{ k: 30, s: 3, d: 90 },
+      },
+      '2026-01-02T03:04:05.678Z',
+    ];
+    const spec = {
+      ...{ ref: 'job-000001', workload: 'w', team: 't', rank: 2, tasks: 5, cpus: 1, accelerators: 0 },
+      ...{ memoryGb: 2, image: 'i', imageGb: 1, types: ['a'], zone: 'z', together: true, apart: false },
+      ...{ spot: true, expectedS: 30, checkpointS: 30, saveS: 3, deadlineS: 90, pipeline: null },
+    };
+    const accepted = '2026-01-02T03:04:05.678Z';
+    assert.deepEqual(decodeBatch([stored]), [{ spec, accepted }]);
+    assert.deepEqual(plain(encodeAccepted({ spec, accepted })), stored);
+  });
+  await t.test('progress', () => {
+    const stored = { 'job-000001': ['0-3,7', 5, 2, 16] };
+    const progress = decodeProgress(stored);
+    assert.deepEqual(progress?.get('job-000001'), { done: '0-3,7', doneCount: 5, running: 2, mark: 16 });
+    assert.deepEqual(encodeProgress(progress ?? new Map()), stored);
+  });
+  await t.test('machines', () => {
+    const stored = [
+      { since: 7, type: 'a', zone: 'z', spot: true, phase: 'kept', ids: ['i-1'] },
+      { type: 'a', zone: 'z', spot: false, phase: 'returning', ids: ['i-2'], why: 'idle' },
+    ];
+    const fleet = decodeFleet('p0', stored, 9);
+    assert.deepEqual(
+      [...(fleet ?? [])].map(([id, { record, version }]) => [id, record.phase, record.why, version]),
+      [
+        ['i-1', 'kept', undefined, 7],
+        ['i-2', 'returning', 'idle', 9],
+      ],
+    );
+    const entries = [...(fleet ?? [])].map(
+      ([id, entry]) => [id, { record: entry.record, version: id === 'i-1' ? 7 : null }] as const,
+    );
+    assert.deepEqual(plain(encodeFleet(entries)), stored);
+  });
+  await t.test('keys', () => {
+    const named = [
+      ...[keys.member('m'), keys.leader, keys.catalog, keys.part('p0'), keys.batch('b'), keys.cancel('j')],
+      ...[keys.final('p0', 1), keys.progress('p0', 2), keys.opened('p0', 3), keys.fleet('p0', 'f')],
+    ];
+    assert.deepEqual(named, [
+      ...['hb/member/m', 'hb/leader', 'hb/catalog', 'hb/part/p0', 'hb/batch/b', 'hb/cancel/j'],
+      ...['hb/final/p0/1', 'hb/progress/p0/2', 'hb/opened/p0/3', 'hb/fleet/p0/f'],
+    ]);
+  });
+});
