--- a/src/coordination/autoscale.ts
+++ b/src/coordination/autoscale.ts
@@ -1,12 +1,12 @@
 import { type MachineType, type RentalOrder } from '../protocol/cloud';
 import { URGENCIES } from '../protocol/jobs';
 import { type Policy } from '../protocol/policy';
-import { LEAVES_FLEET, type Demand, type MachineLoad, type PartLoad } from '../protocol/peers';
+import { LEAVES_FLEET, type Demand, type MachineLoad, type PartitionLoad } from '../protocol/peers';
 import { allowsKind, fits, type Free } from './placement';
 
 export interface FleetMachine {
   id: string;
-  part: string;
+  partition: string;
   type: string;
   zone: string;
   spot: boolean;
@@ -18,7 +18,7 @@
   /** Time since some owner last heard it; 0 while it boots. */
   unheardMs: number;
   failed: boolean;
-  /** For how long its part's owner has taken it to be at fault, 0: not now. */
+  /** For how long its partition's owner has taken it to be at fault, 0: not now. */
   faultyMs: number;
   /** Time since this leader last had it moved, Infinity: never. */
   movedMs: number;
@@ -26,7 +26,7 @@
 
 export interface FleetPicture {
   types: ReadonlyMap<string, MachineType>;
-  loads: readonly PartLoad[];
+  loads: readonly PartitionLoad[];
   machines: readonly FleetMachine[];
   /** Kinds of machine of which the cloud has none just now. */
   soldOut: (kind: Omit<RentalOrder, 'count'>) => boolean;
@@ -35,9 +35,9 @@
 }
 
 export type FleetAction =
-  | { kind: 'rent'; part: string; order: RentalOrder }
-  | { kind: 'move'; machine: string; fromPart: string; toPart: string; drain: boolean }
-  | { kind: 'retire'; machine: string; part: string; why: string; force: boolean };
+  | { kind: 'rent'; partition: string; order: RentalOrder }
+  | { kind: 'move'; machine: string; fromPartition: string; toPartition: string; drain: boolean }
+  | { kind: 'retire'; machine: string; partition: string; why: string; force: boolean };
 
 /** Within how many seconds the waiting work of an urgency is meant to be done; index as in URGENCIES. */
 const DRAIN_S = [15, 15, 30, 50] as const;
@@ -49,7 +49,7 @@
 const SPARE_ROOM = 1.5;
 const NEARLY_EMPTY = 0.7;
 const SPARE_FROM_S = 12;
-/** Of a part's machines in use, the share that is sent off at once. */
+/** Of a partition's machines in use, the share that is sent off at once. */
 const SPARE_AT_ONCE = 0.1;
 /** Bounds one round; the next one goes on. */
 const MOST_MOVES = 60;
@@ -57,7 +57,7 @@
 /** What a move costs: the worker is sent on, and shows the new owner that it hears it. */
 const MOVE_S = 6;
 const SETTLE_MS = 3000;
-/** A machine that was moved is not moved again before both parts have told what came of it. */
+/** A machine that was moved is not moved again before both partitions have told what came of it. */
 const STAYS_MS = 6000;
 const LATE_BOOT = 1.7;
 /** A kind of which a larger share than this is late counts as dearer, by so much if all of them are. */
@@ -68,19 +68,19 @@
 const SILENT_MS = 30_000;
 /** A machine that nobody has heard for this long is no room to count on: a move or a lost report takes less. */
 const MISSED_MS = 8000;
-/** If more than this share of a part's machines is silent, it is the owner who does not hear them. */
+/** If more than this share of a partition's machines is silent, it is the owner who does not hear them. */
 const MANY_SILENT = 0.25;
 /** Whether machine or job is at fault shows elsewhere within this time; meanwhile it gets nothing. */
 const SURELY_FAULTY_MS = 8000;
 /** Ordinary machines cost more: they are rented once the work would take this many times as long as meant. */
 const ORDINARY_PATIENCE = 2;
-/** A part gives a machine away while another would need this many times as long for its work. */
+/** A partition gives a machine away while another would need this many times as long for its work. */
 const LEND_RATIO = 1.3;
 const LEND_FROM_S = 8;
 /** Draining leaves room unused: it is worth it for machines whose last task ends soon, and for few at once. */
 const DRAIN_WITHIN_S = 20;
 const DRAIN_AT_ONCE = 0.04;
-/** More at once if the other part would need this many times as long for work that is as urgent. */
+/** More at once if the other partition would need this many times as long for work that is as urgent. */
 const FAR_BEHIND = 2;
 const DRAIN_FAR_BEHIND = 0.1;
 /** A donor that has room for all of its own drains machines with up to this share of its free CPUs, however busy they are. */
@@ -97,14 +97,14 @@
   spot: boolean;
 }
 
-/** A part as it will stand once the actions decided so far have been carried out. */
-interface PartView {
-  load: PartLoad;
+/** A partition as it will stand once the actions decided so far have been carried out. */
+interface PartitionView {
+  load: PartitionLoad;
   waits: Wait[];
   supply: Supply[];
   /** CPU seconds that run or wait, down to the urgency looked at. */
   ahead: number;
-  /** Some waiting tasks find no room on the machines that the part has in use. */
+  /** Some waiting tasks find no room on the machines that the partition has in use. */
   short: boolean;
 }
 
@@ -112,7 +112,7 @@
 interface Wait {
   demand: Demand;
   tasks: number;
-  /** How many of the part's machines were looked through: room there only shrinks. */
+  /** How many of the partition's machines were looked through: room there only shrinks. */
   looked: number;
 }
 
@@ -120,26 +120,26 @@
 export function scale(picture: FleetPicture): FleetAction[] {
   const actions: FleetAction[] = [];
   const loadOf = new Map<string, MachineLoad>();
-  for (const part of picture.loads) for (const m of part.machines) loadOf.set(m.machine, m);
+  for (const partition of picture.loads) for (const m of partition.machines) loadOf.set(m.machine, m);
   for (const m of picture.machines) {
     const why = m.returning ? null : broken(m, loadOf.get(m.id), picture);
-    if (why) actions.push({ kind: 'retire', machine: m.id, part: m.part, why, force: true });
+    if (why) actions.push({ kind: 'retire', machine: m.id, partition: m.partition, why, force: true });
   }
   const missing = missingMachines(picture);
   const pool = empties(picture, loadOf, missing);
   // Neither is room: what is empty is in the pool, what is missing takes nothing.
   const apart = new Set([...pool.map((e) => e.id), ...missing]);
   const views = picture.loads.map((load) => view(load, picture, loadOf, apart));
-  for (const part of views) cover(part);
+  for (const partition of views) cover(partition);
   const inZone = new Map<string, number>();
   for (const m of picture.machines) if (!m.returning) inZone.set(m.zone, (inZone.get(m.zone) ?? 0) + 1);
   for (let rank = 0; rank < URGENCIES.length; rank++) {
-    const waits = views.flatMap((part) => part.waits.map((wait) => ({ part, wait })));
+    const waits = views.flatMap((partition) => partition.waits.map((wait) => ({ partition, wait })));
     const group = waits.filter(({ wait }) => wait.demand.rank === rank);
-    for (const { part, wait } of group) part.ahead += workOf(wait.demand, wait.demand.tasks);
+    for (const { partition, wait } of group) partition.ahead += workOf(wait.demand, wait.demand.tasks);
     // The more urgent first, and one machine each in turn: quick ones are few, and none should get them all.
     for (let open = group; open.length > 0 && !tooMany(actions);) {
-      open = open.filter(({ part, wait }) => provide(part, wait, pool, picture, inZone, actions));
+      open = open.filter(({ partition, wait }) => provide(partition, wait, pool, picture, inZone, actions));
     }
   }
   lend(views, picture, loadOf, actions);
@@ -149,17 +149,23 @@
   if (quiet && views.every((v) => v.waits.length === 0)) {
     for (const m of picture.machines)
       if (m.booting && m.id !== '' && !m.returning && isLate(m, picture) && m.ageMs > LEAST_CHARGED_MS)
-        actions.push({ kind: 'retire', machine: m.id, part: m.part, why: 'boots too long', force: true });
+        actions.push({
+          kind: 'retire',
+          machine: m.id,
+          partition: m.partition,
+          why: 'boots too long',
+          force: true,
+        });
   }
   spare(views, picture, loadOf, quiet, actions);
   const moved = new Set(actions.map((a) => (a.kind === 'move' ? a.machine : '')));
   // What is left of the pool was not needed for anything that waits.
-  for (const { id, part, spot } of pool) {
+  for (const { id, partition, spot } of pool) {
     const load = loadOf.get(id);
     if (!load || load.silentMs < 0 || moved.has(id)) continue;
     const keepMs = spot ? KEEP_IDLE_MS.spot : KEEP_IDLE_MS.ordinary;
     if (load.idleMs > (quiet ? KEEP_QUIET_MS : keepMs)) {
-      actions.push({ kind: 'retire', machine: id, part, why: 'idle', force: false });
+      actions.push({ kind: 'retire', machine: id, partition, why: 'idle', force: false });
     }
   }
   return actions;
@@ -181,12 +187,12 @@
   return null;
 }
 
-/** A machine that holds nothing: any part may have it. */
+/** A machine that holds nothing: any partition may have it. */
 interface Empty extends Supply {
-  part: string;
+  partition: string;
   /** Seconds until it can take tasks where it is. */
   readyInS: number;
-  /** It may have got something to do since its part's owner last told, or it has just been moved: it stays for now. */
+  /** It may have got something to do since its partition's owner last told, or it has just been moved: it stays for now. */
   settling: boolean;
 }
 
@@ -206,13 +212,22 @@
     if (missing.has(m.id)) continue;
     const free = { cpus: type.cpus, accelerators: type.accelerators, memoryGb: type.memoryGb };
     const settling = (!m.booting && (state?.idleMs ?? 0) < SETTLE_MS) || m.movedMs < STAYS_MS;
-    pool.push({ id: m.id, part: m.part, free, type, zone: m.zone, spot: m.spot, readyInS: leftS, settling });
+    pool.push({
+      id: m.id,
+      partition: m.partition,
+      free,
+      type,
+      zone: m.zone,
+      spot: m.spot,
+      readyInS: leftS,
+      settling,
+    });
   }
   return pool;
 }
 
 /**
- * Machines that nobody has heard for too long to count on their room. If most of a part's are silent it is their owner who does
+ * Machines that nobody has heard for too long to count on their room. If most of a partition's are silent it is their owner who does
  * not hear them, and no reason to rent them a second time.
  */
 function missingMachines(picture: FleetPicture): Set<string> {
@@ -220,10 +235,10 @@
   const up = new Map<string, number>();
   for (const m of picture.machines) {
     if (m.booting || m.returning) continue;
-    up.set(m.part, (up.get(m.part) ?? 0) + 1);
-    if (m.unheardMs > MISSED_MS) silent.set(m.part, [...(silent.get(m.part) ?? []), m.id]);
+    up.set(m.partition, (up.get(m.partition) ?? 0) + 1);
+    if (m.unheardMs > MISSED_MS) silent.set(m.partition, [...(silent.get(m.partition) ?? []), m.id]);
   }
-  const few = [...silent].filter(([part, ids]) => ids.length <= MANY_SILENT * (up.get(part) ?? 0));
+  const few = [...silent].filter(([partition, ids]) => ids.length <= MANY_SILENT * (up.get(partition) ?? 0));
   return new Set(few.flatMap(([, ids]) => ids));
 }
 
@@ -237,16 +252,17 @@
 }
 
 function view(
-  load: PartLoad,
+  load: PartitionLoad,
   picture: FleetPicture,
   loadOf: ReadonlyMap<string, MachineLoad>,
   apart: ReadonlySet<string>,
-): PartView {
+): PartitionView {
   const supply: Supply[] = [];
   for (const m of picture.machines) {
     const type = picture.types.get(m.type);
     const state = loadOf.get(m.id);
-    if (m.part !== load.part || m.returning || !type || !state || unusable(state) || m.booting) continue;
+    if (m.partition !== load.partition || m.returning || !type || !state || unusable(state) || m.booting)
+      continue;
     if (apart.has(m.id)) continue;
     const free = { cpus: state.freeCpus, accelerators: state.freeAccelerators, memoryGb: state.freeMemoryGb };
     supply.push({ id: m.id, free, type, zone: m.zone, spot: m.spot });
@@ -274,22 +290,22 @@
   return (demand.zones === null || demand.zones.includes(kind.zone)) && allowsKind(demand, kind);
 }
 
-/** Sets what waits against the room on machines that the part uses already. */
-function cover(part: PartView): void {
-  for (const wait of part.waits) useRoom(part, wait);
-  part.short = part.waits.some((wait) => wait.tasks > 0);
+/** Sets what waits against the room on machines that the partition uses already. */
+function cover(partition: PartitionView): void {
+  for (const wait of partition.waits) useRoom(partition, wait);
+  partition.short = partition.waits.some((wait) => wait.tasks > 0);
 }
 
-function useRoom(part: PartView, wait: Wait): void {
-  for (; wait.looked < part.supply.length && wait.tasks > 0; wait.looked++) {
-    const s = part.supply[wait.looked] as Supply;
+function useRoom(partition: PartitionView, wait: Wait): void {
+  for (; wait.looked < partition.supply.length && wait.tasks > 0; wait.looked++) {
+    const s = partition.supply[wait.looked] as Supply;
     if (suits(wait.demand, s)) wait.tasks -= fill(s.free, wait.demand, wait.tasks);
   }
 }
 
 /** Finds one machine for what is left: the empty one that is ready first, else a rented one. False: none. */
 function provide(
-  part: PartView,
+  partition: PartitionView,
   wait: Wait,
   pool: Empty[],
   picture: FleetPicture,
@@ -297,51 +313,57 @@
   actions: FleetAction[],
 ): boolean {
   const { demand } = wait;
-  // Room left on machines that this part has been given meanwhile.
-  useRoom(part, wait);
+  // Room left on machines that this partition has been given meanwhile.
+  useRoom(partition, wait);
   if (wait.tasks <= 0) return false;
-  const here = part.load.part;
+  const here = partition.load.partition;
   let first: Empty | null = null;
   let firstS = Number.POSITIVE_INFINITY;
   for (const e of pool) {
-    if (!suits(demand, e) || (e.part !== here && e.settling)) continue;
-    const readyS = e.part === here ? e.readyInS : Math.max(MOVE_S, e.readyInS) + MOVE_S;
+    if (!suits(demand, e) || (e.partition !== here && e.settling)) continue;
+    const readyS = e.partition === here ? e.readyInS : Math.max(MOVE_S, e.readyInS) + MOVE_S;
     if (readyS < firstS) [first, firstS] = [e, readyS];
   }
   if (first) {
     pool.splice(pool.indexOf(first), 1);
-    wait.tasks -= add(part, first.id, first.type, first.zone, first.spot, demand, wait.tasks);
+    wait.tasks -= add(partition, first.id, first.type, first.zone, first.spot, demand, wait.tasks);
     // What is rented but not known by name yet cannot be moved.
-    if (first.part !== here && first.id !== '') {
-      actions.push({ kind: 'move', machine: first.id, fromPart: first.part, toPart: here, drain: false });
+    if (first.partition !== here && first.id !== '') {
+      actions.push({
+        kind: 'move',
+        machine: first.id,
+        fromPartition: first.partition,
+        toPartition: here,
+        drain: false,
+      });
     }
     return true;
   }
   const drainS = DRAIN_S[demand.rank] ?? 60;
   const size = Math.max(demand.cpus, 0.1);
   // What the machines that suit it will have worked off in time needs no new ones.
-  const able = part.supply.reduce((sum, s) => sum + (suits(demand, s) ? s.type.cpus : 0), 0);
+  const able = partition.supply.reduce((sum, s) => sum + (suits(demand, s) ? s.type.cpus : 0), 0);
   const { headroom, classes } = picture.policy;
-  const missing = Math.min(wait.tasks * size, (headroom * part.ahead) / drainS - able);
+  const missing = Math.min(wait.tasks * size, (headroom * partition.ahead) / drainS - able);
   if (missing <= 0) return false;
   // Idle work waits for cheap machines as long as there are any that will come to it.
   const idle = demand.rank === URGENCIES.length - 1;
   const price = classes[demand.workload]?.price ?? 'balanced';
-  const late = part.ahead / drainS > ORDINARY_PATIENCE * able;
+  const late = partition.ahead / drainS > ORDINARY_PATIENCE * able;
   const waits = price === 'cheap' || (price === 'balanced' && (idle || !late));
   const patient = able > 0 && demand.spot && waits;
   const order = cheapest(demand, missing, wait.tasks, picture, !patient, inZone);
   const type = order && picture.types.get(order.type);
   if (!order || !type) return false;
-  wait.tasks -= add(part, '', type, order.zone, order.spot, demand, wait.tasks);
-  actions.push({ kind: 'rent', part: part.load.part, order });
+  wait.tasks -= add(partition, '', type, order.zone, order.spot, demand, wait.tasks);
+  actions.push({ kind: 'rent', partition: partition.load.partition, order });
   inZone.set(order.zone, (inZone.get(order.zone) ?? 0) + 1);
   return true;
 }
 
-/** Counts a machine that is on its way to the part; returns how many of the demand's tasks it takes. */
+/** Counts a machine that is on its way to the partition; returns how many of the demand's tasks it takes. */
 function add(
-  part: PartView,
+  partition: PartitionView,
   id: string,
   type: MachineType,
   zone: string,
@@ -351,7 +373,7 @@
 ): number {
   const free = { cpus: type.cpus, accelerators: type.accelerators, memoryGb: type.memoryGb };
   const taken = fill(free, demand, tasks);
-  part.supply.push({ id, free, type, zone, spot });
+  partition.supply.push({ id, free, type, zone, spot });
   return taken;
 }
 
@@ -363,28 +385,29 @@
   return n;
 }
 
-function cpusOf(part: PartView): number {
-  return part.supply.reduce((sum, s) => sum + s.type.cpus, 0);
+function cpusOf(partition: PartitionView): number {
+  return partition.supply.reduce((sum, s) => sum + s.type.cpus, 0);
 }
 
-/** Seconds in which a part would have done its work down to this urgency with these CPUs. */
-function horizon(part: PartView, cpus: number, rank: number): number {
+/** Seconds in which a partition would have done its work down to this urgency with these CPUs. */
+function horizon(partition: PartitionView, cpus: number, rank: number): number {
   let work = 0;
-  for (let r = 0; r <= rank; r++) work += (part.load.workLeft[r] ?? 0) + (part.load.backlog[r] ?? 0);
+  for (let r = 0; r <= rank; r++)
+    work += (partition.load.workLeft[r] ?? 0) + (partition.load.backlog[r] ?? 0);
   return work / Math.max(1, cpus);
 }
 
 /** Of what still waits, the most pressing urgency. */
-function pressing(part: PartView): number {
-  return Math.min(...part.waits.filter((w) => w.tasks > 0).map((w) => w.demand.rank));
+function pressing(partition: PartitionView): number {
+  return Math.min(...partition.waits.filter((w) => w.tasks > 0).map((w) => w.demand.rank));
 }
 
 /**
- * Lets the part that would be done first empty machines for the one that would be done last. Each urgency is looked
- * at by itself, the more urgent first: one part's idle work is no reason to let another's urgent work wait.
+ * Lets the partition that would be done first empty machines for the one that would be done last. Each urgency is looked
+ * at by itself, the more urgent first: one partition's idle work is no reason to let another's urgent work wait.
  */
 function lend(
-  views: readonly PartView[],
+  views: readonly PartitionView[],
   picture: FleetPicture,
   loadOf: ReadonlyMap<string, MachineLoad>,
   actions: FleetAction[],
@@ -392,18 +415,18 @@
   const cpus = new Map(views.map((v) => [v, cpusOf(v)]));
   // What is being emptied already counts for the one that gets it.
   for (const m of picture.machines) {
-    const taker = views.find((v) => v.load.part === loadOf.get(m.id)?.leavingTo);
+    const taker = views.find((v) => v.load.partition === loadOf.get(m.id)?.leavingTo);
     if (taker) cpus.set(taker, (cpus.get(taker) ?? 0) + (picture.types.get(m.type)?.cpus ?? 0));
   }
   const taken = new Set(actions.map((a) => (a.kind === 'move' ? a.machine : '')));
   for (const m of picture.machines) if (m.movedMs < STAYS_MS) taken.add(m.id);
   for (let rank = 0; rank < URGENCIES.length; rank++) {
-    const at = (v: PartView): number => horizon(v, cpus.get(v) ?? 0, rank);
+    const at = (v: PartitionView): number => horizon(v, cpus.get(v) ?? 0, rank);
     const waiting = views.filter((v) => v.waits.some((w) => w.tasks > 0 && w.demand.rank === rank));
     const taker = waiting.sort((a, b) => at(b) - at(a))[0];
     // Who has more urgent work without room lends nothing for less urgent work: while its machines went out for that,
-    // as many came back for the other, twice a second, and the part ended up with nearly none.
-    const short = (v: PartView): boolean => v.waits.some((w) => w.tasks > 0 && w.demand.rank < rank);
+    // as many came back for the other, twice a second, and the partition ended up with nearly none.
+    const short = (v: PartitionView): boolean => v.waits.some((w) => w.tasks > 0 && w.demand.rank < rank);
     const donor = views.filter((v) => v !== taker && !short(v)).sort((a, b) => at(a) - at(b))[0];
     if (!taker || !donor) continue;
     const unmet = taker.waits.filter((w) => w.tasks > 0 && w.demand.rank <= rank);
@@ -443,8 +466,8 @@
         idle -= s.free.cpus;
       }
       taken.add(s.id);
-      const [fromPart, toPart] = [donor.load.part, taker.load.part];
-      actions.push({ kind: 'move', machine: s.id, fromPart, toPart, drain: true });
+      const [fromPartition, toPartition] = [donor.load.partition, taker.load.partition];
+      actions.push({ kind: 'move', machine: s.id, fromPartition, toPartition, drain: true });
     }
   }
 }
@@ -454,43 +477,52 @@
  * tasks stopped on a draining machine wait themselves for a moment, and once had every drain of their partition taken back.
  */
 function keep(
-  views: readonly PartView[],
+  views: readonly PartitionView[],
   picture: FleetPicture,
   loadOf: ReadonlyMap<string, MachineLoad>,
   actions: FleetAction[],
 ): void {
-  const byPart = new Map(views.map((v) => [v.load.part, v]));
+  const byPartition = new Map(views.map((v) => [v.load.partition, v]));
   for (const m of picture.machines) {
     const to = loadOf.get(m.id)?.leavingTo;
-    const from = byPart.get(m.part);
+    const from = byPartition.get(m.partition);
     if (to === undefined || to === null || !from) continue;
-    const taker = byPart.get(to);
+    const taker = byPartition.get(to);
     const rank = taker ? pressing(taker) : Infinity;
     const wanted =
       to === LEAVES_FLEET
         ? !from.short
         : taker && rank < Infinity && horizon(taker, cpusOf(taker), rank) > horizon(from, cpusOf(from), rank);
-    if (!wanted) actions.push({ kind: 'move', machine: m.id, fromPart: m.part, toPart: m.part, drain: true });
+    if (!wanted)
+      actions.push({
+        kind: 'move',
+        machine: m.id,
+        fromPartition: m.partition,
+        toPartition: m.partition,
+        drain: true,
+      });
   }
 }
 
-/** Empties the dearest machines whose tasks the others of their part have room for, while nothing waits. */
+/** Empties the dearest machines whose tasks the others of their partition have room for, while nothing waits. */
 function spare(
-  views: readonly PartView[],
+  views: readonly PartitionView[],
   picture: FleetPicture,
   loadOf: ReadonlyMap<string, MachineLoad>,
   quiet: boolean,
   actions: FleetAction[],
 ): void {
-  // What one part can spare another may need, as soon as it can be emptied.
+  // What one partition can spare another may need, as soon as it can be emptied.
   if (views.some((v) => v.short)) return;
   const moved = new Set(actions.map((a) => (a.kind === 'move' ? a.machine : '')));
-  for (const part of views) {
-    const { part: fromPart, machines } = part.load;
+  for (const partition of views) {
+    const { partition: fromPartition, machines } = partition.load;
     // One that may never come up must not keep all others: for two minutes nothing was sent off because of it.
-    const booting = picture.machines.some((m) => m.part === fromPart && m.booting && !isLate(m, picture));
+    const booting = picture.machines.some(
+      (m) => m.partition === fromPartition && m.booting && !isLate(m, picture),
+    );
     if (booting) continue;
-    const running = part.supply.filter((s) => !moved.has(s.id) && (loadOf.get(s.id)?.tasks ?? 0) > 0);
+    const running = partition.supply.filter((s) => !moved.has(s.id) && (loadOf.get(s.id)?.tasks ?? 0) > 0);
     // Room for what is moved off, less what was sent off before and has not settled elsewhere.
     let free = running.reduce((sum, s) => sum + s.free.cpus, 0);
     for (const m of machines)
@@ -506,7 +538,7 @@
       if (free - s.free.cpus < room * used || (loadOf.get(s.id)?.emptyInS ?? 0) < SPARE_FROM_S) continue;
       if (left-- <= 0) break;
       free -= s.free.cpus + used;
-      actions.push({ kind: 'move', machine: s.id, fromPart, toPart: LEAVES_FLEET, drain: true });
+      actions.push({ kind: 'move', machine: s.id, fromPartition, toPartition: LEAVES_FLEET, drain: true });
     }
   }
 }
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -2,26 +2,26 @@
 import { type Log } from '../transport/log';
 import { Measures } from '../transport/measures';
 import { type MachineType } from '../protocol/cloud';
-import { decodePeer, encodePeer, type PartLoad, type PeerMessage } from '../protocol/peers';
+import { decodePeer, encodePeer, type PartitionLoad, type PeerMessage } from '../protocol/peers';
 import { type Policy } from '../protocol/policy';
 import { type Settings } from '../protocol/settings';
 import { type Report } from '../protocol/workers';
-import { Book, type BookedPart, type BookEvent } from '../storage/book';
+import { Book, type BookedPartition, type BookEvent } from '../storage/book';
 import { Intake } from '../storage/intake';
 import { Ledger, type StoreTransport } from '../storage/ledger';
 import { type ReportReply } from './gateway';
 import { askEveryMs, unawareMs } from './awareness';
 import { Leader, type CloudTransport } from './leader';
 import { Member } from './member';
-import { PartCore } from './part';
-import { PartActor } from './part-actor';
+import { PartitionCore } from './partition';
+import { PartitionActor } from './partition-actor';
 import { Strays } from './reach';
 import { Runs } from './runs';
 import { Truce } from './truce';
 
 const TICK_MS = 250;
 const STATUS_MS = 500;
-/** While a part is being taken over its load goes with one status in so many: first answers need the time more. */
+/** While a partition is being taken over its load goes with one status in so many: first answers need the time more. */
 const RARE = 4;
 /** Machines that come here within this time of a change of owner are merely on their way. */
 const SETTLED_MS = 8000;
@@ -50,12 +50,12 @@
   life: string;
 }
 
-/** A report of a machine whose part may be about to change hands. */
+/** A report of a machine whose partition may be about to change hands. */
 interface Parked {
   report: Report;
   reply: (reply: ReportReply) => void;
-  part: string;
-  /** Version of the part's record when it came. */
+  partition: string;
+  /** Version of the partition's record when it came. */
   version: number;
 }
 
@@ -68,11 +68,11 @@
   private readonly leader: Leader;
   private readonly truce: Truce;
   readonly runs: Runs;
-  private readonly parts = new Map<string, PartActor>();
+  private readonly partitions = new Map<string, PartitionActor>();
   private statuses = 0;
   private readonly strays = new Strays();
   private lastHeard: number | null = null;
-  /** When the replica first showed a part's present owner. */
+  /** When the replica first showed a partition's present owner. */
   private readonly ownedSince = new Map<string, { version: number; at: number }>();
   private parked: Parked[] = [];
   private readonly unawareMs: number;
@@ -135,16 +135,16 @@
 
   private forward(event: BookEvent): void {
     if (event.kind === 'members') return;
-    for (const part of this.parts.values()) {
-      const { core } = part;
-      if (event.kind === 'gone') part.tell({ kind: 'machine', id: event.id, entry: null });
+    for (const partition of this.partitions.values()) {
+      const { core } = partition;
+      if (event.kind === 'gone') partition.tell({ kind: 'machine', id: event.id, entry: null });
       else if (event.kind === 'machine') {
-        const here = event.entry.record.part === core.id;
-        part.tell({ kind: 'machine', id: event.id, entry: here ? event.entry : null });
+        const here = event.entry.record.partition === core.id;
+        partition.tell({ kind: 'machine', id: event.id, entry: here ? event.entry : null });
       } else if (core.owns(event.job.spec.team)) {
         const { spec, acceptedAt, version, state } = event.job;
-        if (event.kind === 'closed') part.tell({ kind: 'closed', ref: spec.ref, state });
-        else part.tell({ kind: 'job', spec, acceptedAt, version, progress: null });
+        if (event.kind === 'closed') partition.tell({ kind: 'closed', ref: spec.ref, state });
+        else partition.tell({ kind: 'job', spec, acceptedAt, version, progress: null });
       }
     }
   }
@@ -154,26 +154,26 @@
     return this.leader.types.size > 0 ? this.leader.types : this.book.types;
   }
 
-  /** Makes the part actors those that the store says are ours; from a whole picture of it alone. */
+  /** Makes the partition actors those that the store says are ours; from a whole picture of it alone. */
   private reconcile(): void {
     if (!this.ledger.synced) return;
-    for (const [id, part] of this.parts) {
-      const booked = this.book.parts.get(id);
-      if (booked?.version === part.core.version && this.isMine(booked)) continue;
-      part.released = true;
-      this.parts.delete(id);
-      this.log.info({ part: id }, 'part released');
+    for (const [id, partition] of this.partitions) {
+      const booked = this.book.partitions.get(id);
+      if (booked?.version === partition.core.version && this.isMine(booked)) continue;
+      partition.released = true;
+      this.partitions.delete(id);
+      this.log.info({ partition: id }, 'partition released');
     }
     const now = this.clock.steady();
-    for (const { id, version } of this.book.parts.values())
+    for (const { id, version } of this.book.partitions.values())
       if (this.ownedSince.get(id)?.version !== version) this.ownedSince.set(id, { version, at: now });
-    for (const booked of this.book.parts.values()) {
-      if (!this.parts.has(booked.id) && this.isMine(booked)) this.takeOver(booked);
+    for (const booked of this.book.partitions.values()) {
+      if (!this.partitions.has(booked.id) && this.isMine(booked)) this.takeOver(booked);
     }
-    this.unpark((p) => this.book.parts.get(p.part)?.version !== p.version);
+    this.unpark((p) => this.book.partitions.get(p.partition)?.version !== p.version);
   }
 
-  private isMine({ record }: BookedPart): boolean {
+  private isMine({ record }: BookedPartition): boolean {
     return (
       record.owner === this.settings.member &&
       this.member.incarnation !== 0 &&
@@ -181,10 +181,10 @@
     );
   }
 
-  private takeOver({ id, record, version }: BookedPart): void {
+  private takeOver({ id, record, version }: BookedPartition): void {
     const { settings, book } = this;
     const teams = settings.teams.filter((t) => record.teams.includes(t.name));
-    const core = new PartCore(
+    const core = new PartitionCore(
       id,
       version,
       teams,
@@ -200,10 +200,19 @@
     );
     const { valueBytes, txnOps, writeRate } = settings.store;
     const progressMs = this.policy.progressS * 1000;
-    const options = { valueBytes, txnOps, writeRate, parts: book.parts.size, progressMs };
-    const actor = new PartActor(core, record, this.ledger, book, this.clock, this.log, this.member, options);
+    const options = { valueBytes, txnOps, writeRate, partitions: book.partitions.size, progressMs };
+    const actor = new PartitionActor(
+      core,
+      record,
+      this.ledger,
+      book,
+      this.clock,
+      this.log,
+      this.member,
+      options,
+    );
     for (const [machine, entry] of book.machines)
-      if (entry.record.part === id) actor.tell({ kind: 'machine', id: machine, entry });
+      if (entry.record.partition === id) actor.tell({ kind: 'machine', id: machine, entry });
     for (const { spec, acceptedAt, version: accepted, state } of book.jobs.values()) {
       if (!core.owns(spec.team)) continue;
       const progress = book.progressOf(spec.ref);
@@ -211,10 +220,10 @@
       else if (spec.pipeline || state !== 'done')
         actor.tell({ kind: 'ended', spec, version: accepted, state });
     }
-    this.parts.set(id, actor);
+    this.partitions.set(id, actor);
     this.log.info(
-      { part: id, version, machines: core.machines.size, jobs: core.jobs.size },
-      'part taken over',
+      { partition: id, version, machines: core.machines.size, jobs: core.jobs.size },
+      'partition taken over',
     );
   }
 
@@ -237,26 +246,29 @@
       this.leader.tell({ kind: 'unknown-machine', report });
       return reply({ kind: 'busy' });
     }
-    const part = this.parts.get(machine.record.part);
-    if (part?.active) {
-      part.tell({
+    const partition = this.partitions.get(machine.record.partition);
+    if (partition?.active) {
+      partition.tell({
         kind: 'report',
         report,
         reply: (answer) => reply(answer ? { kind: 'answer', ...answer } : { kind: 'busy' }),
       });
       return;
     }
-    const booked = this.book.parts.get(machine.record.part);
+    const booked = this.book.partitions.get(machine.record.partition);
     if (booked && mayWait && this.ownerMayChange(booked, report.machine))
-      return this.park({ report, reply, part: booked.id, version: booked.version }, this.parkedMs(booked));
+      return this.park(
+        { report, reply, partition: booked.id, version: booked.version },
+        this.parkedMs(booked),
+      );
     reply({ kind: 'redirect', owner: this.redirectTo(booked?.record.owner) });
   }
 
   /**
    * Many machines come here at once that another controller has owned for a while: it is gone, or cut from them. Sent
-   * back there they would lose seconds of their leases, each time anew, until the part has changed hands.
+   * back there they would lose seconds of their leases, each time anew, until the partition has changed hands.
    */
-  private ownerMayChange({ id }: BookedPart, machine: string): boolean {
+  private ownerMayChange({ id }: BookedPartition, machine: string): boolean {
     const now = this.clock.steady();
     this.strays.note(id, machine, now);
     const machines = this.book.fleetOf(id).reduce((n, [, fleet]) => n + fleet.size, 0);
@@ -264,7 +276,7 @@
   }
 
   /** Just after a change of owner they are on their way to the new one, who is glad if not all come at once. */
-  private parkedMs({ id, version }: BookedPart): number {
+  private parkedMs({ id, version }: BookedPartition): number {
     const since = this.ownedSince.get(id);
     const settled = since?.version === version && this.clock.steady() - since.at > SETTLED_MS;
     return settled ? PARKED_MS : PARKED_BRIEFLY_MS;
@@ -327,7 +339,7 @@
       case 'status':
         this.peerStoreOk.set(message.member, { ok: message.storeOk, at: now });
         this.leader.tell({ kind: 'heard', member: message.member, heard: message, at: now });
-        for (const load of message.parts) this.leader.tell({ kind: 'load', load, at: now });
+        for (const load of message.partitions) this.leader.tell({ kind: 'load', load, at: now });
         return;
       case 'pong':
         // What comes with a promise is taken in first: only then does it count.
@@ -338,14 +350,14 @@
       case 'handover': {
         const incarnation = this.book.members.get(message.to);
         if (incarnation !== undefined) {
-          this.parts.get(message.part)?.tell({ kind: 'handover', to: message.to, incarnation });
+          this.partitions.get(message.partition)?.tell({ kind: 'handover', to: message.to, incarnation });
         }
         return;
       }
       case 'move':
       case 'retire': {
         const machine = this.book.machines.get(message.machine);
-        if (machine) this.parts.get(machine.record.part)?.tell(message);
+        if (machine) this.partitions.get(machine.record.partition)?.tell(message);
       }
     }
   }
@@ -353,10 +365,11 @@
   private sendStatus(): void {
     const leader = this.book.leader?.member;
     const now = this.clock.steady();
-    const parts: PartLoad[] = [];
+    const partitions: PartitionLoad[] = [];
     this.statuses++;
-    for (const part of this.parts.values())
-      if (part.active && (this.statuses % RARE === 0 || !part.settling(now))) parts.push(part.core.load(now));
+    for (const partition of this.partitions.values())
+      if (partition.active && (this.statuses % RARE === 0 || !partition.settling(now)))
+        partitions.push(partition.core.load(now));
     const status = {
       kind: 'status' as const,
       member: this.settings.member,
@@ -366,17 +379,17 @@
       heardMs: this.lastHeard === null ? -1 : now - this.lastHeard,
       revision: this.ledger.synced ? this.ledger.revision : 0,
     };
-    const forLeader = { ...status, parts, strays: this.strays.counts(now) };
+    const forLeader = { ...status, partitions, strays: this.strays.counts(now) };
     if (leader === this.settings.member) this.take(forLeader);
     for (const { member: peer } of this.settings.peers)
-      this.sendTo(peer, peer === leader ? forLeader : { ...status, parts: [], strays: [] });
+      this.sendTo(peer, peer === leader ? forLeader : { ...status, partitions: [], strays: [] });
   }
 
   // Time, health.
 
   private tick(): void {
     this.stayAware();
-    for (const part of this.parts.values()) part.tell({ kind: 'tick' });
+    for (const partition of this.partitions.values()) partition.tell({ kind: 'tick' });
     this.leader.tell({ kind: 'tick' });
   }
 
@@ -384,7 +397,7 @@
   private stayAware(): void {
     const now = this.clock.steady();
     const since = Math.max(this.ledger.knownTo, this.awareAskedAt);
-    if (this.parts.size === 0 || now - since < askEveryMs(this.unawareMs)) return;
+    if (this.partitions.size === 0 || now - since < askEveryMs(this.unawareMs)) return;
     this.awareAskedAt = now;
     void this.ledger.fresh();
   }
@@ -414,7 +427,7 @@
       store: { ...this.ledger.counters, changes: this.ledger.changesByKind },
       users: this.runs.counters,
       took: this.measures.summary(),
-      parts: [...this.parts.values()].map((p) => p.core.summary()),
+      partitions: [...this.partitions.values()].map((p) => p.core.summary()),
     };
   }
 }
--- a/src/coordination/gateway.ts
+++ b/src/coordination/gateway.ts
@@ -11,7 +11,7 @@
   | { kind: 'redirect'; owner: string | null }
   | { kind: 'busy' };
 
-export interface GatewayParts {
+export interface GatewayDependencies {
   runs: Runs;
   report: (report: Report, reply: (reply: ReportReply) => void) => void;
   ready: () => boolean;
@@ -25,16 +25,16 @@
 
 /** Answers a worker's report, however it came in. */
 export function answerReport(
-  parts: Pick<GatewayParts, 'report' | 'log'>,
+  dependencies: Pick<GatewayDependencies, 'report' | 'log'>,
   body: unknown,
   tell: (status: number, body: object) => void,
 ): void {
   const report = parseReport(body);
   if (!report) {
-    parts.log.info('malformed report');
+    dependencies.log.info('malformed report');
     return tell(400, JSON_ERROR);
   }
-  parts.report(report, (reply) => {
+  dependencies.report(report, (reply) => {
     if (reply.kind === 'answer') tell(200, reportAnswer(reply.token, reply.commands));
     else if (reply.kind === 'redirect') tell(421, redirectAnswer(reply.owner));
     else tell(503, { error: 'not now' });
@@ -42,7 +42,7 @@
 }
 
 /** The same for reports that were read straight from the socket. */
-export function fastReports(parts: Pick<GatewayParts, 'report' | 'log'>): FastHandler {
+export function fastReports(dependencies: Pick<GatewayDependencies, 'report' | 'log'>): FastHandler {
   return (text, answer) => {
     let body: unknown;
     try {
@@ -50,13 +50,13 @@
     } catch {
       body = undefined;
     }
-    answerReport(parts, body, (status, content) => answer(status, JSON.stringify(content)));
+    answerReport(dependencies, body, (status, content) => answer(status, JSON.stringify(content)));
   };
 }
 
 /** The express routes; all that they know is how to speak. */
-export function gateway(parts: GatewayParts): express.Express {
-  const { runs, log } = parts;
+export function gateway(dependencies: GatewayDependencies): express.Express {
+  const { runs, log } = dependencies;
   const app = express();
   app.disable('x-powered-by');
   app.set('etag', false);
@@ -67,7 +67,7 @@
   };
 
   app.post(REPORT_PATH, json, (req: Request, res: Response) => {
-    answerReport(parts, req.body, (status, body) => res.status(status).json(body));
+    answerReport(dependencies, req.body, (status, body) => res.status(status).json(body));
   });
   app.get('/v2/runs/:ref', async (req: Request, res: Response) => {
     const ref = String(req.params['ref']);
@@ -84,10 +84,10 @@
     tell(res, answer);
   });
   app.get('/ready', (_req: Request, res: Response) => {
-    res.status(parts.ready() ? 200 : 503).json({});
+    res.status(dependencies.ready() ? 200 : 503).json({});
   });
   app.get('/status', (_req: Request, res: Response) => {
-    res.json(parts.status());
+    res.json(dependencies.status());
   });
   app.use((_req: Request, res: Response) => {
     res.status(404).json({ error: 'no such path' });
--- a/src/coordination/job.ts
+++ b/src/coordination/job.ts
@@ -15,8 +15,8 @@
   Durable,
 }
 
-/** A job as its part's owner sees it: where each task stands. */
-export class PartJob {
+/** A job as its partition's owner sees it: where each task stands. */
+export class PartitionJob {
   readonly ref: string;
   state: JobState = 'open';
   private readonly tasks: Uint8Array;
@@ -51,7 +51,7 @@
     readonly acceptedAt: number,
     readonly dues: readonly number[],
     progress: JobProgress | null,
-    /** Accepted before we took the part over: its tasks may be on machines that have not spoken yet. */
+    /** Accepted before we took the partition over: its tasks may be on machines that have not spoken yet. */
     suspect: boolean,
     /** When this owner first saw it. */
     readonly readySince: number,
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -18,7 +18,7 @@
   type MachineType,
   type RentalOrder,
 } from '../protocol/cloud';
-import { type MachineLoad, type PartLoad, type PeerMessage } from '../protocol/peers';
+import { type MachineLoad, type PartitionLoad, type PeerMessage } from '../protocol/peers';
 import { type Policy } from '../protocol/policy';
 import { type Settings } from '../protocol/settings';
 import { type Report } from '../protocol/workers';
@@ -32,11 +32,11 @@
 type Message =
   | { kind: 'tick' }
   | { kind: 'changed' }
-  | { kind: 'load'; load: PartLoad; at: number }
+  | { kind: 'load'; load: PartitionLoad; at: number }
   | { kind: 'heard'; member: string; heard: Heard; at: number }
   | { kind: 'unknown-machine'; report: Report }
   | { kind: 'listed'; machines: ListedMachine[]; at: number }
-  | { kind: 'rented'; order: RentalOrder; parts: string[]; answer: HttpAnswer | null }
+  | { kind: 'rented'; order: RentalOrder; partitions: string[]; answer: HttpAnswer | null }
   | { kind: 'returned'; machines: string[]; ok: boolean };
 
 export interface CloudTransport {
@@ -52,7 +52,7 @@
   status: ListedMachine['status'] | null;
   /** When some owner last heard it, as far as this leader was told; null: nobody has since this leader began. */
   heardAt: number | null;
-  /** Since when its part's owner takes it to be at fault. */
+  /** Since when its partition's owner takes it to be at fault. */
   faultySince: number | null;
 }
 
@@ -60,7 +60,7 @@
 /** A long list is read less often. */
 const LIST_MS_PER_MACHINE = 3;
 const SCALE_MS = 500;
-/** Without news of the parts there is little to decide. */
+/** Without news of the partitions there is little to decide. */
 const SCALE_ANYWAY_MS = 2500;
 const RETURN_AT_ONCE = 100;
 const RENT_AT_ONCE = 50;
@@ -77,15 +77,15 @@
 const FLEET_LOG_MS = 10_000;
 const RETRY_MS = 150;
 
-/** The one controller that shares out parts and machines and speaks with the cloud. */
+/** The one controller that shares out partitions and machines and speaks with the cloud. */
 export class Leader extends Actor<Message> {
   private leaderVersion = 0;
   private since = 0;
   private claiming = false;
-  private readonly loads = new Map<string, { load: PartLoad; at: number }>();
+  private readonly loads = new Map<string, { load: PartitionLoad; at: number }>();
   private readonly seen = new Map<string, Seen>();
   private readonly gone = new Set<string>();
-  /** Machines that are being recorded, and for which part. */
+  /** Machines that are being recorded, and for which partition. */
   private readonly recording = new Map<string, string>();
   /** Machines that are gone but still recorded. */
   private readonly ended = new Set<string>();
@@ -94,7 +94,7 @@
   private readonly strangers = new Map<string, { session: number; seq: number }>();
   private scaledAt = Number.NEGATIVE_INFINITY;
   private newLoads = false;
-  /** When this leader first heard of a part under its present owner. */
+  /** When this leader first heard of a partition under its present owner. */
   private readonly takenOver = new Map<string, { version: number; at: number }>();
   private records = 0;
   private readonly returning = new Set<string>();
@@ -161,7 +161,7 @@
         return;
       case 'load': {
         this.newLoads = true;
-        this.loads.set(message.load.part, { load: message.load, at: message.at });
+        this.loads.set(message.load.partition, { load: message.load, at: message.at });
         for (const m of message.load.machines) {
           if (m.silentMs < 0) continue;
           const seen = this.seenOf(m.machine, now);
@@ -188,7 +188,7 @@
     }
   }
 
-  // Leadership and parts.
+  // Leadership and partitions.
 
   private async claim(): Promise<void> {
     if (this.claiming || !this.member.alive() || !this.ledger.synced) return;
@@ -337,11 +337,11 @@
     if (this.forgetting) return;
     this.forgetting = true;
     for (const id of this.ended) if (!this.book.machines.has(id)) this.ended.delete(id);
-    for (const part of this.book.parts.keys()) {
-      const here = [...this.ended].filter((id) => this.book.machines.get(id)?.record.part === part);
+    for (const partition of this.book.partitions.keys()) {
+      const here = [...this.ended].filter((id) => this.book.machines.get(id)?.record.partition === partition);
       if (here.length === 0) continue;
       const changes = new Map(here.map((id) => [id, null]));
-      const edit = editFleet(this.book, part, changes, '', this.settings.store);
+      const edit = editFleet(this.book, partition, changes, '', this.settings.store);
       const result = await this.ledger.txn(edit.conditions, edit.writes, Priority.Decision);
       this.log.info({ machines: edit.ids, result: result.kind }, 'machines gone');
       if (result.kind === 'applied') await this.ledger.caughtUp(result.revision, 2000);
@@ -362,19 +362,19 @@
   }
 
   private adopt(id: string, kind: { type: string; zone: string; spot: boolean }): void {
-    const part = this.neediest();
-    if (!part || this.gone.has(id)) return;
-    this.log.info({ machine: id, part }, 'machine taken in');
+    const partition = this.neediest();
+    if (!partition || this.gone.has(id)) return;
+    this.log.info({ machine: id, partition }, 'machine taken in');
     const { type, zone, spot } = kind;
-    this.recordSoon(id, { part, phase: 'kept', type, zone, spot });
+    this.recordSoon(id, { partition, phase: 'kept', type, zone, spot });
   }
 
-  /** The part with the fewest machines. */
+  /** The partition with the fewest machines. */
   private neediest(): string | null {
-    const counts = new Map([...this.book.parts.keys()].map((id) => [id, 0]));
+    const counts = new Map([...this.book.partitions.keys()].map((id) => [id, 0]));
     for (const { record } of this.book.machines.values())
-      counts.set(record.part, (counts.get(record.part) ?? 0) + 1);
-    for (const part of this.recording.values()) counts.set(part, (counts.get(part) ?? 0) + 1);
+      counts.set(record.partition, (counts.get(record.partition) ?? 0) + 1);
+    for (const partition of this.recording.values()) counts.set(partition, (counts.get(partition) ?? 0) + 1);
     return [...counts].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0] ?? null;
   }
 
@@ -383,7 +383,7 @@
   /** Machines that turn up one by one are recorded together. */
   private recordSoon(id: string, record: MachineRecord): void {
     if (this.recording.has(id)) return;
-    this.recording.set(id, record.part);
+    this.recording.set(id, record.partition);
     this.toRecord.set(id, record);
     if (this.toRecord.size > 1) return;
     this.clock.after(GATHER_RECORDS_MS, () => {
@@ -394,30 +394,30 @@
   }
 
   /**
-   * Writes machines down, each part's in one value. Only the leader's writes are applied, so no machine is ever
+   * Writes machines down, each partition's in one value. Only the leader's writes are applied, so no machine is ever
    * recorded twice: a leader knows all that was recorded before it. Its own tries it repeats until it knows.
    */
   private async record(machines: readonly [string, MachineRecord][]): Promise<void> {
-    const byPart = new Map<string, [string, { record: MachineRecord; version: null }][]>();
+    const byPartition = new Map<string, [string, { record: MachineRecord; version: null }][]>();
     for (const [id, record] of machines) {
-      this.recording.set(id, record.part);
-      const list = byPart.get(record.part) ?? [];
+      this.recording.set(id, record.partition);
+      const list = byPartition.get(record.partition) ?? [];
       list.push([id, { record, version: null }]);
-      byPart.set(record.part, list);
+      byPartition.set(record.partition, list);
     }
     const version = this.leaderVersion;
     const conditions: Condition[] = [{ key: keys.leader, version }];
     const writes: Write[] = [];
-    for (const [part, list] of byPart) {
+    for (const [partition, list] of byPartition) {
       for (let i = 0; i < list.length; i += RECORDS_A_VALUE) {
-        const key = keys.fleet(part, `${version}-${++this.records}`);
+        const key = keys.fleet(partition, `${version}-${++this.records}`);
         conditions.push({ key, version: 0 });
         writes.push({ put: key, value: encodeFleet(list.slice(i, i + RECORDS_A_VALUE)) });
       }
     }
     let result: TxnResult = { kind: 'refused' };
     // Until it is known what became of it, also while our grant lapses for a moment: a try whose answer was lost may still
-    // be carried out, and a machine recorded anew meanwhile would stand in two parts.
+    // be carried out, and a machine recorded anew meanwhile would stand in two partitions.
     while (this.leaderVersion === version && this.book.leader?.version === version) {
       if (this.member.alive()) {
         result = await this.ledger.txn(conditions, writes, Priority.Decision);
@@ -431,20 +431,20 @@
   }
 
   private scaleFleet(now: number): void {
-    const parts = [...this.book.parts.values()];
-    if (parts.length === 0 || this.types.size === 0) return;
+    const partitions = [...this.book.partitions.values()];
+    if (partitions.length === 0 || this.types.size === 0) return;
     this.scaledAt = now;
     this.newLoads = false;
-    const loads = parts
+    const loads = partitions
       .map((p) => this.loads.get(p.id))
-      .filter((l): l is { load: PartLoad; at: number } => l !== undefined && now - l.at < LOAD_FRESH_MS)
+      .filter((l): l is { load: PartitionLoad; at: number } => l !== undefined && now - l.at < LOAD_FRESH_MS)
       .map((l) => l.load);
     if (loads.some((load) => this.settles(load, now))) return;
     const machines: FleetMachine[] = [...this.book.machines].map(([id, { record }]) => {
       const seen = this.seenOf(id, now);
       return {
         id,
-        part: record.part,
+        partition: record.partition,
         type: record.type,
         zone: record.zone,
         spot: record.spot,
@@ -459,9 +459,9 @@
     });
     // Rentals that are not answered or recorded yet count as machines on their way.
     for (const [key, n] of this.rentsInFlight) {
-      const [part, type, zone, spot] = JSON.parse(key) as [string, string, string, boolean];
+      const [partition, type, zone, spot] = JSON.parse(key) as [string, string, string, boolean];
       for (let i = 0; i < n; i++) {
-        const base = { id: '', part, type, zone, spot, returning: false, ageMs: 0, faultyMs: 0 };
+        const base = { id: '', partition, type, zone, spot, returning: false, ageMs: 0, faultyMs: 0 };
         machines.push({ ...base, booting: true, unheardMs: 0, failed: false, movedMs: Infinity });
       }
     }
@@ -474,27 +474,27 @@
       policy: this.policy,
     });
     this.tellFleet(loads, machines, now);
-    const owners = new Map(parts.map((p) => [p.id, p.record.owner]));
-    // Calls are few: machines of a kind are asked for together, whichever parts wait for them.
-    const wanted = new Map<string, { kind: RentalOrder; parts: string[] }>();
+    const owners = new Map(partitions.map((p) => [p.id, p.record.owner]));
+    // Calls are few: machines of a kind are asked for together, whichever partitions wait for them.
+    const wanted = new Map<string, { kind: RentalOrder; partitions: string[] }>();
     for (const action of actions) {
       if (action.kind === 'rent') {
         const key = kindKey(action.order);
         const known = wanted.get(key);
-        if (known) known.parts.push(action.part);
-        else wanted.set(key, { kind: action.order, parts: [action.part] });
+        if (known) known.partitions.push(action.partition);
+        else wanted.set(key, { kind: action.order, partitions: [action.partition] });
       } else if (action.kind === 'move') {
-        const owner = owners.get(action.fromPart);
-        const { machine, toPart, drain } = action;
-        if (toPart !== action.fromPart) this.seenOf(machine, now).movedAt = now;
-        if (owner) this.sendTo(owner, { kind: 'move', machine, toPart, drain });
+        const owner = owners.get(action.fromPartition);
+        const { machine, toPartition, drain } = action;
+        if (toPartition !== action.fromPartition) this.seenOf(machine, now).movedAt = now;
+        if (owner) this.sendTo(owner, { kind: 'move', machine, toPartition, drain });
       } else {
-        const owner = owners.get(action.part);
+        const owner = owners.get(action.partition);
         const { machine, why, force } = action;
         if (owner) this.sendTo(owner, { kind: 'retire', machine, why, force });
       }
     }
-    for (const [key, { kind, parts: takers }] of wanted) {
+    for (const [key, { kind, partitions: takers }] of wanted) {
       // A kind that was sold out before may have a few again: one order tells.
       const most = this.soldOut.has(key) ? RENT_AT_ONCE : ORDERS_A_ROUND * RENT_AT_ONCE;
       for (let i = 0; i < Math.min(most, takers.length) && this.pacer.take(now, 1); i += RENT_AT_ONCE)
@@ -503,22 +503,22 @@
   }
 
   /**
-   * A part that was just taken over: most of its machines have not spoken, so nothing is known of what they lack. To plan
+   * A partition that was just taken over: most of its machines have not spoken, so nothing is known of what they lack. To plan
    * a fleet of hundreds meanwhile would take the time in which its owner, who may be this controller, must answer them.
    */
-  private settles({ part, version, machines, unresolved }: PartLoad, now: number): boolean {
-    const known = this.takenOver.get(part);
-    if (known?.version !== version) this.takenOver.set(part, { version, at: now });
+  private settles({ partition, version, machines, unresolved }: PartitionLoad, now: number): boolean {
+    const known = this.takenOver.get(partition);
+    if (known?.version !== version) this.takenOver.set(partition, { version, at: now });
     const since = known?.version === version ? known.at : now;
     return unresolved > SETTLING_SHARE * machines.length && now - since < SETTLING_MS;
   }
 
   /** The fleet at a glance, for the log. */
-  private tellFleet(loads: readonly PartLoad[], machines: readonly FleetMachine[], now: number): void {
+  private tellFleet(loads: readonly PartitionLoad[], machines: readonly FleetMachine[], now: number): void {
     if (now - this.toldFleetAt < FLEET_LOG_MS) return;
     this.toldFleetAt = now;
-    const parts = loads.map((load) => {
-      const here = machines.filter((m) => m.part === load.part && !m.returning);
+    const partitions = loads.map((load) => {
+      const here = machines.filter((m) => m.partition === load.partition && !m.returning);
       const cpus = here.reduce((sum, m) => sum + (this.types.get(m.type)?.cpus ?? 0), 0);
       const freeOf = (which: (m: MachineLoad) => boolean): number =>
         Math.round(load.machines.filter(which).reduce((sum, m) => sum + m.freeCpus, 0));
@@ -532,7 +532,7 @@
       const waiting = load.demands.map((d) => `${d.tasks}x${d.cpus}@${d.rank}`).join(' ');
       const booting = here.filter((m) => m.booting).length;
       return {
-        part: load.part,
+        partition: load.partition,
         machines: here.length,
         booting,
         cpus,
@@ -541,33 +541,33 @@
         waiting,
       };
     });
-    this.log.info({ parts }, 'fleet');
+    this.log.info({ partitions }, 'fleet');
   }
 
-  /** Asks for one machine of a kind for each of these parts. */
-  private rent(kind: RentalOrder, parts: string[]): void {
-    for (const part of parts) this.countRents(part, kind, 1);
+  /** Asks for one machine of a kind for each of these partitions. */
+  private rent(kind: RentalOrder, partitions: string[]): void {
+    for (const partition of partitions) this.countRents(partition, kind, 1);
     // The leader's version is in no other leader's names, so no name is ever used twice.
     const name = `${this.member.name}-${this.leaderVersion}-${++this.rentals}`;
-    const order = { ...kind, count: parts.length };
+    const order = { ...kind, count: partitions.length };
     void this.cloud.call('POST', '/rentals', rentalBody(name, order), CLOUD_MS).then((answer) => {
-      this.tell({ kind: 'rented', order, parts, answer });
+      this.tell({ kind: 'rented', order, partitions, answer });
     });
   }
 
-  private countRents(part: string, { type, zone, spot }: RentalOrder, n: number): void {
-    const key = JSON.stringify([part, type, zone, spot]);
+  private countRents(partition: string, { type, zone, spot }: RentalOrder, n: number): void {
+    const key = JSON.stringify([partition, type, zone, spot]);
     const left = (this.rentsInFlight.get(key) ?? 0) + n;
     if (left > 0) this.rentsInFlight.set(key, left);
     else this.rentsInFlight.delete(key);
   }
 
   private takeRental(
-    { order, parts, answer }: { order: RentalOrder; parts: string[]; answer: HttpAnswer | null },
+    { order, partitions, answer }: { order: RentalOrder; partitions: string[]; answer: HttpAnswer | null },
     now: number,
   ): void {
     const settle = (): void => {
-      for (const part of parts) this.countRents(part, order, -1);
+      for (const partition of partitions) this.countRents(partition, order, -1);
     };
     const rented = answer?.status === 200 ? parseRental(answer.body) : null;
     this.log.info({ order, status: answer?.status ?? null, rented: rented?.length ?? null }, 'rental');
@@ -581,7 +581,7 @@
     for (const id of machines) this.seenOf(id, now);
     const records = machines.map((id, i): [string, MachineRecord] => [
       id,
-      { part: parts[i % parts.length] ?? '', phase: 'kept', type, zone, spot },
+      { partition: partitions[i % partitions.length] ?? '', phase: 'kept', type, zone, spot },
     ]);
     // Until the records have come round they are still counted as on their way.
     void this.record(records).then(settle);
--- a/src/coordination/machine.ts
+++ b/src/coordination/machine.ts
@@ -60,7 +60,7 @@
   readonly failing = new Map<string, number>();
   /** Some task of some job was done here. */
   proven = false;
-  /** The part that gets the machine once it is empty. */
+  /** The partition that gets the machine once it is empty. */
   leavingTo: string | null = null;
   /** The machine is being moved or returned: nothing new is planned on it. */
   locked = false;
@@ -131,8 +131,8 @@
   }
 
   /** What an answer must carry: larger than any earlier owner's, and larger again whenever we doubt that it hears. */
-  token(partVersion: number): number {
-    return Math.max(partVersion, this.version) * PROBES + this.probe;
+  token(partitionVersion: number): number {
+    return Math.max(partitionVersion, this.version) * PROBES + this.probe;
   }
 
   /** Asks for another proof that it hears us: until then nothing is started there, for starts would only vanish. */
@@ -145,8 +145,8 @@
    * A report newer than those we answered that carries none of our tokens: no answer of ours was taken. So once a lease has
    * passed since the machine is ours, all that an earlier owner had started there is gone, although its reports keep coming.
    */
-  private heardNobody(report: Report, partVersion: number, now: number, leaseMs: number): boolean {
-    const ours = Math.max(partVersion, this.version) * PROBES;
+  private heardNobody(report: Report, partitionVersion: number, now: number, leaseMs: number): boolean {
+    const ours = Math.max(partitionVersion, this.version) * PROBES;
     return report.token < ours && this.leaseOver(this.oursFrom, now, leaseMs);
   }
 
@@ -154,7 +154,7 @@
     return now - from > leaseMs * (1 + 2 * DRIFT) + 500;
   }
 
-  take(report: Report, partVersion: number, now: number, leaseMs: number): ReportOutcome {
+  take(report: Report, partitionVersion: number, now: number, leaseMs: number): ReportOutcome {
     const outcome: ReportOutcome = { exits: [], lost: [], strangers: [] };
     if (report.session > this.session) {
       // A new session begins with nothing: whatever was sent in earlier ones is gone.
@@ -170,11 +170,11 @@
     this.noticeUntil = report.noticeS === null ? null : now + report.noticeS * 1000;
     // Only a worker that has seen our token is past everything that an earlier owner may have told it, and a
     // report that carries the token cannot be a late copy from before.
-    if (report.token >= this.token(partVersion)) {
+    if (report.token >= this.token(partitionVersion)) {
       this.hears = true;
       this.resolved = true;
     }
-    if (this.heardNobody(report, partVersion, now, leaseMs)) this.resolved = true;
+    if (this.heardNobody(report, partitionVersion, now, leaseMs)) this.resolved = true;
     this.exited.clear();
     // Exits first: a start refused as `busy` stands beside the live attempt that it met.
     for (const t of report.tasks) if (t.phase === 'exited') this.takeExit(t, outcome);
--- a/src/coordination/part-actor.ts
+++ b/src/coordination/partition-actor.ts
@@ -13,40 +13,40 @@
   type JobProgress,
   type JobState,
   type MachineRecord,
-  type PartRecord,
+  type PartitionRecord,
 } from '../protocol/records';
 import { type JobSpec } from '../protocol/jobs';
 import { LEAVES_FLEET } from '../protocol/peers';
 import { type Condition, type Write } from '../protocol/store';
 import { type Command, type Report } from '../protocol/workers';
-import { type PartCore } from './part';
+import { type PartitionCore } from './partition';
 
-export type PartMessage =
+export type PartitionMessage =
   | { kind: 'report'; report: Report; reply: (answer: { token: number; commands: Command[] } | null) => void }
   | { kind: 'machine'; id: string; entry: FleetEntry | null }
   | { kind: 'job'; spec: JobSpec; acceptedAt: number; version: number; progress: BookedProgress | null }
   | { kind: 'closed'; ref: string; state: JobState }
   | { kind: 'ended'; spec: JobSpec; version: number; state: JobState }
   | { kind: 'tick' }
-  | { kind: 'move'; machine: string; toPart: string; drain: boolean }
+  | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
   | { kind: 'retire'; machine: string; why: string; force: boolean }
   | { kind: 'handover'; to: string; incarnation: number }
   | { kind: 'recorded'; jobs: ReadonlyMap<string, JobProgress> }
   | { kind: 'opened'; machines: string[] }
   | { kind: 'relent'; machines: string[] };
 
-/** Whether we may act for the part, and keep what its machines run. */
+/** Whether we may act for the partition, and keep what its machines run. */
 export interface Authority {
   alive(): boolean;
   mayRenewLeases(): boolean;
 }
 
-export interface PartActorOptions {
+export interface PartitionActorOptions {
   valueBytes: number;
   txnOps: number;
   writeRate: number;
-  /** How many parts share the state service. */
-  parts: number;
+  /** How many partitions share the state service. */
+  partitions: number;
   progressMs: number;
 }
 
@@ -62,9 +62,9 @@
 /** Between two tries of a change. */
 const RETRY_MS = 150;
 
-/** The thin actor around a part: reports and changes in, commands and writes out. */
-export class PartActor extends Actor<PartMessage> {
-  /** Handed over, or being handed over: nothing is done for this part here any more. */
+/** The thin actor around a partition: reports and changes in, commands and writes out. */
+export class PartitionActor extends Actor<PartitionMessage> {
+  /** Handed over, or being handed over: nothing is done for this partition here any more. */
   released = false;
   private readonly relends = new Map<string, MachineRecord>();
   private relending = false;
@@ -79,16 +79,16 @@
   private settled = false;
 
   constructor(
-    readonly core: PartCore,
-    private readonly record: PartRecord,
+    readonly core: PartitionCore,
+    private readonly record: PartitionRecord,
     private readonly ledger: Ledger,
     private readonly book: Book,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly authority: Authority,
-    private readonly options: PartActorOptions,
+    private readonly options: PartitionActorOptions,
   ) {
-    super((error) => log.error({ error, part: core.id }, 'part failed'));
+    super((error) => log.error({ error, partition: core.id }, 'partition failed'));
     this.slots = new ProgressSlots(options.valueBytes);
     this.since = clock.steady();
   }
@@ -98,10 +98,10 @@
   }
 
   private get mine(): Condition {
-    return { key: keys.part(this.core.id), version: this.core.version };
+    return { key: keys.partition(this.core.id), version: this.core.version };
   }
 
-  protected receive(message: PartMessage): void {
+  protected receive(message: PartitionMessage): void {
     const now = this.clock.steady();
     switch (message.kind) {
       case 'report':
@@ -130,9 +130,9 @@
         if (!this.active) return;
         this.core.tick(now, this.clock.today().getTime());
         this.tellSettled(now);
-        for (const { id, toPart } of this.core.emptied()) {
-          if (toPart === LEAVES_FLEET) this.relend(id, { phase: 'returning', why: 'spare' }, false);
-          else this.relend(id, { part: toPart }, false);
+        for (const { id, toPartition } of this.core.emptied()) {
+          if (toPartition === LEAVES_FLEET) this.relend(id, { phase: 'returning', why: 'spare' }, false);
+          else this.relend(id, { partition: toPartition }, false);
         }
         if (this.relends.size > 0) void this.writeRelends();
         if (this.core.finals.size > 0) void this.writeFinals();
@@ -141,8 +141,8 @@
         return;
       case 'move':
         if (!this.active) return;
-        if (message.drain) this.core.drainTo(message.machine, message.toPart, now);
-        else this.relend(message.machine, { part: message.toPart }, false);
+        if (message.drain) this.core.drainTo(message.machine, message.toPartition, now);
+        else this.relend(message.machine, { partition: message.toPartition }, false);
         return;
       case 'retire':
         if (this.active)
@@ -174,7 +174,7 @@
     this.settled = true;
     const { lost, reports, stale } = this.core.counters;
     const seconds = Math.round((now - this.since) / 100) / 10;
-    this.log.info({ part: this.core.id, seconds, lost, reports, stale }, 'part settled');
+    this.log.info({ partition: this.core.id, seconds, lost, reports, stale }, 'partition settled');
   }
 
   // Ends of jobs.
@@ -205,8 +205,8 @@
 
   /** The least time between two writes of a kind that tasks wait for. */
   private get betweenMs(): number {
-    const { parts, writeRate } = this.options;
-    return Math.max(LEAST_MARKS_MS, (1000 * MARKS_SHARE * parts) / writeRate);
+    const { partitions, writeRate } = this.options;
+    return Math.max(LEAST_MARKS_MS, (1000 * MARKS_SHARE * partitions) / writeRate);
   }
 
   /** Tells the store on which machines tasks are about to be started for the first time. */
@@ -266,7 +266,7 @@
     }
   }
 
-  // Machines that go to another part or back to the cloud.
+  // Machines that go to another partition or back to the cloud.
 
   private relend(id: string, change: Partial<MachineRecord>, force: boolean): void {
     const machine = this.core.machines.get(id);
@@ -319,16 +319,16 @@
   }
 
   /**
-   * Gives the part to another controller: we stop first, then say so. We go on only if no try can be carried out any more:
+   * Gives the partition to another controller: we stop first, then say so. We go on only if no try can be carried out any more:
    * one whose answer was lost may be, seconds later, while we would start tasks that the new owner knows nothing of.
    */
   private async handOver(to: string, incarnation: number): Promise<void> {
     this.released = true;
-    this.log.info({ part: this.core.id, to }, 'handing over');
-    const next: PartRecord = { ...this.record, owner: to, incarnation };
+    this.log.info({ partition: this.core.id, to }, 'handing over');
+    const next: PartitionRecord = { ...this.record, owner: to, incarnation };
     const conditions = [this.mine, { key: keys.member(to), version: incarnation }];
     for (let unsure = false; ;) {
-      const put: Write = { put: keys.part(this.core.id), value: next };
+      const put: Write = { put: keys.partition(this.core.id), value: next };
       const result = await this.ledger.txn(conditions, [put], Priority.Decision);
       const gone = result.kind === 'conflict' && result.failed.includes(this.mine.key);
       if (result.kind === 'applied' || gone) return;
--- a/src/coordination/part.ts
+++ b/src/coordination/partition.ts
@@ -1,19 +1,19 @@
 import { type MachineType } from '../protocol/cloud';
 import { URGENCIES, type JobSpec } from '../protocol/jobs';
-import { LEAVES_FLEET, type PartLoad } from '../protocol/peers';
+import { LEAVES_FLEET, type PartitionLoad } from '../protocol/peers';
 import { type FinalState, type JobProgress, type JobState, type MachineRecord } from '../protocol/records';
 import { type Objective, type Quantity, type Team } from '../protocol/settings';
 import { type Command, type Report, type ReportedTask } from '../protocol/workers';
-import { PartJob } from './job';
+import { PartitionJob } from './job';
 import { MachineState, taskKey, type Exit, type Presumed } from './machine';
-import { partLoad } from './part-load';
-import { PartPipelines } from './pipelines';
+import { partitionLoad } from './partition-load';
+import { PartitionPipelines } from './pipelines';
 import { allows, fits, zoneRoom, type Free } from './placement';
 import { Unresolved } from './unresolved';
 import { inTurn } from './queue';
 import { duesOf, Estimates } from './urgency';
 
-export interface PartOptions {
+export interface PartitionOptions {
   reportMs: number;
   leaseMs: number;
   valueBytes: number;
@@ -24,10 +24,10 @@
 const FAULTY_AFTER = 3;
 const REORDER_MS = 1000;
 const IMAGE_PATIENCE_MS = 30_000;
-/** A task that has run for less than this is not stopped for another part's sake: it would seem never to have begun. */
+/** A task that has run for less than this is not stopped for another partition's sake: it would seem never to have begun. */
 const RUN_BEFORE_STOP_MS = 30_000;
 const ATTEMPTS_PER_INCARNATION = 1_000_000;
-/** Marks are raised ahead of what can start now by this share of the part's machines. */
+/** Marks are raised ahead of what can start now by this share of the partition's machines. */
 const MARK_AHEAD = 0.5;
 /** Of a stored value, what the ranges of one job may take. */
 const RANGES_SHARE = 0.25;
@@ -46,14 +46,14 @@
 }
 
 /**
- * The pure core of a part: the jobs of its teams and the machines lent to it. No tasks of these teams are on
+ * The pure core of a partition: the jobs of its teams and the machines lent to it. No tasks of these teams are on
  * any other machine, so everything that quota, placement and recovery ask is known here. A report costs what its
  * own machine's tasks cost, and a look through the jobs that wait if there is room; never a look at the fleet.
  */
-export class PartCore {
+export class PartitionCore {
   readonly machines = new Map<string, MachineState>();
-  readonly jobs = new Map<string, PartJob>();
-  private queue: PartJob[] = [];
+  readonly jobs = new Map<string, PartitionJob>();
+  private queue: PartitionJob[] = [];
   private queueStale = false;
   private orderedAt = Number.NEGATIVE_INFINITY;
   private today = 0;
@@ -68,20 +68,20 @@
   /** What jobs that are over may still have there. */
   private readonly leftOvers = new Map<string, Quantity>();
   private readonly ended = new Map<string, FinalState>();
-  private readonly pipelines = new PartPipelines();
+  private readonly pipelines = new PartitionPipelines();
   /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
   private slackCpus: number | null = null;
   readonly counters = { started: 0, done: 0, lost: 0, failed: 0, reports: 0, stale: 0, looks: 0 };
 
   constructor(
     readonly id: string,
-    /** Version of the part's record: fences every earlier owner. */
+    /** Version of the partition's record: fences every earlier owner. */
     public readonly version: number,
     teams: readonly Team[],
     readonly types: () => ReadonlyMap<string, MachineType>,
     /** What a job that is not open any more asked for; its tasks may still be on machines. */
     private readonly settled: (ref: string) => JobSpec | undefined,
-    readonly options: PartOptions,
+    readonly options: PartitionOptions,
     /** Machines that tasks may have been started on, as the store knows: nothing starts on any other. */
     private readonly opened: Set<string> = new Set<string>(),
   ) {
@@ -106,12 +106,12 @@
     if (known) {
       known.record = record;
       known.version = version;
-      // Never unlocked here: it may be on its way to another part, and a start now would run there unknown.
+      // Never unlocked here: it may be on its way to another partition, and a start now would run there unknown.
       known.locked ||= record.phase === 'returning';
       return;
     }
-    // Lent to this part after we took it over: it came with nothing on it (see `lock`). The same if no owner of this
-    // part has opened it: most of what boots while a part changes hands would hold up its work for a whole lease.
+    // Lent to this partition after we took it over: it came with nothing on it (see `lock`). The same if no owner of this
+    // partition has opened it: most of what boots while a partition changes hands would hold up its work for a whole lease.
     const clean = version > this.version || !this.opened.has(id);
     const machine = new MachineState(id, record, version, clean, now);
     machine.locked = record.phase === 'returning';
@@ -143,16 +143,16 @@
     if (machine) machine.locked = machine.record.phase === 'returning';
   }
 
-  /** Empties a machine for another part: nothing new is put on it. */
-  drainTo(id: string, part: string, now: number): void {
+  /** Empties a machine for another partition: nothing new is put on it. */
+  drainTo(id: string, partition: string, now: number): void {
     const machine = this.machines.get(id);
     if (!machine || machine.locked) return;
-    machine.leavingTo = part === this.id ? null : part;
+    machine.leavingTo = partition === this.id ? null : partition;
     if (machine.leavingTo === null) return;
     const leavesFleet = machine.leavingTo === LEAVES_FLEET;
     for (const task of machine.tasks.values()) {
       if (task.runningSince === null) continue;
-      // A dear machine is not kept for the sake of tasks that can go on elsewhere from what they saved. For another part's
+      // A dear machine is not kept for the sake of tasks that can go on elsewhere from what they saved. For another partition's
       // sake a task is stopped only if it loses next to nothing by that: there is room for it here, and it has run a while.
       if (leavesFleet) this.saveElsewhere(task);
       else if (now - task.runningSince > RUN_BEFORE_STOP_MS && this.takeSlack(task, now))
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Reserves room for a task that is to go on elsewhere in this part; false: there is none beyond what waits. */
+  /** Reserves room for a task that is to go on elsewhere in this partition; false: there is none beyond what waits. */
   private takeSlack({ spec }: Presumed, now: number): boolean {
     if (!spec || spec.checkpointS <= 0) return false;
     this.slackCpus ??= this.freeCpus(now) - this.waitingCpus();
@@ -185,7 +185,7 @@
   /**
    * Machines that could take tasks once the store knows that they may have some. Names of machines that are not here make
    * room in the store's list, so they are forgotten here as well: one that had been here under an earlier owner came back
-   * from another part and was given tasks, though it was on the list no more, and the next owner took it for empty.
+   * from another partition and was given tasks, though it was on the list no more, and the next owner took it for empty.
    */
   unopened(): string[] {
     for (const id of this.opened) if (!this.machines.has(id)) this.opened.delete(id);
@@ -200,12 +200,12 @@
     for (const id of machines) if (this.machines.has(id)) this.opened.add(id);
   }
 
-  /** Machines that were emptied for another part. */
-  emptied(): { id: string; toPart: string }[] {
+  /** Machines that were emptied for another partition. */
+  emptied(): { id: string; toPartition: string }[] {
     const found = [];
     for (const m of this.machines.values()) {
       if (m.leavingTo !== null && m.tasks.size === 0 && !m.locked)
-        found.push({ id: m.id, toPart: m.leavingTo });
+        found.push({ id: m.id, toPartition: m.leavingTo });
     }
     return found;
   }
@@ -243,7 +243,7 @@
     if (!this.owns(spec.team) || this.jobs.has(spec.ref)) return;
     const suspect = version <= this.version;
     const dues = duesOf(spec, this.options.objectives);
-    const job = new PartJob(spec, acceptedAt, dues, progress, suspect, now);
+    const job = new PartitionJob(spec, acceptedAt, dues, progress, suspect, now);
     this.jobs.set(spec.ref, job);
     this.hidden = null;
     this.pipelines.put(spec, 'open', version);
@@ -260,7 +260,7 @@
     this.walkPipeline(spec.ref);
   }
 
-  /** A job that was over before we took the part: called off, its tasks may still be on machines that are silent. */
+  /** A job that was over before we took the partition: called off, its tasks may still be on machines that are silent. */
   putOver(spec: JobSpec, state: JobState, version: number): void {
     if (this.owns(spec.team) && state !== 'done' && version <= this.version) this.leaves(spec, spec.tasks);
   }
@@ -284,7 +284,7 @@
   }
 
   /** A task of this job was begun and is lost. A plain job runs it again; one that may not be rerun has failed. */
-  private lostTask(job: PartJob): void {
+  private lostTask(job: PartitionJob): void {
     if (job.onceOnly && this.pipelines.interrupt(job.ref)) this.walkPipeline(job.ref);
   }
 
@@ -366,7 +366,7 @@
 
   // Reports.
 
-  /** Takes a worker's report and answers with our token and commands; null: not a machine of this part. */
+  /** Takes a worker's report and answers with our token and commands; null: not a machine of this partition. */
   report(report: Report, now: number): { token: number; commands: Command[] } | null {
     const machine = this.machines.get(report.machine);
     if (!machine) return null;
@@ -437,7 +437,7 @@
     }
   }
 
-  private stopElsewhere(job: PartJob, index: number): void {
+  private stopElsewhere(job: PartitionJob, index: number): void {
     const task = job.out.get(index)?.tasks.get(taskKey(job.ref, index));
     if (task) task.stop = { graceS: 0 };
   }
@@ -471,7 +471,7 @@
    * All tasks are done, and no other attempt of one is still being stopped: what is told as done leaves nothing on any
    * machine, for the next owner counts nothing of it against the team.
    */
-  private endIfDone(job: PartJob): void {
+  private endIfDone(job: PartitionJob): void {
     if (job.finished && job.out.size === 0) this.ended.set(job.ref, 'done');
   }
 
@@ -569,7 +569,7 @@
   }
 
   /** The open jobs in their turn. */
-  sorted(): readonly PartJob[] {
+  sorted(): readonly PartitionJob[] {
     if (!this.queueStale) return this.queue;
     this.queueStale = false;
     let cpus = 1;
@@ -618,19 +618,19 @@
       const rank = queue[from]?.rank;
       let to = from;
       for (; to < queue.length && queue[to]?.rank === rank; to++) {
-        const job = queue[to] as PartJob;
+        const job = queue[to] as PartitionJob;
         if (job.waitingNow(settled) === 0 || !machine.images.has(job.spec.image)) continue;
         if (now - job.readySince < IMAGE_PATIENCE_MS) this.fit(job, machine, free, commands, now);
       }
       for (let i = from; i < to; i++) {
-        const job = queue[i] as PartJob;
+        const job = queue[i] as PartitionJob;
         if (job.waitingNow(settled) > 0) this.fit(job, machine, free, commands, now);
       }
       from = to;
     }
   }
 
-  private fit(job: PartJob, machine: MachineState, free: Free, commands: Command[], now: number): void {
+  private fit(job: PartitionJob, machine: MachineState, free: Free, commands: Command[], now: number): void {
     const { spec } = job;
     let n = fits(free, spec);
     if (n === 0 || job.state !== 'open' || !allows(spec, machine.record)) return;
@@ -660,7 +660,7 @@
     }
   }
 
-  private zonesOf(job: PartJob): Map<string, number> {
+  private zonesOf(job: PartitionJob): Map<string, number> {
     const zones = new Map<string, number>();
     // Not only `out`: a task may also be presumed on a machine where it is being stopped.
     for (const machine of this.machines.values()) {
@@ -693,8 +693,8 @@
     return failures >= FAULTY_AFTER || doubtful >= FAULTY_AFTER;
   }
 
-  load(now: number): PartLoad {
-    return partLoad(this, now);
+  load(now: number): PartitionLoad {
+    return partitionLoad(this, now);
   }
 
   /** Numbers for the operators' status. */
@@ -704,6 +704,6 @@
       return { urgency: name, jobs: jobs.length, waiting: jobs.reduce((n, j) => n + j.waiting, 0) };
     });
     const { size } = this.machines;
-    return { part: this.id, machines: size, unresolved: this.unresolved, byRank, ...this.counters };
+    return { partition: this.id, machines: size, unresolved: this.unresolved, byRank, ...this.counters };
   }
 }
--- a/src/coordination/pipelines.ts
+++ b/src/coordination/pipelines.ts
@@ -121,8 +121,8 @@
   return cause ? (jobs[cause.from]?.spec.ref ?? null) : standsFor;
 }
 
-/** The pipelines of a part, and which of their jobs were interrupted and cannot go on. */
-export class PartPipelines {
+/** The pipelines of a partition, and which of their jobs were interrupted and cannot go on. */
+export class PartitionPipelines {
   private readonly members = new Map<string, Map<string, Member>>();
   private readonly pipelineOf = new Map<string, string>();
   private readonly interrupted = new Set<string>();
--- a/src/coordination/queue.ts
+++ b/src/coordination/queue.ts
@@ -1,5 +1,5 @@
 import { type Objective, type Team } from '../protocol/settings';
-import { type PartJob } from './job';
+import { type PartitionJob } from './job';
 import { effectiveRank, missed, raised, starves, type Estimates } from './urgency';
 
 const STEP_BACK = 4;
@@ -8,7 +8,7 @@
 const SURELY_NEEDED = 0.6;
 
 export interface QueueView {
-  /** Of all the part's machines. */
+  /** Of all the partition's machines. */
   cpus: number;
   estimates: Estimates;
   limits: ReadonlyMap<string, Team>;
@@ -17,10 +17,10 @@
   today: number;
 }
 
-/** A part's open jobs in the order in which they get room; notes with each the urgency that it is placed with. */
-export function inTurn(jobs: readonly PartJob[], view: QueueView): PartJob[] {
+/** A partition's open jobs in the order in which they get room; notes with each the urgency that it is placed with. */
+export function inTurn(jobs: readonly PartitionJob[], view: QueueView): PartitionJob[] {
   const owed = withinGuarantee(jobs, view.limits);
-  const places = new Map<PartJob, { late: number; turn: number }>();
+  const places = new Map<PartitionJob, { late: number; turn: number }>();
   for (const job of jobs) {
     const { spec, dues, acceptedAt } = job;
     const ageS = (view.today - acceptedAt) / 1000;
@@ -35,7 +35,7 @@
     const step = (STEP_BACK * spec.tasks * spec.cpus * expectedS) / view.cpus;
     places.set(job, { late, turn: acceptedAt + 1000 * Math.min(step, MOST_STEP_S) });
   }
-  const of = (job: PartJob): { late: number; turn: number } => places.get(job) ?? { late: 0, turn: 0 };
+  const of = (job: PartitionJob): { late: number; turn: number } => places.get(job) ?? { late: 0, turn: 0 };
   return [...jobs].sort(
     (a, b) =>
       a.rank - b.rank || of(a).late - of(b).late || of(a).turn - of(b).turn || (a.ref < b.ref ? -1 : 1),
@@ -43,8 +43,11 @@
 }
 
 /** Jobs that fit into their team's guarantee together with the team's earlier unfinished ones. */
-function withinGuarantee(jobs: readonly PartJob[], limits: ReadonlyMap<string, Team>): Set<PartJob> {
-  const within = new Set<PartJob>();
+function withinGuarantee(
+  jobs: readonly PartitionJob[],
+  limits: ReadonlyMap<string, Team>,
+): Set<PartitionJob> {
+  const within = new Set<PartitionJob>();
   const taken = new Map<string, number>();
   for (const job of [...jobs].sort((a, b) => a.acceptedAt - b.acceptedAt)) {
     const { team, tasks, cpus } = job.spec;
--- a/src/coordination/reach.ts
+++ b/src/coordination/reach.ts
@@ -1,27 +1,27 @@
-import { type PartLoad, type StrayCount } from '../protocol/peers';
+import { type PartitionLoad, type StrayCount } from '../protocol/peers';
 
 /** For how long a machine that came to the wrong controller counts as stray: it tries the owner, waits 4 s, comes again. */
 const STRAY_MS = 6000;
-/** Of a part's machines, the share that must have come here of late for their reports to be kept waiting. */
+/** Of a partition's machines, the share that must have come here of late for their reports to be kept waiting. */
 const MANY = 0.1;
 const MANY_LATELY_MS = 2000;
 const FEWEST = 2;
 /** An owner is cut off if it has missed reports of this share of its machines while this share came to others. */
 const UNHEARD = 0.8;
 const STRAYS = 0.25;
-/** For this long at least a controller that machines could not reach gets no part. */
+/** For this long at least a controller that machines could not reach gets no partition. */
 const SHUNNED_MS = 20_000;
 /** After this long it gets another chance though it has heard nothing: perhaps nobody had a reason to come. */
 const FORGIVEN_MS = 60_000;
 const HEARD_LATELY_MS = 6000;
 
-/** The machines that came to this controller though another owns their part. */
+/** The machines that came to this controller though another owns their partition. */
 export class Strays {
   private readonly came = new Map<string, Map<string, number>>();
 
-  note(part: string, machine: string, now: number): void {
-    let here = this.came.get(part);
-    if (!here) this.came.set(part, (here = new Map<string, number>()));
+  note(partition: string, machine: string, now: number): void {
+    let here = this.came.get(partition);
+    if (!here) this.came.set(partition, (here = new Map<string, number>()));
     // The order of the map is that in which they came.
     here.delete(machine);
     here.set(machine, now);
@@ -31,19 +31,22 @@
     }
   }
 
-  /** Whether so many of a part's machines come here that their owner may be about to change. */
-  many(part: string, machines: number, now: number): boolean {
-    const lately = this.within(part, MANY_LATELY_MS, now);
+  /** Whether so many of a partition's machines come here that their owner may be about to change. */
+  many(partition: string, machines: number, now: number): boolean {
+    const lately = this.within(partition, MANY_LATELY_MS, now);
     return lately >= FEWEST && lately >= MANY * machines;
   }
 
   counts(now: number): StrayCount[] {
-    return [...this.came.keys()].map((part) => ({ part, machines: this.within(part, STRAY_MS, now) }));
+    return [...this.came.keys()].map((partition) => ({
+      partition,
+      machines: this.within(partition, STRAY_MS, now),
+    }));
   }
 
-  private within(part: string, ms: number, now: number): number {
+  private within(partition: string, ms: number, now: number): number {
     let n = 0;
-    for (const at of this.came.get(part)?.values() ?? []) if (now - at <= ms) n++;
+    for (const at of this.came.get(partition)?.values() ?? []) if (now - at <= ms) n++;
     return n;
   }
 }
@@ -57,7 +60,7 @@
 
 /**
  * How well machines reach the controllers, as the leader sees it. An owner that is cut from its machines alone keeps its
- * grant and its parts; the others would go on sending its machines back to it until all their leases have run out.
+ * grant and its partitions; the others would go on sending its machines back to it until all their leases have run out.
  */
 export class Reach {
   private readonly told = new Map<string, Heard & { at: number }>();
@@ -77,12 +80,12 @@
   }
 
   /**
-   * To whom a part should go because its machines reach others and not its owner; null: it stays. Machines that are
+   * To whom a partition should go because its machines reach others and not its owner; null: it stays. Machines that are
    * gone come to nobody, so their silence moves nothing.
    */
   better(
     owner: string,
-    load: PartLoad,
+    load: PartitionLoad,
     reportMs: number,
     others: readonly string[],
     now: number,
@@ -97,7 +100,7 @@
     const straysAt = (member: string): number => {
       const told = this.told.get(member);
       if (!told || now - told.at > HEARD_LATELY_MS) return 0;
-      return told.strays.find((s) => s.part === load.part)?.machines ?? 0;
+      return told.strays.find((s) => s.partition === load.partition)?.machines ?? 0;
     };
     const reached = others.filter((m) => m !== owner && !this.avoided(m) && straysAt(m) > 0);
     const sum = reached.reduce((n, m) => n + straysAt(m), 0);
--- a/src/coordination/runs.ts
+++ b/src/coordination/runs.ts
@@ -34,7 +34,7 @@
 const MAX_PENDING = 300;
 
 /**
- * What users ask for. Any controller answers it from the store's picture alone, so no part's owner needs to be
+ * What users ask for. Any controller answers it from the store's picture alone, so no partition's owner needs to be
  * alive for it. An answer that is not final is given only once the replica is no older than the question.
  */
 export class Runs {
@@ -139,11 +139,11 @@
       );
       if (result.kind === 'applied') {
         this.counters.cancelled++;
-        // Before the user hears of it: from now on a promise of ours must tell it, and our own parts must know.
+        // Before the user hears of it: from now on a promise of ours must tell it, and our own partitions must know.
         this.book.learnCancelled(ref, result.revision);
         return { status: 200, body: { ref, status: 'aborted' } };
       }
-      // Some job of the part ended between reading and writing: look again.
+      // Some job of the partition ended between reading and writing: look again.
       if (result.kind !== 'conflict') break;
     }
     return this.failed('no durable answer in time');
@@ -151,14 +151,14 @@
 
   /** What must hold for a job to be cancelled: nobody did so yet, and nobody wrote down that it has ended. */
   private stillOpen(job: BookedJob): Condition[] | null {
-    const part = this.book.partOfTeam(job.spec.team)?.id;
-    if (part === undefined) return null;
-    const last = this.book.lastFinal(part);
-    const current = keys.final(part, last);
+    const partition = this.book.partitionOfTeam(job.spec.team)?.id;
+    if (partition === undefined) return null;
+    const last = this.book.lastFinal(partition);
+    const current = keys.final(partition, last);
     return [
       { key: keys.cancel(job.spec.ref), version: 0 },
       { key: current, version: this.ledger.version(current) },
-      { key: keys.final(part, last + 1), version: 0 },
+      { key: keys.final(partition, last + 1), version: 0 },
     ];
   }
 
--- a/src/coordination/server.ts
+++ b/src/coordination/server.ts
@@ -8,7 +8,7 @@
 import { type Policy } from '../protocol/policy';
 import { type Settings } from '../protocol/settings';
 import { Controller } from './controller';
-import { BODY_LIMIT, fastReports, gateway, REPORT_PATH, type GatewayParts } from './gateway';
+import { BODY_LIMIT, fastReports, gateway, REPORT_PATH, type GatewayDependencies } from './gateway';
 
 const STORE_CONNECTIONS = 12;
 const WATCH_CONNECTIONS = 2;
@@ -24,17 +24,17 @@
     toPeer: (member, bytes) => links.get(member)?.send(bytes),
     life: `${settings.member}-${randomUUID().slice(0, 8)}`,
   });
-  const parts: GatewayParts = {
+  const dependencies: GatewayDependencies = {
     runs: controller.runs,
     report: (report, reply) => controller.report(report, reply),
     ready: () => controller.ready(),
     status: () => controller.status(),
     log,
   };
-  const general = createServer(gateway(parts));
+  const general = createServer(gateway(dependencies));
   general.keepAliveTimeout = 120_000;
   general.requestTimeout = 0;
-  const front = serveFront(REPORT_PATH, fastReports(parts), general, BODY_LIMIT);
+  const front = serveFront(REPORT_PATH, fastReports(dependencies), general, BODY_LIMIT);
   front.on('error', (error) => log.error({ error }, 'cannot listen'));
   const users = split(settings.listen);
   front.listen(users.port, users.host, BACKLOG);
--- a/src/coordination/truce.ts
+++ b/src/coordination/truce.ts
@@ -18,12 +18,12 @@
  * others' once went on with tasks that their users had called off through them.
  */
 export class Truce {
-  /** What we promised: until when we leave a member's parts alone. */
+  /** What we promised: until when we leave a member's partitions alone. */
   private readonly given = new Map<string, number>();
   /** What was promised to us. */
   private readonly received = new Map<string, { until: number; askedAt: number }>();
   /** Pages of promises that have not come whole. */
-  private readonly parts = new Map<string, { seq: number; pages: Set<number> }>();
+  private readonly pages = new Map<string, { seq: number; pages: Set<number> }>();
   private readonly asked = new Map<number, number>();
   private seq = 0;
 
@@ -51,9 +51,9 @@
 
   /** Whether all pages of this answer have come; those of earlier ones are dropped. */
   private whole(peer: string, seq: number, page: number, pages: number): boolean {
-    let come = this.parts.get(peer);
+    let come = this.pages.get(peer);
     if (come && come.seq > seq) return false;
-    if (come?.seq !== seq) this.parts.set(peer, (come = { seq, pages: new Set() }));
+    if (come?.seq !== seq) this.pages.set(peer, (come = { seq, pages: new Set() }));
     come.pages.add(page);
     return come.pages.size === pages;
   }
@@ -72,7 +72,7 @@
     return true;
   }
 
-  /** Whether a dead member's parts may be given to others as far as our own promises go. */
+  /** Whether a dead member's partitions may be given to others as far as our own promises go. */
   mayTakeFrom(member: string, now: number): boolean {
     if (now < this.startedAt + PROMISE_MS * (1 + 2 * DRIFT)) return false;
     return now >= (this.given.get(member) ?? Number.NEGATIVE_INFINITY);
--- a/src/coordination/unresolved.ts
+++ b/src/coordination/unresolved.ts
@@ -2,7 +2,7 @@
 import { type Free } from './placement';
 
 /**
- * What may be on the machines that have not spoken since a part was taken over. Kept up to date by differences: a
+ * What may be on the machines that have not spoken since a partition was taken over. Kept up to date by differences: a
  * take-over hears hundreds of first reports, and to look through all machines at each costs the square of the fleet,
  * at the very time when the leases of those not answered yet run out.
  */
--- a/src/main.ts
+++ b/src/main.ts
@@ -39,7 +39,7 @@
 function start(options: ServiceOptions): void {
   const { settings, policy } = read(options);
   const log = openLog(settings.member);
-  // What gets here is a defect; the process goes on, for its part would stand still without it.
+  // What gets here is a defect; the process goes on, for its partition would stand still without it.
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught'));
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled'));
   const teams = settings.teams.map((t) => `${t.name} ${t.guaranteed.cpus}/${t.limit.cpus}`).join(', ');
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -17,7 +17,7 @@
   seconds: number;
 }
 
-/** How a part's owner sees one of its machines. */
+/** How a partition's owner sees one of its machines. */
 export interface MachineLoad {
   machine: string;
   tasks: number;
@@ -29,17 +29,17 @@
   silentMs: number;
   faulty: boolean;
   noticed: boolean;
-  /** The part that gets it once it is empty, LEAVES_FLEET if the cloud does, or null. */
+  /** The partition that gets it once it is empty, LEAVES_FLEET if the cloud does, or null. */
   leavingTo: string | null;
   /** Seconds until its last task is expected to end. */
   emptyInS: number;
 }
 
-/** Stands for a part where an emptied machine is to go back to the cloud. */
+/** Stands for a partition where an emptied machine is to go back to the cloud. */
 export const LEAVES_FLEET = '';
 
-export interface PartLoad {
-  part: string;
+export interface PartitionLoad {
+  partition: string;
   version: number;
   demands: Demand[];
   machines: MachineLoad[];
@@ -53,9 +53,9 @@
   quietS: number;
 }
 
-/** How many machines of a part came to a controller that does not own it. */
+/** How many machines of a partition came to a controller that does not own it. */
 export interface StrayCount {
-  part: string;
+  partition: string;
   machines: number;
 }
 
@@ -66,7 +66,7 @@
       seq: number;
       storeOk: boolean;
       incarnation: number;
-      parts: PartLoad[];
+      partitions: PartitionLoad[];
       strays: StrayCount[];
       /** Time since the sender last heard any machine, -1: never. */
       heardMs: number;
@@ -89,11 +89,11 @@
     }
   /**
    * `drain`: the machine may be in use; nothing new is to be put on it, and it moves once it is empty. Naming
-   * the part where it is takes that back.
+   * the partition where it is takes that back.
    */
-  | { kind: 'move'; machine: string; toPart: string; drain: boolean }
+  | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
   | { kind: 'retire'; machine: string; why: string; force: boolean }
-  | { kind: 'handover'; part: string; to: string };
+  | { kind: 'handover'; partition: string; to: string };
 
 function record(name: string, fields: Record<string, unknown>): object {
   return {
@@ -128,9 +128,9 @@
   ...{ idleMs: amount, silentMs: amount, faulty: 'boolean', noticed: 'boolean', leavingTo: ['null', text] },
   emptyInS: amount,
 });
-const partType = record('PartLoad', {
+const partitionType = record('PartitionLoad', {
   ...{
-    part: text,
+    partition: text,
     version: 'long',
     workLeft: listOf(amount),
     backlog: listOf(amount),
@@ -139,10 +139,16 @@
   },
   ...{ demands: listOf(demandType), machines: listOf(machineType) },
 });
-const strayType = record('StrayCount', { part: text, machines: 'int' });
+const strayType = record('StrayCount', { partition: text, machines: 'int' });
 const messages: Record<PeerMessage['kind'], Record<string, unknown>> = {
   status: {
-    ...{ member: text, seq: 'long', storeOk: 'boolean', incarnation: 'long', parts: listOf(partType) },
+    ...{
+      member: text,
+      seq: 'long',
+      storeOk: 'boolean',
+      incarnation: 'long',
+      partitions: listOf(partitionType),
+    },
     ...{ strays: listOf(strayType), heardMs: amount, revision: 'long' },
   },
   // New fields come last: a frame of an earlier version is then cut short for us, and ours too long for it.
@@ -150,9 +156,9 @@
     ...{ member: text, seq: 'long', storeOk: 'boolean', promised: 'boolean', page: 'int', pages: 'int' },
     cancelled: listOf(record('Cancellation', { job: text, version: 'long' })),
   },
-  move: { machine: text, toPart: text, drain: 'boolean' },
+  move: { machine: text, toPartition: text, drain: 'boolean' },
   retire: { machine: text, why: text, force: 'boolean' },
-  handover: { part: text, to: text },
+  handover: { partition: text, to: text },
 };
 const type = avro.Type.forSchema(
   Object.entries(messages).map(([kind, fields]) => record(kind, fields)) as unknown as avro.Schema,
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -11,25 +11,25 @@
   member: (member: string): string => `${PREFIX}member/${member}`,
   leader: `${PREFIX}leader`,
   catalog: `${PREFIX}catalog`,
-  part: (part: string): string => `${PREFIX}part/${part}`,
+  partition: (partition: string): string => `${PREFIX}part/${partition}`,
   /** Jobs accepted together; written once, never changed. */
   batch: (name: string): string => `${PREFIX}batch/${name}`,
   /** Present once the job's user has cancelled it; written once. */
   cancel: (ref: string): string => `${PREFIX}cancel/${ref}`,
-  /** How jobs of a part ended; filled one after the other. */
-  final: (part: string, n: number): string => `${PREFIX}final/${part}/${n}`,
-  /** Progress of a part's open jobs. */
-  progress: (part: string, n: number): string => `${PREFIX}progress/${part}/${n}`,
-  /** Machines of a part that tasks may have been started on: told before the first start. */
-  opened: (part: string, n: number): string => `${PREFIX}opened/${part}/${n}`,
-  /** Machines of a part. */
-  fleet: (part: string, name: string): string => `${PREFIX}fleet/${part}/${name}`,
+  /** How jobs of a partition ended; filled one after the other. */
+  final: (partition: string, n: number): string => `${PREFIX}final/${partition}/${n}`,
+  /** Progress of a partition's open jobs. */
+  progress: (partition: string, n: number): string => `${PREFIX}progress/${partition}/${n}`,
+  /** Machines of a partition that tasks may have been started on: told before the first start. */
+  opened: (partition: string, n: number): string => `${PREFIX}opened/${partition}/${n}`,
+  /** Machines of a partition. */
+  fleet: (partition: string, name: string): string => `${PREFIX}fleet/${partition}/${name}`,
   /** Never written: asking for it tells the store's revision. */
   nothing: `${PREFIX}nothing`,
 };
 
-/** The kinds of keys that hold a part's name, and that name. */
-export function partOfKey(key: string): string {
+/** The kinds of keys that hold a partition's name, and that name. */
+export function partitionOfKey(key: string): string {
   return key.split('/')[2] ?? '';
 }
 
@@ -38,8 +38,8 @@
   member: string;
 }
 
-/** A part: teams that one controller looks after. Its version fences all earlier owners. */
-export interface PartRecord {
+/** A partition: teams that one controller looks after. Its version fences all earlier owners. */
+export interface PartitionRecord {
   teams: string[];
   owner: string;
   incarnation: number;
@@ -47,7 +47,7 @@
 
 /** `returning`: nothing new is started on it and the leader gives it back to the cloud. */
 export interface MachineRecord {
-  part: string;
+  partition: string;
   phase: 'kept' | 'returning';
   type: string;
   zone: string;
@@ -56,7 +56,7 @@
   why?: string;
 }
 
-/** A machine as its part's value has it. */
+/** A machine as its partition's value has it. */
 export interface FleetEntry {
   record: MachineRecord;
   /** Revision at which it came to stand as it does. */
@@ -184,7 +184,7 @@
 );
 type FleetGroup = z.infer<typeof fleetSchema>[number];
 
-/** Machines of a part, those that are alike in one group. `version` null: changed by this write. */
+/** Machines of a partition, those that are alike in one group. `version` null: changed by this write. */
 export function encodeFleet(
   machines: Iterable<readonly [string, { record: MachineRecord; version: number | null }]>,
 ): FleetGroup[] {
@@ -205,12 +205,23 @@
   return [...groups.values()];
 }
 
-export function decodeFleet(part: string, value: unknown, version: number): Map<string, FleetEntry> | null {
+export function decodeFleet(
+  partition: string,
+  value: unknown,
+  version: number,
+): Map<string, FleetEntry> | null {
   const read = fleetSchema.safeParse(value);
   if (!read.success) return null;
   const machines = new Map<string, FleetEntry>();
   for (const { since, type, zone, spot, phase, why, ids } of read.data) {
-    const record: MachineRecord = { part, phase, type, zone, spot, ...(why === undefined ? {} : { why }) };
+    const record: MachineRecord = {
+      partition,
+      phase,
+      type,
+      zone,
+      spot,
+      ...(why === undefined ? {} : { why }),
+    };
     for (const id of ids) machines.set(id, { record, version: since ?? version });
   }
   return machines;
--- a/src/storage/book.ts
+++ b/src/storage/book.ts
@@ -7,13 +7,13 @@
   decodeOpened,
   decodeProgress,
   keys,
-  partOfKey,
+  partitionOfKey,
   PREFIX,
   type FleetEntry,
   type JobProgress,
   type JobState,
   type MemberRecord,
-  type PartRecord,
+  type PartitionRecord,
 } from '../protocol/records';
 import { type JobSpec } from '../protocol/jobs';
 import { type MachineType } from '../protocol/cloud';
@@ -29,9 +29,9 @@
   state: JobState;
 }
 
-export interface BookedPart {
+export interface BookedPartition {
   id: string;
-  record: PartRecord;
+  record: PartitionRecord;
   version: number;
 }
 
@@ -45,11 +45,11 @@
   | { kind: 'job'; job: BookedJob }
   | { kind: 'closed'; job: BookedJob }
   | { kind: 'machine'; id: string; entry: FleetEntry }
-  | { kind: 'gone'; id: string; part: string }
+  | { kind: 'gone'; id: string; partition: string }
   | { kind: 'members' };
 
 export interface BookedProgress extends JobProgress {
-  /** The number of its part's progress value that it stands in. */
+  /** The number of its partition's progress value that it stands in. */
   slot: number;
 }
 
@@ -59,7 +59,7 @@
 }
 
 /**
- * What the replica says, in the project's own words and by name: jobs, machines, parts, members. Every change is
+ * What the replica says, in the project's own words and by name: jobs, machines, partitions, members. Every change is
  * read once; whoever asks finds what is wanted without looking through the rest.
  */
 export class Book {
@@ -68,7 +68,7 @@
   /** The jobs of each pipeline. */
   readonly pipelines = new Map<string, BookedJob[]>();
   readonly machines = new Map<string, BookedMachine>();
-  readonly parts = new Map<string, BookedPart>();
+  readonly partitions = new Map<string, BookedPartition>();
   /** Controllers whose grants live, with their incarnations. */
   readonly members = new Map<string, number>();
   leader: { member: string; version: number } | null = null;
@@ -77,10 +77,10 @@
   /** Jobs that their users called off, with the revision of that. */
   private readonly cancelled = new Map<string, number>();
   private readonly progress = new Map<string, BookedProgress>();
-  /** Machines that a part may have started tasks on, by key. */
+  /** Machines that a partition may have started tasks on, by key. */
   private readonly opened = new Map<string, readonly string[]>();
   /** Machines that left the value in which they stood, until the replica is whole again. */
-  private readonly vanished = new Map<string, { key: string; part: string }>();
+  private readonly vanished = new Map<string, { key: string; partition: string }>();
   private readonly fleets = new Map<string, Map<string, FleetEntry>>();
 
   constructor(
@@ -95,22 +95,23 @@
     return this.progress.get(ref) ?? null;
   }
 
-  /** The part that looks after a team, once the parts are known. */
-  partOfTeam(team: string): BookedPart | null {
-    for (const part of this.parts.values()) if (part.record.teams.includes(team)) return part;
+  /** The partition that looks after a team, once the partitions are known. */
+  partitionOfTeam(team: string): BookedPartition | null {
+    for (const partition of this.partitions.values())
+      if (partition.record.teams.includes(team)) return partition;
     return null;
   }
 
   /** The number of the value that how jobs end is written to now, 0 at first. */
-  lastFinal(part: string): number {
+  lastFinal(partition: string): number {
     let n = 0;
-    while (this.ledger.entries.has(keys.final(part, n + 1))) n++;
+    while (this.ledger.entries.has(keys.final(partition, n + 1))) n++;
     return n;
   }
 
-  /** The keys that hold a part's machines. */
-  fleetOf(part: string): [string, ReadonlyMap<string, FleetEntry>][] {
-    return [...this.fleets].filter(([key]) => partOfKey(key) === part);
+  /** The keys that hold a partition's machines. */
+  fleetOf(partition: string): [string, ReadonlyMap<string, FleetEntry>][] {
+    return [...this.fleets].filter(([key]) => partitionOfKey(key) === partition);
   }
 
   fleet(key: string): ReadonlyMap<string, FleetEntry> {
@@ -121,9 +122,9 @@
     return this.opened.get(key) ?? [];
   }
 
-  /** The machines that owners of this part may have started tasks on. */
-  openedBy(part: string): Set<string> {
-    return new Set([...this.opened].flatMap(([key, ids]) => (partOfKey(key) === part ? ids : [])));
+  /** The machines that owners of this partition may have started tasks on. */
+  openedBy(partition: string): Set<string> {
+    return new Set([...this.opened].flatMap(([key, ids]) => (partitionOfKey(key) === partition ? ids : [])));
   }
 
   /**
@@ -168,9 +169,9 @@
       case 'fleet':
         return this.takeFleet(change.key, value, change.version);
       case 'part': {
-        const id = partOfKey(change.key);
-        if (value === null) this.parts.delete(id);
-        else this.parts.set(id, { id, record: value as PartRecord, version: change.version });
+        const id = partitionOfKey(change.key);
+        if (value === null) this.partitions.delete(id);
+        else this.partitions.set(id, { id, record: value as PartitionRecord, version: change.version });
         return;
       }
       case 'member': {
@@ -230,8 +231,8 @@
   }
 
   private takeFleet(key: string, value: unknown, version: number): void {
-    const part = partOfKey(key);
-    const now = value === null ? new Map<string, FleetEntry>() : decodeFleet(part, value, version);
+    const partition = partitionOfKey(key);
+    const now = value === null ? new Map<string, FleetEntry>() : decodeFleet(partition, value, version);
     if (!now) return this.malformed(key);
     const before = this.fleets.get(key);
     if (now.size > 0) this.fleets.set(key, now);
@@ -244,7 +245,7 @@
       if (known?.version !== entry.version) this.events.next({ kind: 'machine', id, entry });
     }
     for (const id of before?.keys() ?? [])
-      if (!now.has(id) && this.machines.get(id)?.key === key) this.vanished.set(id, { key, part });
+      if (!now.has(id) && this.machines.get(id)?.key === key) this.vanished.set(id, { key, partition });
   }
 
   /**
@@ -253,10 +254,10 @@
    * elsewhere now was taken for gone, and its tasks were started a second time.
    */
   private tellVanished(): void {
-    for (const [id, { key, part }] of this.vanished) {
+    for (const [id, { key, partition }] of this.vanished) {
       if (this.machines.get(id)?.key !== key || this.fleets.get(key)?.has(id)) continue;
       this.machines.delete(id);
-      this.events.next({ kind: 'gone', id, part });
+      this.events.next({ kind: 'gone', id, partition });
     }
     this.vanished.clear();
   }
--- a/src/storage/fleets.ts
+++ b/src/storage/fleets.ts
@@ -21,14 +21,14 @@
 const ID_BYTES = 4;
 
 /**
- * Changes many machines of a part with few changes of the store: rewrites the values in which they stand, and puts
- * those that go to another part into a new value there, named `name`. Machines that stay as they are keep the
+ * Changes many machines of a partition with few changes of the store: rewrites the values in which they stand, and puts
+ * those that go to another partition into a new value there, named `name`. Machines that stay as they are keep the
  * revision at which they came to stand so, for tokens and the proof that a machine came empty hang on it. null:
  * the machine is gone.
  */
 export function editFleet(
   book: Book,
-  part: string,
+  partition: string,
   changes: ReadonlyMap<string, MachineRecord | null>,
   name: string,
   limits: FleetLimits,
@@ -39,9 +39,9 @@
   let bytes = limits.valueBytes * EDIT_SHARE;
   for (const [id, change] of changes) {
     const machine = book.machines.get(id);
-    if (!machine || machine.record.part !== part) continue;
+    if (!machine || machine.record.partition !== partition) continue;
     const keysAfter = touched.size + (touched.has(machine.key) ? 0 : 1);
-    const goesTo = change !== null && change.part !== part ? change.part : null;
+    const goesTo = change !== null && change.partition !== partition ? change.partition : null;
     const targetsAfter = targets.size + (goesTo === null || targets.has(goesTo) ? 0 : 1);
     bytes -= id.length + ID_BYTES;
     if (keysAfter + targetsAfter > limits.txnOps || bytes < 0) break;
@@ -57,7 +57,7 @@
   const writes: Write[] = [];
   const rest = [...touched].map((key) => ({
     key,
-    machines: remaining(book.fleet(key), part, changes, edited),
+    machines: remaining(book.fleet(key), partition, changes, edited),
   }));
   const together = encodeFleet(rest.flatMap((r) => r.machines));
   // Values that are rewritten anyway become one, so that later edits touch fewer.
@@ -76,7 +76,7 @@
 
 function remaining(
   fleet: ReadonlyMap<string, FleetEntry>,
-  part: string,
+  partition: string,
   changes: ReadonlyMap<string, MachineRecord | null>,
   edited: ReadonlySet<string>,
 ): [string, Standing][] {
@@ -84,7 +84,7 @@
   for (const [id, entry] of fleet) {
     const change = edited.has(id) ? changes.get(id) : undefined;
     if (change === undefined) kept.push([id, entry]);
-    else if (change?.part === part) kept.push([id, { record: change, version: null }]);
+    else if (change?.partition === partition) kept.push([id, { record: change, version: null }]);
   }
   return kept;
 }
--- a/src/storage/ledger.ts
+++ b/src/storage/ledger.ts
@@ -119,7 +119,7 @@
     private readonly measures = new Measures(),
   ) {
     // The limits are shared by all controllers without their speaking about it. Load is uneven, so each may
-    // use more than its even part; a 429 empties the bucket, which brings the sum back under the limit.
+    // use more than its even partition; a 429 empties the bucket, which brings the sum back under the limit.
     const share = Math.min(1, 1.8 / options.controllers);
     this.requests = new Pacer(options.requestRate * share, options.requestRate * share);
     this.writes = new Pacer(options.writeRate * share, options.writeRate * share);
@@ -248,7 +248,7 @@
   }
 
   /**
-   * Pages are read one after the other, so later ones may show what came after the earlier ones were read: a part that was
+   * Pages are read one after the other, so later ones may show what came after the earlier ones were read: a partition that was
    * given to us meanwhile, without the machines opened and the marks raised before that. The picture is whole, and told
    * as such, once the watch has brought all of it to the newest page's revision.
    */
--- a/src/storage/opened.ts
+++ b/src/storage/opened.ts
@@ -10,18 +10,18 @@
 }
 
 /**
- * Adds machines to what the store says of a part's opened ones, with one change. Machines that are gone make room for
+ * Adds machines to what the store says of a partition's opened ones, with one change. Machines that are gone make room for
  * them, so the list stays as long as the fleet is large.
  */
 export function openMachines(
   book: Book,
-  part: string,
+  partition: string,
   machines: readonly string[],
   lives: (id: string) => boolean,
   valueBytes: number,
 ): OpenedEdit {
   for (let n = 0; ; n++) {
-    const key = keys.opened(part, n);
+    const key = keys.opened(partition, n);
     const value = book.openedIn(key).filter(lives);
     const ids: string[] = [];
     let bytes = JSON.stringify(value).length;
--- a/test/book.test.ts
+++ b/test/book.test.ts
@@ -14,7 +14,7 @@
   ...{ image: 'i', imageGb: 1, types: ['small'], zone: 'a', together: true, apart: false, spot: true },
   ...{ expectedS: 30, checkpointS: 5, saveS: 1, deadlineS: 90, pipeline: null },
 };
-const kind: MachineRecord = { part: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
+const kind: MachineRecord = { partition: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
 
 /** A book that is told changes as the watch would. */
 class Told {
@@ -73,9 +73,11 @@
     return this.change(keys.batch(name), value, version ?? ++this.revision);
   }
 
-  fleet(part: string, name: string, ids: string[], change: Partial<MachineRecord> = {}): this {
-    const machines = ids.map((id) => [id, { record: { ...kind, part, ...change }, version: null }] as const);
-    return this.change(keys.fleet(part, name), encodeFleet(machines));
+  fleet(partition: string, name: string, ids: string[], change: Partial<MachineRecord> = {}): this {
+    const machines = ids.map(
+      (id) => [id, { record: { ...kind, partition, ...change }, version: null }] as const,
+    );
+    return this.change(keys.fleet(partition, name), encodeFleet(machines));
   }
 }
 
@@ -120,7 +122,7 @@
           w.fleet('p0', 'x', [m]);
           if (order === 0) w.fleet('p1', m, [m]).gone(keys.fleet('p0', 'x'));
           else w.gone(keys.fleet('p0', 'x')).fleet('p1', m, [m]);
-          assert.equal(w.book.machines.get(m)?.record.part, 'p1');
+          assert.equal(w.book.machines.get(m)?.record.partition, 'p1');
         }
       },
     ],
@@ -159,7 +161,7 @@
       'many machines move with two changes, and their values become one',
       (w) => {
         w.fleet('p0', 'x', ['i-1', 'i-2']).fleet('p0', 'y', ['i-3', 'i-4']);
-        const moved = new Map(['i-1', 'i-3'].map((id) => [id, { ...kind, part: 'p1' }]));
+        const moved = new Map(['i-1', 'i-3'].map((id) => [id, { ...kind, partition: 'p1' }]));
         const { ids, writes } = editFleet(w.book, 'p0', moved, 'n', { valueBytes: 4096, txnOps: 12 });
         assert.deepEqual(ids, ['i-1', 'i-3']);
         assert.deepEqual(
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PartJob } from '../src/coordination/job';
+import { PartitionJob } from '../src/coordination/job';
 import { MachineState } from '../src/coordination/machine';
 import { Member } from '../src/coordination/member';
-import { PartCore } from '../src/coordination/part';
+import { PartitionCore } from '../src/coordination/partition';
 import { Reach } from '../src/coordination/reach';
 import { Truce } from '../src/coordination/truce';
 import { decodePeer, encodePeer } from '../src/protocol/peers';
@@ -20,12 +20,12 @@
   leading: boolean;
   revision: number;
   store: { requests: number; writes: number };
-  parts: { reports: number; looks: number; started: number }[];
+  partitions: { reports: number; looks: number; started: number }[];
 }
 
-/** A controller that owns a part, if there is any. */
+/** A controller that owns a partition, if there is any. */
 function anOwner(w: World): World['nodes'][number] {
-  const owners = w.nodes.filter((n) => n.up && (n.controller?.status() as Status).parts.length > 0);
+  const owners = w.nodes.filter((n) => n.up && (n.controller?.status() as Status).partitions.length > 0);
   return (owners[w.pick(Math.max(1, owners.length))] ?? w.nodes[0]) as World['nodes'][number];
 }
 
@@ -174,8 +174,9 @@
   // One change for each job and machine would be several times as many.
   const changes = sum((s) => s.store.writes);
   assert.ok(changes < 6.5 * seconds, `${changes} changes`);
-  for (const { parts } of status)
-    for (const part of parts) assert.ok(part.looks <= part.reports, 'at most one look for work a report');
+  for (const { partitions } of status)
+    for (const partition of partitions)
+      assert.ok(partition.looks <= partition.reports, 'at most one look for work a report');
 });
 
 /** A day whose one kind of trouble, again and again, is what a guard is there for. */
@@ -196,7 +197,7 @@
   w.nodes.forEach((_, i) => w.crash(i, 1000));
 }
 
-/** An owner of a part does not hear its machines, nor they it, while all else works. */
+/** An owner of a partition does not hear its machines, nor they it, while all else works. */
 function cutFromWorkers(w: World, ms: number): void {
   const node = anOwner(w);
   node.cut = true;
@@ -250,9 +251,9 @@
 
 const LONG_TASKS = { nodes: 3, capacity: 10, teams: 1, longerMs: 120_000 };
 
-/** Another controller than those that own parts ends, and is back before the outage or within it. */
+/** Another controller than those that own partitions ends, and is back before the outage or within it. */
 function crashOther(w: World, ms: number): void {
-  const i = w.nodes.findIndex((n) => n.up && (n.controller?.status() as Status).parts.length === 0);
+  const i = w.nodes.findIndex((n) => n.up && (n.controller?.status() as Status).partitions.length === 0);
   if (i >= 0) w.crash(i, ms);
 }
 
@@ -406,7 +407,14 @@
   const { revision } = asker?.status() as Status;
   const incarnation = (asker as unknown as { member: Member }).member.incarnation;
   const status = {
-    ...{ kind: 'status' as const, member: 'velodrome-1', seq: 1, storeOk: false, incarnation, parts: [] },
+    ...{
+      kind: 'status' as const,
+      member: 'velodrome-1',
+      seq: 1,
+      storeOk: false,
+      incarnation,
+      partitions: [],
+    },
     ...{ strays: [], heardMs: 0, revision },
   };
   const cases: [string, Buffer, boolean | null][] = [
@@ -460,7 +468,7 @@
   },
   {
     name: 'new work starts while machines taken over have not seen the new token',
-    apply: () => patch(PartCore.prototype, 'unresolved', { get: () => 0 }),
+    apply: () => patch(PartitionCore.prototype, 'unresolved', { get: () => 0 }),
     trouble: crashWhileSilent,
     breaks: /ran_twice|quota/,
   },
@@ -490,11 +498,11 @@
   {
     name: 'tasks that an earlier owner may have started are started again before all machines have spoken',
     apply: () => {
-      const real = PartJob.prototype.startable;
-      const eager = function (this: PartJob, n: number, _settled: boolean, now: number): number[] {
+      const real = PartitionJob.prototype.startable;
+      const eager = function (this: PartitionJob, n: number, _settled: boolean, now: number): number[] {
         return real.call(this, n, true, now);
       };
-      return patch(PartJob.prototype, 'startable', { value: eager });
+      return patch(PartitionJob.prototype, 'startable', { value: eager });
     },
     trouble: crashWhileSilent,
     breaks: /ran_twice/,
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -144,8 +144,8 @@
     },
     ...{ faulty: false, noticed: false, leavingTo: '', emptyInS: 4 },
   };
-  const part = {
-    part: 'p0',
+  const partition = {
+    partition: 'p0',
     version: 9,
     workLeft: [1, 0, 0, 0],
     backlog: [0, 2, 0, 0],
@@ -155,17 +155,17 @@
     machines: [machine],
   };
   const status: PeerMessage = {
-    ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, parts: [part] },
-    ...{ strays: [{ part: 'p0', machines: 3 }], heardMs: 1.5, revision: 412 },
+    ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, partitions: [partition] },
+    ...{ strays: [{ partition: 'p0', machines: 3 }], heardMs: 1.5, revision: 412 },
   };
   const messages: PeerMessage[] = [
     {
       ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, promised: true, page: 1, pages: 2 },
       cancelled: [{ job: 'job-000001', version: 413 }],
     },
-    { kind: 'move', machine: 'i-1', toPart: 'p1', drain: true },
+    { kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true },
     { kind: 'retire', machine: 'i-1', why: 'idle', force: false },
-    { kind: 'handover', part: 'p0', to: 'b' },
+    { kind: 'handover', partition: 'p0', to: 'b' },
   ];
   const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
   // A field left in the schema after the code had dropped it once silenced every load report.
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -22,7 +22,7 @@
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { DEFAULT_POLICY } from '../src/protocol/policy';
-import { LEAVES_FLEET, type Demand, type MachineLoad, type PartLoad } from '../src/protocol/peers';
+import { LEAVES_FLEET, type Demand, type MachineLoad, type PartitionLoad } from '../src/protocol/peers';
 
 function node(state: NodeState, reExecutable = true, alternates: number[] = []): PipelineNode {
   return { state, reExecutable, inputsRecorded: true, alternates };
@@ -195,16 +195,16 @@
   };
 }
 
-function part(
+function partition(
   id: string,
   demands: Demand[],
   machines: MachineLoad[],
-  change: Partial<PartLoad> = {},
-): PartLoad {
+  change: Partial<PartitionLoad> = {},
+): PartitionLoad {
   const backlog = [0, 0, 0, 0];
   for (const d of demands) backlog[d.rank]! += d.tasks * d.cpus * d.seconds;
   return {
-    part: id,
+    partition: id,
     version: 1,
     unresolved: 0,
     demands,
@@ -218,7 +218,7 @@
 
 function machine(id: string, change: Partial<FleetMachine> = {}): FleetMachine {
   return {
-    ...{ id, part: 'p0', type: 'small', zone: 'a', spot: true, returning: false },
+    ...{ id, partition: 'p0', type: 'small', zone: 'a', spot: true, returning: false },
     ...{ ageMs: 60_000, booting: false, unheardMs: 0, failed: false, faultyMs: 0, movedMs: Infinity },
     ...change,
   };
@@ -231,27 +231,27 @@
   });
   const busy = { tasks: 4, freeCpus: 0, freeMemoryGb: 8, emptyInS: 60 };
   const cases: [string, Partial<FleetPicture>, (actions: ReturnType<typeof scale>) => boolean][] = [
-    ['nothing to do', { loads: [part('p0', [], [])] }, (a) => a.length === 0],
+    ['nothing to do', { loads: [partition('p0', [], [])] }, (a) => a.length === 0],
     [
       'spot machines for waiting work',
-      { loads: [part('p0', [demand({})], [])] },
+      { loads: [partition('p0', [demand({})], [])] },
       (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.spot),
     ],
     [
       // A job that allows no spot machine once waited for ever, as ordinary ones needed a long queue.
       'one task that allows no spot machine gets an ordinary one at once',
-      { loads: [part('p0', [demand({ tasks: 1, spot: false })], [])] },
+      { loads: [partition('p0', [demand({ tasks: 1, spot: false })], [])] },
       (a) => a.length === 1 && a[0]?.kind === 'rent' && !a[0].order.spot,
     ],
     [
       'ordinary ones when spot is sold out and nothing else can run the work',
-      { loads: [part('p0', [demand({})], [])], soldOut: (k) => k.spot },
+      { loads: [partition('p0', [demand({})], [])], soldOut: (k) => k.spot },
       (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && !x.order.spot),
     ],
     [
       'room in a zone where the job may not go is none: one is rented where it may',
       {
-        loads: [part('p0', [demand({ tasks: 2, zones: ['b'] })], [load('i-1')])],
+        loads: [partition('p0', [demand({ tasks: 2, zones: ['b'] })], [load('i-1')])],
         machines: [machine('i-1', { zone: 'a' })],
       },
       (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.zone === 'b'),
@@ -259,22 +259,22 @@
     [
       'machines that are booting count',
       {
-        loads: [part('p0', [demand({ tasks: 4 })], [])],
+        loads: [partition('p0', [demand({ tasks: 4 })], [])],
         machines: [machine('i-1', { booting: true, ageMs: 5000 })],
       },
       (a) => a.length === 0,
     ],
     [
       'one that never boots is returned',
-      { loads: [part('p0', [], [])], machines: [machine('i-1', { booting: true, ageMs: 90_000 })] },
+      { loads: [partition('p0', [], [])], machines: [machine('i-1', { booting: true, ageMs: 90_000 })] },
       (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force,
     ],
     [
       // A machine that never came up kept two hundred others from being sent off for two minutes.
-      'one that takes far too long to boot does not keep the others of its part',
+      'one that takes far too long to boot does not keep the others of its partition',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [],
             [
@@ -292,16 +292,16 @@
     [
       'nor is it waited for once there is no work',
       {
-        loads: [part('p0', [], [load('i-1', { silentMs: -1 })], { quietS: 30 })],
+        loads: [partition('p0', [], [load('i-1', { silentMs: -1 })], { quietS: 30 })],
         machines: [machine('i-1', { booting: true, ageMs: 61_000 })],
       },
       (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force,
     ],
     [
-      // Two machines fell silent while they changed parts: kept and paid for ten minutes, and counted as room all the time.
-      'one that fell silent while it changed parts is returned',
+      // Two machines fell silent while they changed partitions: kept and paid for ten minutes, and counted as room all the time.
+      'one that fell silent while it changed partitions is returned',
       {
-        loads: [part('p0', [], [load('i-1', { silentMs: -1 })])],
+        loads: [partition('p0', [], [load('i-1', { silentMs: -1 })])],
         machines: [machine('i-1', { unheardMs: 31_000 })],
       },
       (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force && a[0].why === 'silent',
@@ -310,7 +310,7 @@
       'nor is it room for what waits before that',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [demand({ tasks: 4, seconds: 300 })],
             [load('i-1', { silentMs: -1 }), ...['i-2', 'i-3', 'i-4'].map((id) => load(id, busy))],
@@ -324,23 +324,26 @@
       // An owner that is cut from its workers for some seconds must not rent its fleet a second time.
       'machines that all fall silent together still count: it is their owner who does not hear',
       {
-        loads: [part('p0', [demand({ tasks: 4 })], [load('i-1', { silentMs: 9000 })])],
+        loads: [partition('p0', [demand({ tasks: 4 })], [load('i-1', { silentMs: 9000 })])],
         machines: [machine('i-1', { unheardMs: 9000 })],
       },
       (a) => a.length === 0,
     ],
     [
-      'an idle machine of another part moves instead of a rental',
+      'an idle machine of another partition moves instead of a rental',
       {
-        loads: [part('p0', [], [load('i-1', { idleMs: 4000 })]), part('p1', [demand({ tasks: 4 })], [])],
+        loads: [
+          partition('p0', [], [load('i-1', { idleMs: 4000 })]),
+          partition('p1', [demand({ tasks: 4 })], []),
+        ],
         machines: [machine('i-1')],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].toPart === 'p1' && !a[0].drain,
+      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].toPartition === 'p1' && !a[0].drain,
     ],
     [
       'a machine that fails every task is returned though it is busy',
       {
-        loads: [part('p0', [], [load('i-1', { ...busy, faulty: true })])],
+        loads: [partition('p0', [], [load('i-1', { ...busy, faulty: true })])],
         machines: [machine('i-1', { faultyMs: 9000 })],
       },
       (a) => a.some((x) => x.kind === 'retire' && x.force),
@@ -348,7 +351,7 @@
     [
       'one idle for long is returned, one just emptied is kept',
       {
-        loads: [part('p0', [], [load('i-1', { idleMs: 60_000 }), load('i-2', { idleMs: 500 })])],
+        loads: [partition('p0', [], [load('i-1', { idleMs: 60_000 }), load('i-2', { idleMs: 500 })])],
         machines: [machine('i-1'), machine('i-2')],
       },
       (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].machine === 'i-1',
@@ -357,21 +360,21 @@
       // Idle by the report of a moment ago, it was given back while work waited that it was about to get.
       'one idle for long that waiting work needs stays',
       {
-        loads: [part('p0', [demand({ tasks: 4 })], [load('i-1', { idleMs: 60_000 })])],
+        loads: [partition('p0', [demand({ tasks: 4 })], [load('i-1', { idleMs: 60_000 })])],
         machines: [machine('i-1')],
       },
       (a) => a.length === 0,
     ],
     [
-      'a part with little work lends what empties soon, when nothing can be rented',
+      'a partition with little work lends what empties soon, when nothing can be rented',
       {
         loads: [
-          part('p0', [], [load('i-1', { ...busy, emptyInS: 5 }), load('i-2', busy)], {
+          partition('p0', [], [load('i-1', { ...busy, emptyInS: 5 }), load('i-2', busy)], {
             workLeft: [0, 0, 100, 0],
           }),
-          part('p1', [demand({ tasks: 200 })], [load('i-3', busy)]),
+          partition('p1', [demand({ tasks: 200 })], [load('i-3', busy)]),
         ],
-        machines: [machine('i-1'), machine('i-2'), machine('i-3', { part: 'p1' })],
+        machines: [machine('i-1'), machine('i-2'), machine('i-3', { partition: 'p1' })],
         soldOut: () => true,
       },
       (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].drain,
@@ -380,7 +383,7 @@
       'one that has room for all of its own lends machines that are busy for long, up to half of what is free',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [],
             ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) =>
@@ -388,31 +391,31 @@
             ),
             { workLeft: [0, 0, 100, 0] },
           ),
-          part('p1', [demand({ tasks: 200 })], [load('j-1', busy)]),
+          partition('p1', [demand({ tasks: 200 })], [load('j-1', busy)]),
         ],
         machines: [
           ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) => machine(id)),
-          machine('j-1', { part: 'p1' }),
+          machine('j-1', { partition: 'p1' }),
         ],
         soldOut: () => true,
       },
-      (a) => a.length === 5 && a.every((x) => x.kind === 'move' && x.toPart === 'p1' && x.drain),
+      (a) => a.length === 5 && a.every((x) => x.kind === 'move' && x.toPartition === 'p1' && x.drain),
     ],
     [
       'one whose own work waits keeps them',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [demand({ tasks: 200, seconds: 1 })],
             ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => load(id, { ...busy, emptyInS: 70 })),
             { workLeft: [0, 0, 100, 0] },
           ),
-          part('p1', [demand({ tasks: 2000 })], [load('j-1', busy)]),
+          partition('p1', [demand({ tasks: 2000 })], [load('j-1', busy)]),
         ],
         machines: [
           ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => machine(id)),
-          machine('j-1', { part: 'p1' }),
+          machine('j-1', { partition: 'p1' }),
         ],
         soldOut: () => true,
       },
@@ -422,7 +425,7 @@
       // Nights on which new machines of one kind came up late or never: what was asked for next was of the same kind.
       'a kind of machine that comes up late is asked for in another zone',
       {
-        loads: [part('p0', [demand({ tasks: 4 })], [])],
+        loads: [partition('p0', [demand({ tasks: 4 })], [])],
         machines: ['i-1', 'i-2'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
       },
       (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.zone === 'b' && x.order.spot),
@@ -430,7 +433,7 @@
     [
       'or of another type, where that is not much dearer',
       {
-        loads: [part('p0', [demand({ tasks: 32, zones: ['a'] })], [])],
+        loads: [partition('p0', [demand({ tasks: 32, zones: ['a'] })], [])],
         machines: ['i-1', 'i-2', 'i-3'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
       },
       (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.type === 'large'),
@@ -438,47 +441,50 @@
     [
       'one late machine among many says nothing of its kind',
       {
-        loads: [part('p0', [demand({ tasks: 4 })], [])],
+        loads: [partition('p0', [demand({ tasks: 4 })], [])],
         machines: [
           machine('i-0', { booting: true, ageMs: 40_000 }),
-          ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5'].map((id) => machine(id, { part: 'p1' })),
+          ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5'].map((id) => machine(id, { partition: 'p1' })),
           ...['j-1', 'j-2', 'j-3', 'j-4', 'j-5', 'j-6', 'j-7'].map((id) =>
-            machine(id, { part: 'p1', zone: 'b' }),
+            machine(id, { partition: 'p1', zone: 'b' }),
           ),
         ],
       },
       (a) => a.length === 1 && a[0]?.kind === 'rent' && a[0].order.zone === 'a',
     ],
     [
-      // One part's idle work held a thousand CPUs while another's urgent work waited: their whole work took as long.
-      'urgent work of one part counts for more than idle work of another',
+      // One partition's idle work held a thousand CPUs while another's urgent work waited: their whole work took as long.
+      'urgent work of one partition counts for more than idle work of another',
       {
         loads: [
-          part('p0', [demand({ rank: 3, tasks: 500 })], [load('i-1', { ...busy, emptyInS: 5 })]),
-          part('p1', [demand({ rank: 1, tasks: 20 })], [load('i-3', busy)]),
+          partition('p0', [demand({ rank: 3, tasks: 500 })], [load('i-1', { ...busy, emptyInS: 5 })]),
+          partition('p1', [demand({ rank: 1, tasks: 20 })], [load('i-3', busy)]),
         ],
-        machines: [machine('i-1'), machine('i-3', { part: 'p1' })],
+        machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
         soldOut: () => true,
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPart === 'p1',
+      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPartition === 'p1',
     ],
     [
-      // Twice a second a part's machines went out for normal work and others came in for its urgent work.
-      'a part that has no room for its urgent work lends nothing for less urgent work',
+      // Twice a second a partition's machines went out for normal work and others came in for its urgent work.
+      'a partition that has no room for its urgent work lends nothing for less urgent work',
       {
         loads: [
-          part('p0', [demand({ rank: 1, tasks: 20 })], [load('i-1', { ...busy, emptyInS: 5 })]),
-          part('p1', [demand({ rank: 2, tasks: 500 })], [load('i-3', busy)]),
+          partition('p0', [demand({ rank: 1, tasks: 20 })], [load('i-1', { ...busy, emptyInS: 5 })]),
+          partition('p1', [demand({ rank: 2, tasks: 500 })], [load('i-3', busy)]),
         ],
-        machines: [machine('i-1'), machine('i-3', { part: 'p1' })],
+        machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
         soldOut: () => true,
       },
-      (a) => !a.some((x) => x.kind === 'move' && x.toPart === 'p1'),
+      (a) => !a.some((x) => x.kind === 'move' && x.toPartition === 'p1'),
     ],
     [
       'what was just moved stays',
       {
-        loads: [part('p0', [], [load('i-1', { idleMs: 4000 })]), part('p1', [demand({ tasks: 4 })], [])],
+        loads: [
+          partition('p0', [], [load('i-1', { idleMs: 4000 })]),
+          partition('p1', [demand({ tasks: 4 })], []),
+        ],
         machines: [machine('i-1', { movedMs: 2000 })],
         soldOut: () => true,
       },
@@ -489,7 +495,7 @@
       'a drain out of the fleet goes on while others have room for what waits',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [demand({ tasks: 2 })],
             [
@@ -506,7 +512,7 @@
       'a drain out of the fleet is taken back once something waits that nobody has room for',
       {
         loads: [
-          part(
+          partition(
             'p0',
             [demand({ tasks: 5 })],
             [
@@ -518,19 +524,19 @@
         machines: [machine('i-1'), machine('i-2')],
         soldOut: () => true,
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPart === 'p0',
+      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPartition === 'p0',
     ],
     [
       'a drain that the work since has made wrong is taken back',
       {
         loads: [
-          part('p0', [demand({ tasks: 200 })], [load('i-1', { ...busy, leavingTo: 'p1' })]),
-          part('p1', [], [load('i-3', busy)]),
+          partition('p0', [demand({ tasks: 200 })], [load('i-1', { ...busy, leavingTo: 'p1' })]),
+          partition('p1', [], [load('i-3', busy)]),
         ],
-        machines: [machine('i-1'), machine('i-3', { part: 'p1' })],
+        machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
         soldOut: () => true,
       },
-      (a) => a.some((x) => x.kind === 'move' && x.machine === 'i-1' && x.toPart === 'p0'),
+      (a) => a.some((x) => x.kind === 'move' && x.machine === 'i-1' && x.toPartition === 'p0'),
     ],
   ];
   for (const [name, change, expected] of cases) {
@@ -546,11 +552,11 @@
   const silent = (n: number, ms: number): MachineLoad[] =>
     Array.from({ length: n }, (_, i) => load(`i-${i}`, { silentMs: ms }));
   type Told = Record<string, number>;
-  // What the owner `a` has heard, at whom its machines turn up, and who is to have the part.
+  // What the owner `a` has heard, at whom its machines turn up, and who is to have the partition.
   const cases: [string, MachineLoad[], Told, string | null][] = [
     ['an owner that hears its machines keeps them', silent(8, 1000), { b: 8 }, null],
     ['one that hears none while they come to another', silent(8, 6000), { b: 4, c: 1 }, 'b'],
-    // Machines that are gone come to nobody: to hand the part over would only cost a take-over.
+    // Machines that are gone come to nobody: to hand the partition over would only cost a take-over.
     ['machines that come to nobody are gone', silent(8, 6000), {}, null],
     ['a single one that turns up proves little', silent(8, 6000), { b: 1 }, null],
     [
@@ -560,21 +566,21 @@
       null,
     ],
     ['machines that still boot say nothing', silent(8, -1), { b: 8 }, null],
-    // Overloaded after a take-over, owners heard too little in time; parts went from one to the next for minutes.
+    // Overloaded after a take-over, owners heard too little in time; partitions went from one to the next for minutes.
     ['an owner that hears machines late has too much to do', silent(8, 6000), { a: 0, b: 8 }, null],
   ];
-  const heard = (machines: number, heardMs = 100) => ({ strays: [{ part: 'p0', machines }], heardMs });
+  const heard = (machines: number, heardMs = 100) => ({ strays: [{ partition: 'p0', machines }], heardMs });
   for (const [name, machines, told, to] of cases) {
     await t.test(name, () => {
       const reach = new Reach();
       reach.tell('a', heard(0, 6000), 0);
       for (const [member, n] of Object.entries(told)) reach.tell(member, heard(n), 0);
-      const better = reach.better('a', part('p0', [], machines), REPORT_MS, ['a', 'b', 'c'], 100);
+      const better = reach.better('a', partition('p0', [], machines), REPORT_MS, ['a', 'b', 'c'], 100);
       assert.equal(better, to);
       assert.equal(reach.avoided('a'), to !== null);
     });
   }
-  // Given back at once to a controller that is still cut off, a part would go to and fro.
+  // Given back at once to a controller that is still cut off, a partition would go to and fro.
   const returns: [string, number, number, boolean][] = [
     ['an owner that was cut off gets nothing for a while, whatever it hears', 10_000, 100, true],
     ['then nothing while it hears nobody', 30_000, 30_000, true],
@@ -586,7 +592,7 @@
       const reach = new Reach();
       reach.tell('a', heard(0, 6000), 0);
       reach.tell('b', heard(8), 0);
-      reach.better('a', part('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
+      reach.better('a', partition('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
       reach.tell('a', { strays: [], heardMs }, at);
       assert.equal(reach.avoided('a'), avoided);
     });
@@ -597,9 +603,9 @@
     assert.equal(strays.many('p0', 30, 500), true);
     assert.equal(strays.many('p0', 31, 500), false, 'a few of many');
     assert.equal(strays.many('p0', 30, 3000), false, 'a while ago');
-    assert.deepEqual(strays.counts(500), [{ part: 'p0', machines: 3 }], 'each counts once');
+    assert.deepEqual(strays.counts(500), [{ partition: 'p0', machines: 3 }], 'each counts once');
     strays.note('p0', 'i-9', 8000);
-    assert.deepEqual(strays.counts(8000), [{ part: 'p0', machines: 1 }]);
+    assert.deepEqual(strays.counts(8000), [{ partition: 'p0', machines: 1 }]);
   });
 });
 
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -8,7 +8,7 @@
   fastReports,
   gateway,
   REPORT_PATH,
-  type GatewayParts,
+  type GatewayDependencies,
   type ReportReply,
 } from '../src/coordination/gateway';
 import { Measures } from '../src/transport/measures';
@@ -70,17 +70,27 @@
   const limit = { cpus: 8, accelerators: 0 };
   const teams = new Map([['vision', { name: 'vision', guaranteed: limit, limit }]]);
   const runs = runsOver(ledger, clock, teams, () => new Map(types.map((t) => [t.name, t])));
-  const part = { teams: ['vision'], owner: 'velodrome-0', incarnation: 1 };
-  await store.request('POST', '/multi', { if: [], apply: [{ set: 'hb/part/p0', v: part }] }, () => false);
+  const partition = { teams: ['vision'], owner: 'velodrome-0', incarnation: 1 };
+  await store.request(
+    'POST',
+    '/multi',
+    { if: [], apply: [{ set: 'hb/part/p0', v: partition }] },
+    () => false,
+  );
   void ledger.follow();
-  const parts: GatewayParts = {
+  const dependencies: GatewayDependencies = {
     runs,
     log,
     report: (_, tell) => tell(reply),
     ready: () => types.length > 0,
     status: () => ({}),
   };
-  server = serveFront(REPORT_PATH, fastReports(parts), createServer(gateway(parts)), BODY_LIMIT);
+  server = serveFront(
+    REPORT_PATH,
+    fastReports(dependencies),
+    createServer(gateway(dependencies)),
+    BODY_LIMIT,
+  );
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   port = (server.address() as AddressInfo).port;
 });
--- a/test/part-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { PartCore } from '../src/coordination/part';
-import { PartActor } from '../src/coordination/part-actor';
+import { PartitionCore } from '../src/coordination/partition';
+import { PartitionActor } from '../src/coordination/partition-actor';
 import { type HttpAnswer } from '../src/transport/http-client';
 import { keys } from '../src/protocol/records';
 import { Book } from '../src/storage/book';
@@ -18,13 +18,13 @@
 const unanswered: Scripted = null;
 const conflict = (key: string): Scripted => ({ status: 409, body: { failed: [key], ledger_rev: 120 } });
 
-/** A part's actor whose changes of the store are answered as written; the last answer stands for all after it. */
+/** A partition's actor whose changes of the store are answered as written; the last answer stands for all after it. */
 class Stage {
   readonly time = new VirtualTime();
   alive = true;
   asked = 0;
-  readonly actor: PartActor;
-  readonly core: PartCore;
+  readonly actor: PartitionActor;
+  readonly core: PartitionCore;
   readonly ledger: Ledger;
 
   constructor(answers: readonly Scripted[]) {
@@ -39,10 +39,10 @@
     this.ledger.synced = true;
     this.ledger.revision = 140;
     const book = new Book(this.ledger, log);
-    const record = { part: 'p0', phase: 'kept' as const, type: 'small', zone: 'a', spot: true };
+    const record = { partition: 'p0', phase: 'kept' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
     this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, version: 110 });
-    this.core = new PartCore(
+    this.core = new PartitionCore(
       'p0',
       VERSION,
       [],
@@ -53,7 +53,7 @@
       },
     );
     this.core.putMachine(MACHINE, record, 110, 0);
-    this.actor = new PartActor(
+    this.actor = new PartitionActor(
       this.core,
       { teams: [], owner: 'a', incarnation: 7 },
       this.ledger,
@@ -61,21 +61,21 @@
       clock,
       log,
       { alive: () => this.alive, mayRenewLeases: () => this.alive },
-      { valueBytes: 4096, txnOps: 12, writeRate: 1000, parts: 2, progressMs: 2000 },
+      { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitions: 2, progressMs: 2000 },
     );
   }
 }
 
-// While a try may still be carried out, the part may be another's at any moment: to go on would start tasks that the new
+// While a try may still be carried out, the partition may be another's at any moment: to go on would start tasks that the new
 // owner knows nothing of.
 test('a hand-over that failed is taken back only if no try of it can be carried out any more', async (t) => {
-  const part = keys.part('p0');
+  const partition = keys.partition('p0');
   const cases: [string, Scripted[], boolean][] = [
     ['refused at once: we go on', [refused], true],
     ['carried out: it is not ours', [applied], false],
     ['the taker has a new life: we go on', [conflict(keys.member('b'))], true],
     ['an answer was lost, then the store refuses: nobody knows', [unanswered, refused], false],
-    ['an answer was lost, and it was carried out', [unanswered, conflict(part)], false],
+    ['an answer was lost, and it was carried out', [unanswered, conflict(partition)], false],
     ['an answer was lost, and it can be no more', [unanswered, refused, conflict(keys.member('b'))], true],
   ];
   for (const [name, answers, goesOn] of cases) {
@@ -100,7 +100,7 @@
   for (const [name, answers, locked] of cases) {
     await t.test(name, async () => {
       const stage = new Stage(answers);
-      stage.actor.tell({ kind: 'move', machine: MACHINE, toPart: 'p1', drain: false });
+      stage.actor.tell({ kind: 'move', machine: MACHINE, toPartition: 'p1', drain: false });
       stage.actor.tell({ kind: 'tick' });
       // The move is tried once more with each tick of a real controller; one is enough here.
       stage.time.at(1000, () => (stage.alive = false));
--- a/test/part.test.ts
+++ b/test/partition.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PartCore } from '../src/coordination/part';
+import { PartitionCore } from '../src/coordination/partition';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { type JobProgress, type JobState, type MachineRecord } from '../src/protocol/records';
@@ -26,9 +26,9 @@
   };
 }
 
-/** A part with the worker's side of the conversation. */
+/** A partition with the worker's side of the conversation. */
 class Bench {
-  readonly core: PartCore;
+  readonly core: PartitionCore;
   private seq = 0;
   readonly known = new Map<string, JobSpec>();
   /** Every machine that is named here was opened before. */
@@ -41,7 +41,7 @@
       limit: { cpus: limit, accelerators: 0 },
     };
     const options = { reportMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] };
-    this.core = new PartCore(
+    this.core = new PartitionCore(
       'p0',
       VERSION,
       [team, { ...team, name: 'u' }],
@@ -53,7 +53,14 @@
   }
 
   machine(id: string, version: number, change: Partial<MachineRecord> = {}): void {
-    const row: MachineRecord = { part: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true, ...change };
+    const row: MachineRecord = {
+      partition: 'p0',
+      phase: 'kept',
+      type: 'small',
+      zone: 'a',
+      spot: true,
+      ...change,
+    };
     this.opened.add(id);
     this.core.putMachine(id, row, version, 0);
   }
@@ -63,9 +70,9 @@
     this.opened.add(id);
   }
 
-  /** One that no owner of this part has opened. */
+  /** One that no owner of this partition has opened. */
   unopened(id: string, version: number): void {
-    const row: MachineRecord = { part: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
+    const row: MachineRecord = { partition: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
     this.core.putMachine(id, row, version, 0);
   }
 
@@ -183,7 +190,7 @@
   ],
   ...(
     [
-      ['a task that can save leaves a machine that another part gets', 40_000, true, ['stop job-1']],
+      ['a task that can save leaves a machine that another partition gets', 40_000, true, ['stop job-1']],
       ['not if nothing else here has room for it', 40_000, false, []],
       ['nor if it has only just begun', 20_000, true, []],
     ] as const
@@ -317,7 +324,7 @@
     },
   ],
   [
-    'a machine of an earlier owner that comes back from another part is opened anew',
+    'a machine of an earlier owner that comes back from another partition is opened anew',
     (b) => {
       b.openedBefore('m');
       b.unopened('n', FRESH);
@@ -617,7 +624,7 @@
   ],
   [
     // Its value was rewritten for another machine's sake, which unlocked it: tasks were started on a machine that
-    // was on its way to another part.
+    // was on its way to another partition.
     'a machine that is on its way elsewhere gets nothing, whatever is told of its record',
     (b) => {
       b.machine('m', FRESH);
@@ -776,11 +783,11 @@
     },
   ],
   [
-    'an emptied machine is given to the part that waits for it, unless that is taken back',
+    'an emptied machine is given to the partition that waits for it, unless that is taken back',
     (b) => {
       b.machine('m', FRESH);
       b.core.drainTo('m', 'p1', 0);
-      assert.deepEqual(b.core.emptied(), [{ id: 'm', toPart: 'p1' }]);
+      assert.deepEqual(b.core.emptied(), [{ id: 'm', toPartition: 'p1' }]);
       b.job(spec('job-1'));
       assert.deepEqual(starts(b.report('m', 0)), []);
       b.core.drainTo('m', 'p0', 1000);
@@ -789,7 +796,7 @@
   ],
 ];
 
-test('a part', async (t) => {
+test('a partition', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new Bench(limit)));
 });
 
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -14,10 +14,17 @@
 /** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
 const status: PeerMessage = {
   ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, heardMs: 1.5, revision: 412 },
-  strays: [{ part: 'p0', machines: 3 }],
-  parts: [
+  strays: [{ partition: 'p0', machines: 3 }],
+  partitions: [
     {
-      ...{ part: 'p0', version: 9, workLeft: [1, 0, 0, 0], backlog: [0, 2, 0, 0], unresolved: 2, quietS: 3 },
+      ...{
+        partition: 'p0',
+        version: 9,
+        workLeft: [1, 0, 0, 0],
+        backlog: [0, 2, 0, 0],
+        unresolved: 2,
+        quietS: 3,
+      },
       demands: [
         {
           ...{ workload: 'w', cpus: 1, accelerators: 0, memoryGb: 2, types: ['a'], zones: ['z'] },
@@ -48,9 +55,9 @@
     },
     'AgJhDgABAgQCFGpvYi0wMDAwMDG6BgA=',
   ],
-  [{ kind: 'move', machine: 'i-1', toPart: 'p1', drain: true }, 'BAZpLTEEcDEB'],
+  [{ kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true }, 'BAZpLTEEcDEB'],
   [{ kind: 'retire', machine: 'i-1', why: 'idle', force: false }, 'BgZpLTEIaWRsZQA='],
-  [{ kind: 'handover', part: 'p0', to: 'b' }, 'CARwMAJi'],
+  [{ kind: 'handover', partition: 'p0', to: 'b' }, 'CARwMAJi'],
 ];
 
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
@@ -109,7 +116,14 @@
   });
   await t.test('keys', () => {
     const named = [
-      ...[keys.member('m'), keys.leader, keys.catalog, keys.part('p0'), keys.batch('b'), keys.cancel('j')],
+      ...[
+        keys.member('m'),
+        keys.leader,
+        keys.catalog,
+        keys.partition('p0'),
+        keys.batch('b'),
+        keys.cancel('j'),
+      ],
       ...[keys.final('p0', 1), keys.progress('p0', 2), keys.opened('p0', 3), keys.fleet('p0', 'f')],
     ];
     assert.deepEqual(named, [
