--- a/src/coordination/assignment.ts
+++ b/src/coordination/assignment.ts
@@ -1,11 +1,11 @@
 import { type Log } from '../transport/log';
-import { type Book, type BookedPartition } from '../storage/book';
-import { Priority, type Ledger } from '../storage/ledger';
+import { type ReplicaView, type StoredPartition } from '../storage/replica-view';
+import { RequestPriority, type Ledger } from '../storage/ledger';
 import { keys, type PartitionRecord } from '../protocol/records';
 import { type PartitionLoad, type PeerMessage } from '../protocol/peers';
 import { type Settings, type Team } from '../protocol/settings';
 import { Reach } from './reach';
-import { type Truce } from './truce';
+import { type LeaseExtensions } from './lease-extension';
 
 /** A partition's report costs so little that two controllers carry all; more partitions only leave machines on the wrong side. */
 const MAX_PARTITIONS = 2;
@@ -43,18 +43,18 @@
     /** The leader's own name. */
     private readonly leader: string,
     private readonly ledger: Ledger,
-    private readonly book: Book,
+    private readonly replica: ReplicaView,
     private readonly log: Log,
-    private readonly truce: Truce,
+    private readonly extensions: LeaseExtensions,
     private readonly loads: ReadonlyMap<string, { load: PartitionLoad; at: number }>,
     private readonly sendTo: (member: string, message: PeerMessage) => void,
   ) {}
 
   async assign(now: number, leaderVersion: number, since: number): Promise<void> {
     if (this.assigning) return;
-    const { members } = this.book;
+    const { members } = this.replica;
     const peers = this.settings.peers.length + 1;
-    const partitions = [...this.book.partitions.values()];
+    const partitions = [...this.replica.partitions.values()];
     if (partitions.length === 0 && members.size < peers && now - since < GATHER_MS) return;
     this.assigning = true;
     this.leaderVersion = leaderVersion;
@@ -84,11 +84,11 @@
       for (const partition of partitions) {
         const { owner, incarnation } = partition.record;
         if (members.get(owner) === incarnation) continue;
-        // The owner's grant has ended, or it has begun a new life and knows nothing of the old one's orders.
+        // The owner's session lease has ended, or it has begun a new life and knows nothing of the old one's orders.
         const next = members.has(owner) ? owner : least();
         if (!next) continue;
         const dead = members.has(owner) ? null : owner;
-        if (dead && !this.truce.mayTakeFrom(dead, now)) continue;
+        if (dead && !this.extensions.mayTakeFrom(dead, now)) continue;
         if (await this.give(partition.id, partition.record.teams, next, partition.version, dead)) {
           held.set(next, (held.get(next) ?? 0) + 1);
         }
@@ -107,7 +107,7 @@
     version: number,
     dead: string | null,
   ): Promise<boolean> {
-    const incarnation = this.book.members.get(owner) ?? 0;
+    const incarnation = this.replica.members.get(owner) ?? 0;
     const record: PartitionRecord = { teams, owner, incarnation };
     const conditions = [
       { key: keys.leader, version: this.leaderVersion },
@@ -119,15 +119,15 @@
     const result = await this.ledger.txn(
       conditions,
       [{ put: keys.partition(partition), value: record }],
-      Priority.Decision,
+      RequestPriority.Decision,
     );
     this.log.info({ partition, owner, dead, result: result.kind }, 'partition given');
     return result.kind === 'applied';
   }
 
   /** Hands partitions over whose machines reach other controllers and not their owner. */
-  private moveUnreached(partitions: readonly BookedPartition[], now: number): void {
-    const members = [...this.book.members.keys()];
+  private moveUnreached(partitions: readonly StoredPartition[], now: number): void {
+    const members = [...this.replica.members.keys()];
     for (const { id, record, version } of partitions) {
       const told = this.loads.get(id);
       if (told?.load.version !== version || now - told.at > LOAD_PROMPT_MS) continue;
@@ -146,7 +146,7 @@
 
   /** A controller that holds nothing while another holds two partitions or more gets one. */
   private balance(
-    partitions: readonly BookedPartition[],
+    partitions: readonly StoredPartition[],
     held: ReadonlyMap<string, number>,
     now: number,
   ): void {
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -6,18 +6,18 @@
 import { type Policy } from '../protocol/policy';
 import { type Settings } from '../protocol/settings';
 import { type Report } from '../protocol/workers';
-import { Book, type BookedPartition, type BookEvent } from '../storage/book';
+import { ReplicaView, type StoredPartition, type ReplicaEvent } from '../storage/replica-view';
 import { Intake } from '../storage/intake';
 import { Ledger, type StoreTransport } from '../storage/ledger';
 import { type ReportReply } from './gateway';
-import { askEveryMs, unawareMs } from './awareness';
+import { refreshIntervalMs, maxStalenessMs } from './staleness';
 import { Leader, type CloudTransport } from './leader';
 import { Member } from './member';
 import { PartitionCore } from './partition';
 import { PartitionActor } from './partition-actor';
 import { Strays } from './reach';
 import { Runs } from './runs';
-import { Truce } from './truce';
+import { LeaseExtensions } from './lease-extension';
 
 const TICK_MS = 250;
 const STATUS_MS = 500;
@@ -34,7 +34,7 @@
 const PEER_SILENT_MS = 2500;
 /** The store keeps so many changes for its watches: a peer's replica that claims to be further ahead is none of it. */
 const MOST_AHEAD = 10_000;
-/** Cancellations on one page of a promise. */
+/** Cancellations on one page of an extension. */
 const CANCELLED_A_PAGE = 500;
 /** A watch waits for a fraction of the time in which its news would matter. */
 const WATCHES = 4;
@@ -63,10 +63,10 @@
 export class Controller {
   private readonly measures = new Measures();
   private readonly ledger: Ledger;
-  private readonly book: Book;
+  private readonly replica: ReplicaView;
   private readonly member: Member;
   private readonly leader: Leader;
-  private readonly truce: Truce;
+  private readonly extensions: LeaseExtensions;
   readonly runs: Runs;
   private readonly partitions = new Map<string, PartitionActor>();
   private statuses = 0;
@@ -75,8 +75,8 @@
   /** When the replica first showed a partition's present owner. */
   private readonly ownedSince = new Map<string, { version: number; at: number }>();
   private parked: Parked[] = [];
-  private readonly unawareMs: number;
-  private awareAskedAt = Number.NEGATIVE_INFINITY;
+  private readonly maxStalenessMs: number;
+  private refreshAskedAt = Number.NEGATIVE_INFINITY;
   private readonly peerStoreOk = new Map<string, { ok: boolean; at: number }>();
 
   constructor(
@@ -87,37 +87,43 @@
     private readonly wiring: Wiring,
   ) {
     const { requestRate, writeRate } = settings.store;
-    this.unawareMs = unawareMs(settings.leaseMs, settings.cancelMs);
+    this.maxStalenessMs = maxStalenessMs(settings.leaseMs, settings.cancelMs);
     const rates = {
       ...{ requestRate, writeRate, controllers: settings.peers.length + 1 },
-      holdMs: this.unawareMs / WATCHES,
+      holdMs: this.maxStalenessMs / WATCHES,
     };
     this.ledger = new Ledger(wiring.store, wiring.watch, clock, log, rates, this.measures);
-    this.book = new Book(this.ledger, log);
-    this.truce = new Truce(
+    this.replica = new ReplicaView(this.ledger, log);
+    this.extensions = new LeaseExtensions(
       settings.peers.map((p) => p.member),
       clock.steady(),
     );
-    this.member = new Member(settings.member, this.ledger, clock, log, this.truce, this.unawareMs, () =>
-      this.reconcile(),
+    this.member = new Member(
+      settings.member,
+      this.ledger,
+      clock,
+      log,
+      this.extensions,
+      this.maxStalenessMs,
+      () => this.reconcile(),
     );
     this.leader = new Leader(
       settings,
       policy,
       this.member,
       this.ledger,
-      this.book,
+      this.replica,
       wiring.cloud,
       clock,
       log,
-      this.truce,
+      this.extensions,
       (to, message) => this.sendTo(to, message),
     );
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
     const { valueBytes, txnOps } = settings.store;
-    const intake = new Intake(this.ledger, this.book, clock, { valueBytes, txnOps, life: wiring.life });
-    this.runs = new Runs(this.ledger, this.book, intake, clock, teams, () => this.types(), this.measures);
-    this.book.events.subscribe((event) => this.forward(event));
+    const intake = new Intake(this.ledger, this.replica, clock, { valueBytes, txnOps, life: wiring.life });
+    this.runs = new Runs(this.ledger, this.replica, intake, clock, teams, () => this.types(), this.measures);
+    this.replica.events.subscribe((event) => this.forward(event));
     this.ledger.batches.subscribe(() => this.reconcile());
   }
 
@@ -133,7 +139,7 @@
 
   // The store's picture.
 
-  private forward(event: BookEvent): void {
+  private forward(event: ReplicaEvent): void {
     if (event.kind === 'members') return;
     for (const partition of this.partitions.values()) {
       const { core } = partition;
@@ -151,29 +157,29 @@
 
   /** The machine types as the cloud last told us, else as another controller recorded them. */
   private types(): ReadonlyMap<string, MachineType> {
-    return this.leader.types.size > 0 ? this.leader.types : this.book.types;
+    return this.leader.types.size > 0 ? this.leader.types : this.replica.types;
   }
 
   /** Makes the partition actors those that the store says are ours; from a whole picture of it alone. */
   private reconcile(): void {
     if (!this.ledger.synced) return;
     for (const [id, partition] of this.partitions) {
-      const booked = this.book.partitions.get(id);
-      if (booked?.version === partition.core.version && this.isMine(booked)) continue;
+      const stored = this.replica.partitions.get(id);
+      if (stored?.version === partition.core.version && this.isMine(stored)) continue;
       partition.released = true;
       this.partitions.delete(id);
       this.log.info({ partition: id }, 'partition released');
     }
     const now = this.clock.steady();
-    for (const { id, version } of this.book.partitions.values())
+    for (const { id, version } of this.replica.partitions.values())
       if (this.ownedSince.get(id)?.version !== version) this.ownedSince.set(id, { version, at: now });
-    for (const booked of this.book.partitions.values()) {
-      if (!this.partitions.has(booked.id) && this.isMine(booked)) this.takeOver(booked);
+    for (const stored of this.replica.partitions.values()) {
+      if (!this.partitions.has(stored.id) && this.isMine(stored)) this.takeOver(stored);
     }
-    this.unpark((p) => this.book.partitions.get(p.partition)?.version !== p.version);
+    this.unpark((p) => this.replica.partitions.get(p.partition)?.version !== p.version);
   }
 
-  private isMine({ record }: BookedPartition): boolean {
+  private isMine({ record }: StoredPartition): boolean {
     return (
       record.owner === this.settings.member &&
       this.member.incarnation !== 0 &&
@@ -181,41 +187,41 @@
     );
   }
 
-  private takeOver({ id, record, version }: BookedPartition): void {
-    const { settings, book } = this;
+  private takeOver({ id, record, version }: StoredPartition): void {
+    const { settings, replica } = this;
     const teams = settings.teams.filter((t) => record.teams.includes(t.name));
     const core = new PartitionCore(
       id,
       version,
       teams,
       () => this.types(),
-      (ref) => book.jobs.get(ref)?.spec,
+      (ref) => replica.jobs.get(ref)?.spec,
       {
         reportMs: settings.reportMs,
         leaseMs: settings.leaseMs,
         valueBytes: settings.store.valueBytes,
         objectives: settings.objectives,
       },
-      book.openedBy(id),
+      replica.openedBy(id),
     );
     const { valueBytes, txnOps, writeRate } = settings.store;
     const progressMs = this.policy.progressS * 1000;
-    const options = { valueBytes, txnOps, writeRate, partitions: book.partitions.size, progressMs };
+    const options = { valueBytes, txnOps, writeRate, partitions: replica.partitions.size, progressMs };
     const actor = new PartitionActor(
       core,
       record,
       this.ledger,
-      book,
+      replica,
       this.clock,
       this.log,
       this.member,
       options,
     );
-    for (const [machine, entry] of book.machines)
+    for (const [machine, entry] of replica.machines)
       if (entry.record.partition === id) actor.tell({ kind: 'machine', id: machine, entry });
-    for (const { spec, acceptedAt, version: accepted, state } of book.jobs.values()) {
+    for (const { spec, acceptedAt, version: accepted, state } of replica.jobs.values()) {
       if (!core.owns(spec.team)) continue;
-      const progress = book.progressOf(spec.ref);
+      const progress = replica.progressOf(spec.ref);
       if (state === 'open') actor.tell({ kind: 'job', spec, acceptedAt, version: accepted, progress });
       else if (spec.pipeline || state !== 'done')
         actor.tell({ kind: 'ended', spec, version: accepted, state });
@@ -238,10 +244,10 @@
 
   private answer(report: Report, reply: (reply: ReportReply) => void, mayWait = true): void {
     if (!this.member.alive()) return reply({ kind: 'busy' });
-    const machine = this.book.machines.get(report.machine);
+    const machine = this.replica.machines.get(report.machine);
     if (!machine) {
       if (!this.leader.leading) {
-        return reply({ kind: 'redirect', owner: this.redirectTo(this.book.leader?.member) });
+        return reply({ kind: 'redirect', owner: this.redirectTo(this.replica.leader?.member) });
       }
       this.leader.tell({ kind: 'unknown-machine', report });
       return reply({ kind: 'busy' });
@@ -255,28 +261,28 @@
       });
       return;
     }
-    const booked = this.book.partitions.get(machine.record.partition);
-    if (booked && mayWait && this.ownerMayChange(booked, report.machine))
+    const stored = this.replica.partitions.get(machine.record.partition);
+    if (stored && mayWait && this.ownerMayChange(stored, report.machine))
       return this.park(
-        { report, reply, partition: booked.id, version: booked.version },
-        this.parkedMs(booked),
+        { report, reply, partition: stored.id, version: stored.version },
+        this.parkedMs(stored),
       );
-    reply({ kind: 'redirect', owner: this.redirectTo(booked?.record.owner) });
+    reply({ kind: 'redirect', owner: this.redirectTo(stored?.record.owner) });
   }
 
   /**
    * Many machines come here at once that another controller has owned for a while: it is gone, or cut from them. Sent
    * back there they would lose seconds of their leases, each time anew, until the partition has changed hands.
    */
-  private ownerMayChange({ id }: BookedPartition, machine: string): boolean {
+  private ownerMayChange({ id }: StoredPartition, machine: string): boolean {
     const now = this.clock.steady();
     this.strays.note(id, machine, now);
-    const machines = this.book.fleetOf(id).reduce((n, [, fleet]) => n + fleet.size, 0);
+    const machines = this.replica.fleetOf(id).reduce((n, [, fleet]) => n + fleet.size, 0);
     return this.strays.many(id, machines, now);
   }
 
   /** Just after a change of owner they are on their way to the new one, who is glad if not all come at once. */
-  private parkedMs({ id, version }: BookedPartition): number {
+  private parkedMs({ id, version }: StoredPartition): number {
     const since = this.ownedSince.get(id);
     const settled = since?.version === version && this.clock.steady() - since.at > SETTLED_MS;
     return settled ? PARKED_MS : PARKED_BRIEFLY_MS;
@@ -314,15 +320,15 @@
     if (message.kind === 'status') {
       const { member, seq, incarnation } = message;
       const storeOk = this.ledger.answering(STORE_SILENT_MS);
-      const seen = this.book.members.get(member) === incarnation;
+      const seen = this.replica.members.get(member) === incarnation;
       // Without a whole picture of the store we cannot say what an earlier life of ours confirmed.
       const possible = message.revision <= this.ledger.revision + MOST_AHEAD;
       const knows = seen && this.ledger.synced && possible;
-      const promised = this.truce.promise(member, knows, storeOk, this.clock.steady());
-      const pong = { kind: 'pong' as const, member: this.settings.member, seq, storeOk, promised };
+      const extended = this.extensions.extend(member, knows, storeOk, this.clock.steady());
+      const pong = { kind: 'pong' as const, member: this.settings.member, seq, storeOk, extended };
       // An asker that is ahead of our replica still needs what we confirmed and do not see yet.
       const since = Math.min(message.revision, this.ledger.revision);
-      const cancelled = promised ? this.book.cancelledSince(since) : [];
+      const cancelled = extended ? this.replica.cancelledSince(since) : [];
       const pages = Math.max(1, Math.ceil(cancelled.length / CANCELLED_A_PAGE));
       for (let page = 0; page < pages; page++) {
         const from = page * CANCELLED_A_PAGE;
@@ -342,13 +348,13 @@
         for (const load of message.partitions) this.leader.tell({ kind: 'load', load, at: now });
         return;
       case 'pong':
-        // What comes with a promise is taken in first: only then does it count.
-        for (const { job, version } of message.cancelled) this.book.learnCancelled(job, version);
-        this.truce.answered(message.member, message.seq, message.promised, message.page, message.pages);
+        // What comes with an extension is taken in first: only then does it count.
+        for (const { job, version } of message.cancelled) this.replica.learnCancelled(job, version);
+        this.extensions.answered(message.member, message.seq, message.extended, message.page, message.pages);
         this.peerStoreOk.set(message.member, { ok: message.storeOk, at: now });
         return;
       case 'handover': {
-        const incarnation = this.book.members.get(message.to);
+        const incarnation = this.replica.members.get(message.to);
         if (incarnation !== undefined) {
           this.partitions.get(message.partition)?.tell({ kind: 'handover', to: message.to, incarnation });
         }
@@ -356,14 +362,14 @@
       }
       case 'move':
       case 'retire': {
-        const machine = this.book.machines.get(message.machine);
+        const machine = this.replica.machines.get(message.machine);
         if (machine) this.partitions.get(machine.record.partition)?.tell(message);
       }
     }
   }
 
   private sendStatus(): void {
-    const leader = this.book.leader?.member;
+    const leader = this.replica.leader?.member;
     const now = this.clock.steady();
     const partitions: PartitionLoad[] = [];
     this.statuses++;
@@ -373,7 +379,7 @@
     const status = {
       kind: 'status' as const,
       member: this.settings.member,
-      seq: this.truce.ask(now),
+      seq: this.extensions.ask(now),
       storeOk: this.ledger.answering(STORE_SILENT_MS),
       incarnation: this.member.incarnation,
       heardMs: this.lastHeard === null ? -1 : now - this.lastHeard,
@@ -388,17 +394,17 @@
   // Time, health.
 
   private tick(): void {
-    this.stayAware();
+    this.keepFresh();
     for (const partition of this.partitions.values()) partition.tell({ kind: 'tick' });
     this.leader.tell({ kind: 'tick' });
   }
 
   /** Owners ask what is new though nothing may be, so that an outage finds them knowing all until just before. */
-  private stayAware(): void {
+  private keepFresh(): void {
     const now = this.clock.steady();
-    const since = Math.max(this.ledger.knownTo, this.awareAskedAt);
-    if (this.partitions.size === 0 || now - since < askEveryMs(this.unawareMs)) return;
-    this.awareAskedAt = now;
+    const since = Math.max(this.ledger.freshAsOf, this.refreshAskedAt);
+    if (this.partitions.size === 0 || now - since < refreshIntervalMs(this.maxStalenessMs)) return;
+    this.refreshAskedAt = now;
     void this.ledger.fresh();
   }
 
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -3,9 +3,9 @@
 import { type HttpAnswer } from '../transport/http-client';
 import { type Log } from '../transport/log';
 import { Pacer } from '../transport/pacer';
-import { type Book } from '../storage/book';
+import { type ReplicaView } from '../storage/replica-view';
 import { editFleet } from '../storage/fleets';
-import { Priority, type Ledger, type TxnResult } from '../storage/ledger';
+import { RequestPriority, type Ledger, type TxnResult } from '../storage/ledger';
 import { encodeFleet, keys, type MachineRecord, type MemberRecord } from '../protocol/records';
 import {
   listPath,
@@ -27,7 +27,7 @@
 import { type Member } from './member';
 import { Assignment } from './assignment';
 import { type Heard } from './reach';
-import { type Truce } from './truce';
+import { type LeaseExtensions } from './lease-extension';
 
 type Message =
   | { kind: 'tick' }
@@ -114,17 +114,26 @@
     private readonly policy: Policy,
     private readonly member: Member,
     private readonly ledger: Ledger,
-    private readonly book: Book,
+    private readonly replica: ReplicaView,
     private readonly cloud: CloudTransport,
     private readonly clock: Clock,
     private readonly log: Log,
-    truce: Truce,
+    extensions: LeaseExtensions,
     private readonly sendTo: (member: string, message: PeerMessage) => void,
   ) {
     super((error) => log.error({ error }, 'leader failed'));
-    this.assignment = new Assignment(settings, member.name, ledger, book, log, truce, this.loads, sendTo);
+    this.assignment = new Assignment(
+      settings,
+      member.name,
+      ledger,
+      replica,
+      log,
+      extensions,
+      this.loads,
+      sendTo,
+    );
     this.pacer = new Pacer(settings.cloudRate * 0.8, settings.cloudRate);
-    book.events.subscribe((event) => {
+    replica.events.subscribe((event) => {
       if (event.kind === 'gone') this.gone.add(event.id);
       else if (event.kind === 'machine') this.gone.delete(event.id);
       else if (event.kind === 'members') this.tell({ kind: 'changed' });
@@ -133,7 +142,7 @@
 
   get leading(): boolean {
     return (
-      this.leaderVersion !== 0 && this.member.alive() && this.book.leader?.version === this.leaderVersion
+      this.leaderVersion !== 0 && this.member.alive() && this.replica.leader?.version === this.leaderVersion
     );
   }
 
@@ -147,7 +156,7 @@
       case 'tick':
         void this.claim();
         // Nobody can take a submission without the machine types: at first, whoever starts asks for them.
-        if (this.book.types.size === 0 && this.types.size === 0) this.refreshCatalog(now);
+        if (this.replica.types.size === 0 && this.types.size === 0) this.refreshCatalog(now);
         if (!this.leading) return;
         void this.assignment.assign(now, this.leaderVersion, this.since);
         this.watchCloud(now);
@@ -192,10 +201,10 @@
 
   private async claim(): Promise<void> {
     if (this.claiming || !this.member.alive() || !this.ledger.synced) return;
-    const known = this.book.leader;
+    const known = this.replica.leader;
     if (known) {
       // Our own claim, carried out although its answer was lost: without this nobody would lead for as long as we live.
-      // It was conditional on our present grant, so a newer record in our name can be no earlier life's.
+      // It was conditional on our present session lease, so a newer record in our name can be no earlier life's.
       const ours = known.member === this.member.name && known.version > this.member.incarnation;
       if (ours && known.version !== this.leaderVersion) this.lead(known.version);
       return;
@@ -208,7 +217,7 @@
         { key: keys.member(this.member.name), version: this.member.incarnation },
       ],
       [{ put: keys.leader, value: record, lease: this.member.lease }],
-      Priority.Decision,
+      RequestPriority.Decision,
     );
     if (result.kind === 'applied') {
       this.lead(result.revision);
@@ -245,14 +254,14 @@
 
   private watchCloud(now: number): void {
     this.refreshCatalog(now);
-    const listMs = LIST_MS + LIST_MS_PER_MACHINE * this.book.machines.size;
+    const listMs = LIST_MS + LIST_MS_PER_MACHINE * this.replica.machines.size;
     if (!this.listing && now - this.listedAt > listMs && this.pacer.take(now, 1)) {
       this.listedAt = now;
       this.listing = true;
       void this.fetchList();
     }
     const back: string[] = [];
-    for (const [id, { record }] of this.book.machines) {
+    for (const [id, { record }] of this.replica.machines) {
       if (record.phase !== 'returning' || this.returning.has(id) || this.ended.has(id)) continue;
       if (back.push(id) === RETURN_AT_ONCE) break;
     }
@@ -278,11 +287,11 @@
     if (!types) return;
     this.types = new Map(types.map((t) => [t.name, t]));
     // The others learn the machine types from here, also while the cloud does not answer.
-    if (this.book.types.size === 0) {
+    if (this.replica.types.size === 0) {
       await this.ledger.txn(
         [{ key: keys.catalog, version: 0 }],
         [{ put: keys.catalog, value: types }],
-        Priority.Decision,
+        RequestPriority.Decision,
       );
     }
   }
@@ -321,9 +330,9 @@
         m.status === 'booting' ? Math.min(seen.bootsSince, at - m.ageS * 1000) : seen.firstKnown;
       seen.status = m.status;
       // A machine that nobody remembers renting: a request that was carried out late, or one of the first.
-      if (!this.book.machines.has(m.name)) this.adopt(m.name, m);
+      if (!this.replica.machines.has(m.name)) this.adopt(m.name, m);
     }
-    for (const id of this.book.machines.keys()) {
+    for (const id of this.replica.machines.keys()) {
       const seen = this.seenOf(id, now);
       // Once listed a machine stays listed until it is gone, and no list is older than twice the lag.
       const certain =
@@ -336,13 +345,15 @@
   private async forgetEnded(): Promise<void> {
     if (this.forgetting) return;
     this.forgetting = true;
-    for (const id of this.ended) if (!this.book.machines.has(id)) this.ended.delete(id);
-    for (const partition of this.book.partitions.keys()) {
-      const here = [...this.ended].filter((id) => this.book.machines.get(id)?.record.partition === partition);
+    for (const id of this.ended) if (!this.replica.machines.has(id)) this.ended.delete(id);
+    for (const partition of this.replica.partitions.keys()) {
+      const here = [...this.ended].filter(
+        (id) => this.replica.machines.get(id)?.record.partition === partition,
+      );
       if (here.length === 0) continue;
       const changes = new Map(here.map((id) => [id, null]));
-      const edit = editFleet(this.book, partition, changes, '', this.settings.store);
-      const result = await this.ledger.txn(edit.conditions, edit.writes, Priority.Decision);
+      const edit = editFleet(this.replica, partition, changes, '', this.settings.store);
+      const result = await this.ledger.txn(edit.conditions, edit.writes, RequestPriority.Decision);
       this.log.info({ machines: edit.ids, result: result.kind }, 'machines gone');
       if (result.kind === 'applied') await this.ledger.caughtUp(result.revision, 2000);
     }
@@ -358,7 +369,7 @@
     const { session, seq } = report;
     if (!before) this.strangers.set(report.machine, { session, seq });
     const newer = before && (session > before.session || (session === before.session && seq > before.seq));
-    if (newer || this.book.machines.size === 0) this.adopt(report.machine, report);
+    if (newer || this.replica.machines.size === 0) this.adopt(report.machine, report);
   }
 
   private adopt(id: string, kind: { type: string; zone: string; spot: boolean }): void {
@@ -371,8 +382,8 @@
 
   /** The partition with the fewest machines. */
   private neediest(): string | null {
-    const counts = new Map([...this.book.partitions.keys()].map((id) => [id, 0]));
-    for (const { record } of this.book.machines.values())
+    const counts = new Map([...this.replica.partitions.keys()].map((id) => [id, 0]));
+    for (const { record } of this.replica.machines.values())
       counts.set(record.partition, (counts.get(record.partition) ?? 0) + 1);
     for (const partition of this.recording.values()) counts.set(partition, (counts.get(partition) ?? 0) + 1);
     return [...counts].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0] ?? null;
@@ -416,11 +427,11 @@
       }
     }
     let result: TxnResult = { kind: 'refused' };
-    // Until it is known what became of it, also while our grant lapses for a moment: a try whose answer was lost may still
+    // Until it is known what became of it, also while our session lease lapses for a moment: a try whose answer was lost may still
     // be carried out, and a machine recorded anew meanwhile would stand in two partitions.
-    while (this.leaderVersion === version && this.book.leader?.version === version) {
+    while (this.leaderVersion === version && this.replica.leader?.version === version) {
       if (this.member.alive()) {
-        result = await this.ledger.txn(conditions, writes, Priority.Decision);
+        result = await this.ledger.txn(conditions, writes, RequestPriority.Decision);
         // A conflict: our own earlier try was applied, or we do not lead any more. Either way the replica must show it.
         if (result.kind === 'applied' && (await this.ledger.caughtUp(result.revision, 2000))) break;
         if (result.kind === 'conflict' && (await this.ledger.fresh())) break;
@@ -431,7 +442,7 @@
   }
 
   private scaleFleet(now: number): void {
-    const partitions = [...this.book.partitions.values()];
+    const partitions = [...this.replica.partitions.values()];
     if (partitions.length === 0 || this.types.size === 0) return;
     this.scaledAt = now;
     this.newLoads = false;
@@ -440,7 +451,7 @@
       .filter((l): l is { load: PartitionLoad; at: number } => l !== undefined && now - l.at < LOAD_FRESH_MS)
       .map((l) => l.load);
     if (loads.some((load) => this.settles(load, now))) return;
-    const machines: FleetMachine[] = [...this.book.machines].map(([id, { record }]) => {
+    const machines: FleetMachine[] = [...this.replica.machines].map(([id, { record }]) => {
       const seen = this.seenOf(id, now);
       return {
         id,
@@ -575,7 +586,7 @@
       this.soldOut.set(kindKey(order), now + SOLD_OUT_MS);
     }
     // The list may have brought some of them sooner than the answer.
-    const machines = rented?.filter((id) => !this.book.machines.has(id) && !this.recording.has(id)) ?? [];
+    const machines = rented?.filter((id) => !this.replica.machines.has(id) && !this.recording.has(id)) ?? [];
     if (machines.length === 0) return settle();
     const { type, zone, spot } = order;
     for (const id of machines) this.seenOf(id, now);
--- a/src/coordination/truce.ts
+++ b/src/coordination/lease-extension.ts
@@ -1,7 +1,7 @@
 import { DRIFT } from '../transport/clock';
 
-/** How long a promise not to take over holds, from when it is given. */
-export const PROMISE_MS = 3000;
+/** How long an extension holds, from when it is given. */
+export const EXTENSION_MS = 3000;
 const MARGIN_MS = 300;
 const REMEMBERED = 16;
 /** No peer has so much to tell; what says so is garbled. */
@@ -9,20 +9,20 @@
 
 /**
  * What keeps a controller acting while the state service is down for all: each of its peers, cut off from the
- * store itself, promises to take nothing of it over for a while. A take-over is written by a leader, and every
- * possible leader has promised; so while all promises hold, none is written. Four things make that safe:
- * a promise is only given to an incarnation whose grant the promiser has not seen end (else a take-over may be
+ * store itself, agrees to take nothing of it over for a while. A take-over is written by a leader, and every
+ * possible leader has agreed; so while all extensions hold, none is written. Four things make that safe:
+ * an extension is only given to an incarnation whose session lease the granter has not seen end (else a take-over may be
  * under way already); the asker counts from when it asked; a process that has just started sits out the
- * longest promise that its earlier life may have given; and a promise counts only together with all that its giver
+ * longest extension that its earlier life may have given; and an extension counts only together with all that its giver
  * knows to be cancelled and the asker may not, for an owner whose own view of the store had ended earlier than the
  * others' once went on with tasks that their users had called off through them.
  */
-export class Truce {
-  /** What we promised: until when we leave a member's partitions alone. */
+export class LeaseExtensions {
+  /** What we extended: until when we leave a member's partitions alone. */
   private readonly given = new Map<string, number>();
-  /** What was promised to us. */
+  /** What was extended to us. */
   private readonly received = new Map<string, { until: number; askedAt: number }>();
-  /** Pages of promises that have not come whole. */
+  /** Pages of extensions that have not come whole. */
   private readonly pages = new Map<string, { seq: number; pages: Set<number> }>();
   private readonly asked = new Map<number, number>();
   private seq = 0;
@@ -39,14 +39,14 @@
     return this.seq;
   }
 
-  /** A page of a peer's promise; what stands on it has been taken in already. */
-  answered(peer: string, seq: number, promised: boolean, page = 0, pages = 1): void {
+  /** A page of a peer's extension; what stands on it has been taken in already. */
+  answered(peer: string, seq: number, extended: boolean, page = 0, pages = 1): void {
     const askedAt = this.asked.get(seq);
-    if (askedAt === undefined || !promised || !this.peers.includes(peer)) return;
+    if (askedAt === undefined || !extended || !this.peers.includes(peer)) return;
     if (page < 0 || page >= pages || pages > MOST_PAGES || !this.whole(peer, seq, page, pages)) return;
     const before = this.received.get(peer);
     if (before && before.askedAt >= askedAt) return;
-    this.received.set(peer, { until: askedAt + PROMISE_MS * (1 - 2 * DRIFT) - MARGIN_MS, askedAt });
+    this.received.set(peer, { until: askedAt + EXTENSION_MS * (1 - 2 * DRIFT) - MARGIN_MS, askedAt });
   }
 
   /** Whether all pages of this answer have come; those of earlier ones are dropped. */
@@ -59,26 +59,26 @@
   }
 
   /** Whatever any peer had confirmed at this moment of our steady clock is known to us. */
-  get knownTo(): number {
+  get freshAsOf(): number {
     return Math.min(
       ...this.peers.map((peer) => this.received.get(peer)?.askedAt ?? Number.NEGATIVE_INFINITY),
     );
   }
 
-  /** Whether to promise: only while we cannot reach the store, and to a member whose grant has not ended for us. */
-  promise(member: string, grantSeen: boolean, storeAnswers: boolean, now: number): boolean {
+  /** Whether to extend a peer's lease: only while we cannot reach the store, and to a member whose session lease has not ended for us. */
+  extend(member: string, grantSeen: boolean, storeAnswers: boolean, now: number): boolean {
     if (storeAnswers || !grantSeen) return false;
-    this.given.set(member, now + PROMISE_MS * (1 + 2 * DRIFT));
+    this.given.set(member, now + EXTENSION_MS * (1 + 2 * DRIFT));
     return true;
   }
 
-  /** Whether a dead member's partitions may be given to others as far as our own promises go. */
+  /** Whether a dead member's partitions may be given to others as far as our own extensions go. */
   mayTakeFrom(member: string, now: number): boolean {
-    if (now < this.startedAt + PROMISE_MS * (1 + 2 * DRIFT)) return false;
+    if (now < this.startedAt + EXTENSION_MS * (1 + 2 * DRIFT)) return false;
     return now >= (this.given.get(member) ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Whether all peers' promises to us hold. */
+  /** Whether all peers' extensions to us hold. */
   holds(now: number): boolean {
     return this.peers.every((peer) => now < (this.received.get(peer)?.until ?? Number.NEGATIVE_INFINITY));
   }
--- a/src/coordination/member.ts
+++ b/src/coordination/member.ts
@@ -1,25 +1,25 @@
 import { DRIFT, type Clock } from '../transport/clock';
 import { Actor } from '../transport/actor';
 import { type Log } from '../transport/log';
-import { Priority, type Ledger } from '../storage/ledger';
+import { RequestPriority, type Ledger } from '../storage/ledger';
 import { keys, type MemberRecord } from '../protocol/records';
-import { type Truce } from './truce';
+import { type LeaseExtensions } from './lease-extension';
 
-/** How long a grant lasts without renewal: the time in which a dead controller is noticed. */
-export const GRANT_MS = 4000;
+/** How long a session lease lasts without renewal: the time in which a dead controller is noticed. */
+export const SESSION_LEASE_MS = 4000;
 const RENEW_MS = 800;
-/** Steady clocks drift, timers fire late: this much before its end a grant counts as ended. */
+/** Steady clocks drift, timers fire late: this much before its end a session lease counts as ended. */
 const MARGIN_MS = 250;
 
 type Message =
   | { kind: 'join' }
-  | { kind: 'joined'; grant: number; incarnation: number; sentAt: number }
+  | { kind: 'joined'; leaseId: number; incarnation: number; sentAt: number }
   | { kind: 'renew' }
-  | { kind: 'renewed'; grant: number; result: 'renewed' | 'ended' | 'failed'; sentAt: number };
+  | { kind: 'renewed'; leaseId: number; result: 'renewed' | 'ended' | 'failed'; sentAt: number };
 
-/** This controller's grant. Whoever acts asks `alive()` first, every time. */
+/** This controller's session lease. Whoever acts asks `alive()` first, every time. */
 export class Member extends Actor<Message> {
-  private grant: number | null = null;
+  private leaseId: number | null = null;
   private aliveUntil = Number.NEGATIVE_INFINITY;
   /** Version of our member record; 0: we have none. */
   incarnation = 0;
@@ -29,9 +29,9 @@
     private readonly ledger: Ledger,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly truce: Truce,
+    private readonly extensions: LeaseExtensions,
     /** How long workers may be answered without knowing what was cancelled. */
-    private readonly unawareMs: number,
+    private readonly maxStalenessMs: number,
     private readonly onJoined: () => void,
   ) {
     super((error) => log.error({ error }, 'member failed'));
@@ -39,24 +39,24 @@
 
   alive(): boolean {
     const now = this.clock.steady();
-    return this.incarnation !== 0 && (now < this.aliveUntil || this.truce.holds(now));
+    return this.incarnation !== 0 && (now < this.aliveUntil || this.extensions.holds(now));
   }
 
   /** When we last surely knew of every cancellation that anybody had confirmed. */
-  get knownTo(): number {
-    return Math.max(this.ledger.knownTo, this.truce.knownTo);
+  get freshAsOf(): number {
+    return Math.max(this.ledger.freshAsOf, this.extensions.freshAsOf);
   }
 
   /**
    * Whether workers may be answered: each answer keeps their tasks for a lease, so we must act rightfully and know well
-   * enough what was cancelled (see awareness.ts).
+   * enough what was cancelled (see staleness.ts).
    */
   mayRenewLeases(): boolean {
-    return this.alive() && this.clock.steady() < this.knownTo + this.unawareMs;
+    return this.alive() && this.clock.steady() < this.freshAsOf + this.maxStalenessMs;
   }
 
   get lease(): number {
-    return this.grant ?? 0;
+    return this.leaseId ?? 0;
   }
 
   protected receive(message: Message): void {
@@ -65,7 +65,7 @@
         void this.join();
         return;
       case 'joined':
-        this.grant = message.grant;
+        this.leaseId = message.leaseId;
         this.incarnation = message.incarnation;
         this.extend(message.sentAt);
         this.log.info({ incarnation: this.incarnation }, 'joined');
@@ -73,17 +73,19 @@
         this.later('renew', RENEW_MS);
         return;
       case 'renew': {
-        const grant = this.grant;
-        if (grant === null) return;
+        const leaseId = this.leaseId;
+        if (leaseId === null) return;
         const sentAt = this.clock.steady();
-        void this.ledger.touch(grant).then((result) => this.tell({ kind: 'renewed', grant, result, sentAt }));
+        void this.ledger
+          .touch(leaseId)
+          .then((result) => this.tell({ kind: 'renewed', leaseId, result, sentAt }));
         return;
       }
       case 'renewed':
-        if (message.grant !== this.grant) return;
+        if (message.leaseId !== this.leaseId) return;
         if (message.result === 'ended') {
-          this.log.info('grant ended, joining anew');
-          this.grant = null;
+          this.log.info('session lease ended, joining anew');
+          this.leaseId = null;
           this.incarnation = 0;
           this.aliveUntil = Number.NEGATIVE_INFINITY;
           this.later('join', 100);
@@ -96,7 +98,7 @@
 
   /** Counted from when the touch was sent: the state service cannot have begun the new term earlier. */
   private extend(sentAt: number): void {
-    this.aliveUntil = Math.max(this.aliveUntil, sentAt + GRANT_MS * (1 - 2 * DRIFT) - MARGIN_MS);
+    this.aliveUntil = Math.max(this.aliveUntil, sentAt + SESSION_LEASE_MS * (1 - 2 * DRIFT) - MARGIN_MS);
   }
 
   private later(kind: 'join' | 'renew', ms: number): void {
@@ -109,20 +111,20 @@
     if (old.kind === 'failed') return this.later('join', 300);
     if (old.kind === 'entry') {
       // An earlier life of this controller is over: only one process runs here at a time.
-      const ended = old.entry.lease !== null && (await this.ledger.endGrant(old.entry.lease));
-      if (!ended) this.log.info('waiting for an earlier grant to end');
+      const ended = old.entry.lease !== null && (await this.ledger.endLease(old.entry.lease));
+      if (!ended) this.log.info('waiting for an earlier session lease to end');
       return this.later('join', ended ? 1 : 300);
     }
     const sentAt = this.clock.steady();
-    const grant = await this.ledger.openGrant(GRANT_MS);
-    if (grant === null) return this.later('join', 300);
+    const leaseId = await this.ledger.openLease(SESSION_LEASE_MS);
+    if (leaseId === null) return this.later('join', 300);
     const record: MemberRecord = { member: this.name };
     const put = await this.ledger.txn(
       [{ key, version: 0 }],
-      [{ put: key, value: record, lease: grant }],
-      Priority.Grant,
+      [{ put: key, value: record, lease: leaseId }],
+      RequestPriority.Lease,
     );
     if (put.kind !== 'applied') return this.later('join', 200);
-    this.tell({ kind: 'joined', grant, incarnation: put.revision, sentAt });
+    this.tell({ kind: 'joined', leaseId, incarnation: put.revision, sentAt });
   }
 }
--- a/src/coordination/partition-actor.ts
+++ b/src/coordination/partition-actor.ts
@@ -1,11 +1,11 @@
 import { Actor } from '../transport/actor';
 import { type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
-import { type Book, type BookedProgress } from '../storage/book';
+import { type ReplicaView, type StoredProgress } from '../storage/replica-view';
 import { ProgressSlots } from '../storage/progress';
 import { openMachines } from '../storage/opened';
 import { editFleet } from '../storage/fleets';
-import { Priority, type Ledger } from '../storage/ledger';
+import { RequestPriority, type Ledger } from '../storage/ledger';
 import {
   encodeProgress,
   keys,
@@ -24,7 +24,7 @@
 export type PartitionMessage =
   | { kind: 'report'; report: Report; reply: (answer: { token: number; commands: Command[] } | null) => void }
   | { kind: 'machine'; id: string; entry: FleetEntry | null }
-  | { kind: 'job'; spec: JobSpec; acceptedAt: number; version: number; progress: BookedProgress | null }
+  | { kind: 'job'; spec: JobSpec; acceptedAt: number; version: number; progress: StoredProgress | null }
   | { kind: 'closed'; ref: string; state: JobState }
   | { kind: 'ended'; spec: JobSpec; version: number; state: JobState }
   | { kind: 'tick' }
@@ -82,7 +82,7 @@
     readonly core: PartitionCore,
     private readonly record: PartitionRecord,
     private readonly ledger: Ledger,
-    private readonly book: Book,
+    private readonly replica: ReplicaView,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly authority: Authority,
@@ -184,7 +184,7 @@
     if (this.finishing || !this.active) return;
     this.finishing = true;
     const { id } = this.core;
-    const last = this.book.lastFinal(id);
+    const last = this.replica.lastFinal(id);
     const current = this.ledger.entries.get(keys.final(id, last));
     const full = current !== undefined && JSON.stringify(current.value).length > FINAL_BYTES;
     const key = keys.final(id, full ? last + 1 : last);
@@ -195,7 +195,7 @@
       { key, version: full ? 0 : (current?.version ?? 0) },
       ...ended.map(([ref]) => ({ key: keys.cancel(ref), version: 0 })),
     ];
-    const result = await this.ledger.txn(conditions, [{ put: key, value }], Priority.Decision);
+    const result = await this.ledger.txn(conditions, [{ put: key, value }], RequestPriority.Decision);
     // Whatever stood in the way, and our own write too, comes by the watch; the next try starts from there.
     if (result.kind === 'applied') await this.ledger.caughtUp(result.revision, 2000);
     else await this.pause(RETRY_MS);
@@ -218,7 +218,7 @@
     this.openedAt = now;
     const lives = (id: string): boolean => this.core.machines.has(id);
     const { ids, condition, write } = openMachines(
-      this.book,
+      this.replica,
       this.core.id,
       machines,
       lives,
@@ -227,7 +227,7 @@
     const result = await this.ledger.txn(
       [this.mine, condition],
       [write],
-      Priority.Decision,
+      RequestPriority.Decision,
       PROGRESS_CALL_MS,
     );
     if (result.kind === 'applied') {
@@ -249,7 +249,7 @@
     const values = this.slots.changed(jobs).slice(0, txnOps);
     if (values.length === 0) return;
     this.recording = true;
-    const priority = marksRaised ? Priority.Decision : Priority.Progress;
+    const priority = marksRaised ? RequestPriority.Decision : RequestPriority.Progress;
     const writes = values.map(({ slot, jobs: inSlot }) => ({
       put: keys.progress(this.core.id, slot),
       value: encodeProgress(inSlot),
@@ -283,7 +283,7 @@
     if (this.relending) return;
     this.relending = true;
     const name = `${this.core.id}-${this.core.version}-${++this.edits}`;
-    const edit = editFleet(this.book, this.core.id, this.relends, name, this.options);
+    const edit = editFleet(this.replica, this.core.id, this.relends, name, this.options);
     if (edit.ids.length === 0) this.relends.clear();
     for (const id of edit.ids) this.relends.delete(id);
     if (edit.ids.length > 0) {
@@ -300,12 +300,12 @@
   private async untilKnown(conditions: Condition[], writes: Write[]): Promise<void> {
     let unsure = false;
     while (!this.released) {
-      // Without a grant for a moment: a try that is on its way may still be carried out, so nothing is unlocked.
+      // Without a session lease for a moment: a try that is on its way may still be carried out, so nothing is unlocked.
       if (!this.active) {
         await this.pause(RETRY_MS);
         continue;
       }
-      const result = await this.ledger.txn(conditions, writes, Priority.Decision);
+      const result = await this.ledger.txn(conditions, writes, RequestPriority.Decision);
       if (result.kind === 'refused' && !unsure) return;
       if (result.kind === 'applied' && (await this.ledger.caughtUp(result.revision, 2000))) return;
       if (result.kind === 'conflict' && (await this.ledger.fresh())) return;
@@ -329,7 +329,7 @@
     const conditions = [this.mine, { key: keys.member(to), version: incarnation }];
     for (let unsure = false; ;) {
       const put: Write = { put: keys.partition(this.core.id), value: next };
-      const result = await this.ledger.txn(conditions, [put], Priority.Decision);
+      const result = await this.ledger.txn(conditions, [put], RequestPriority.Decision);
       const gone = result.kind === 'conflict' && result.failed.includes(this.mine.key);
       if (result.kind === 'applied' || gone) return;
       if (result.kind === 'conflict' || (result.kind === 'refused' && !unsure)) {
--- a/src/coordination/reach.ts
+++ b/src/coordination/reach.ts
@@ -60,7 +60,7 @@
 
 /**
  * How well machines reach the controllers, as the leader sees it. An owner that is cut from its machines alone keeps its
- * grant and its partitions; the others would go on sending its machines back to it until all their leases have run out.
+ * session lease and its partitions; the others would go on sending its machines back to it until all their leases have run out.
  */
 export class Reach {
   private readonly told = new Map<string, Heard & { at: number }>();
--- a/src/coordination/runs.ts
+++ b/src/coordination/runs.ts
@@ -1,8 +1,8 @@
 import { type Clock } from '../transport/clock';
 import { type Measures } from '../transport/measures';
-import { type Book, type BookedJob } from '../storage/book';
+import { type ReplicaView, type StoredJob } from '../storage/replica-view';
 import { type Intake } from '../storage/intake';
-import { Priority, type Ledger } from '../storage/ledger';
+import { RequestPriority, type Ledger } from '../storage/ledger';
 import {
   jobAnswer,
   parseSubmission,
@@ -43,7 +43,7 @@
 
   constructor(
     private readonly ledger: Ledger,
-    private readonly book: Book,
+    private readonly replica: ReplicaView,
     private readonly intake: Intake,
     private readonly clock: Clock,
     private readonly teams: ReadonlyMap<string, Team>,
@@ -75,7 +75,7 @@
     if (!read.ok) return { status: 400, body: { error: read.reason } };
     const { spec } = read;
     // A job that was accepted once is known for ever, whatever its teams and types look like by now.
-    if (this.book.jobs.has(spec.ref)) return this.known(spec.ref);
+    if (this.replica.jobs.has(spec.ref)) return this.known(spec.ref);
     const team = this.teams.get(spec.team);
     const catalog = [...this.types().values()];
     if (team && catalog.length === 0) return this.failed('machine types not known yet');
@@ -84,8 +84,8 @@
     const tooLarge = !this.intake.holds(job);
     if (never !== null || tooLarge || spec.pipeline) {
       if (!(await this.ledger.fresh())) return this.failed('no answer yet');
-      if (this.book.jobs.has(spec.ref)) return this.known(spec.ref);
-      const reason = never ?? badLink(spec, this.book);
+      if (this.replica.jobs.has(spec.ref)) return this.known(spec.ref);
+      const reason = never ?? badLink(spec, this.replica);
       if (reason !== null) return { status: 422, body: { error: reason } };
       if (tooLarge) return { status: 400, body: { error: 'the description is too large to be kept' } };
     }
@@ -111,7 +111,7 @@
   }
 
   private async tell(ref: string): Promise<UserAnswer> {
-    const known = this.book.jobs.get(ref);
+    const known = this.replica.jobs.get(ref);
     if (known && isFinal(known)) return { status: 200, body: this.shown(known) };
     if (this.questions >= MAX_QUESTIONS) {
       this.counters.shed++;
@@ -134,13 +134,13 @@
       const result = await this.ledger.txn(
         unchanged,
         [{ put: keys.cancel(ref), value: 1 }],
-        Priority.Decision,
+        RequestPriority.Decision,
         DURABLE_MS,
       );
       if (result.kind === 'applied') {
         this.counters.cancelled++;
-        // Before the user hears of it: from now on a promise of ours must tell it, and our own partitions must know.
-        this.book.learnCancelled(ref, result.revision);
+        // Before the user hears of it: from now on an extension of ours must tell it, and our own partitions must know.
+        this.replica.learnCancelled(ref, result.revision);
         return { status: 200, body: { ref, status: 'aborted' } };
       }
       // Some job of the partition ended between reading and writing: look again.
@@ -150,10 +150,10 @@
   }
 
   /** What must hold for a job to be cancelled: nobody did so yet, and nobody wrote down that it has ended. */
-  private stillOpen(job: BookedJob): Condition[] | null {
-    const partition = this.book.partitionOfTeam(job.spec.team)?.id;
+  private stillOpen(job: StoredJob): Condition[] | null {
+    const partition = this.replica.partitionOfTeam(job.spec.team)?.id;
     if (partition === undefined) return null;
-    const last = this.book.lastFinal(partition);
+    const last = this.replica.lastFinal(partition);
     const current = keys.final(partition, last);
     return [
       { key: keys.cancel(job.spec.ref), version: 0 },
@@ -163,15 +163,15 @@
   }
 
   /** A final state never changes, so the replica's word is enough; anything else must be as it is now. */
-  private async find(ref: string): Promise<BookedJob | 'absent' | null> {
-    const known = this.book.jobs.get(ref);
+  private async find(ref: string): Promise<StoredJob | 'absent' | null> {
+    const known = this.replica.jobs.get(ref);
     if (known && isFinal(known)) return known;
     if (!(await this.ledger.fresh())) return null;
-    return this.book.jobs.get(ref) ?? 'absent';
+    return this.replica.jobs.get(ref) ?? 'absent';
   }
 
-  private shown({ spec, state }: BookedJob): object {
-    const progress = this.book.progressOf(spec.ref);
+  private shown({ spec, state }: StoredJob): object {
+    const progress = this.replica.progressOf(spec.ref);
     const running = state === 'open' ? (progress?.running ?? 0) : 0;
     const done = state === 'done' ? spec.tasks : (progress?.doneCount ?? 0);
     const open: JobStatus = running > 0 ? 'running' : 'queued';
@@ -182,24 +182,24 @@
 
   private standing({ ref, pipeline }: JobSpec): ({ ref: string } & PipelineStanding) | undefined {
     if (!pipeline) return undefined;
-    const members = (this.book.pipelines.get(pipeline.ref) ?? []).map((j) => ({ ...j, order: j.version }));
+    const members = (this.replica.pipelines.get(pipeline.ref) ?? []).map((j) => ({ ...j, order: j.version }));
     const standing = pipelineView(members, new Set()).standing.get(ref);
     return standing && { ref: pipeline.ref, ...standing };
   }
 }
 
 /** Nothing that may still come changes it. */
-function isFinal({ state }: BookedJob): boolean {
+function isFinal({ state }: StoredJob): boolean {
   return state === 'done' || state === 'cancelled';
 }
 
 /** Why a job cannot hang together with the jobs that it names, or null. They are known already, so no cycle is. */
-function badLink({ ref, team, pipeline }: JobSpec, book: Book): string | null {
+function badLink({ ref, team, pipeline }: JobSpec, replica: ReplicaView): string | null {
   const named = pipeline ? [...pipeline.after.map((e) => e.job), pipeline.alternateFor] : [];
   for (const job of named) {
     if (job === null) continue;
     if (job === ref) return `pipeline: ${ref} hangs on itself`;
-    const other = book.jobs.get(job)?.spec;
+    const other = replica.jobs.get(job)?.spec;
     if (!other) return `pipeline: ${job} is not known`;
     if (other.team !== team) return `pipeline: ${job} is another team's`;
     if (other.pipeline?.ref !== pipeline?.ref) return `pipeline: ${job} is not of this pipeline`;
--- a/src/coordination/awareness.ts
+++ b/src/coordination/staleness.ts
@@ -10,19 +10,19 @@
 
 /**
  * How long an owner may go on answering workers without knowing which jobs were called off. A cancellation that was
- * confirmed just after the owner last knew all of them (`knownTo`) is unknown to it, and each answer may keep a task of that
- * job for another lease. So the last answer before it hears is given by `knownTo + unawareMs`, and then
+ * confirmed just after the owner last knew all of them (`freshAsOf`) is unknown to it, and each answer may keep a task of that
+ * job for another lease. So the last answer before it hears is given by `freshAsOf + maxStalenessMs`, and then
  *
- *     knownTo + unawareMs + leaseMs + STOP_MS <= confirmed + cancelMs
+ *     freshAsOf + maxStalenessMs + leaseMs + STOP_MS <= confirmed + cancelMs
  *
  * with both steady clocks drifting apart. This is the only place where the bound stands; it holds the same for a living
- * grant, a truce, an election and a new owner, for all of them answer workers through `Member.mayRenewLeases`.
+ * session lease, an extended lease, an election and a new owner, for all of them answer workers through `Member.mayRenewLeases`.
  */
-export function unawareMs(leaseMs: number, cancelMs: number): number {
+export function maxStalenessMs(leaseMs: number, cancelMs: number): number {
   return Math.max(LEAST_MS, cancelMs * (1 - 2 * DRIFT) - leaseMs * (1 + 2 * DRIFT) - STOP_MS);
 }
 
 /** An owner asks the store what is new at least this often, so that an outage finds it with nearly all of that time. */
-export function askEveryMs(unaware: number): number {
-  return Math.min(SELDOM_MS, unaware / ASKS);
+export function refreshIntervalMs(maxStalenessMs: number): number {
+  return Math.min(SELDOM_MS, maxStalenessMs / ASKS);
 }
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -74,15 +74,15 @@
       revision: number;
     }
   /**
-   * Answers status `seq`; `promised`: not to take anything of the asker's over for PROMISE_MS from now. With a promise goes
-   * every cancellation that the promiser has seen or confirmed beyond the asker's revision, on as many pages as it takes.
+   * Answers status `seq`; `extended`: not to take anything of the asker's over for EXTENSION_MS from now. With an extension goes
+   * every cancellation that the granter has seen or confirmed beyond the asker's revision, on as many pages as it takes.
    */
   | {
       kind: 'pong';
       member: string;
       seq: number;
       storeOk: boolean;
-      promised: boolean;
+      extended: boolean;
       page: number;
       pages: number;
       cancelled: { job: string; version: number }[];
@@ -153,7 +153,7 @@
   },
   // New fields come last: a frame of an earlier version is then cut short for us, and ours too long for it.
   pong: {
-    ...{ member: text, seq: 'long', storeOk: 'boolean', promised: 'boolean', page: 'int', pages: 'int' },
+    ...{ member: text, seq: 'long', storeOk: 'boolean', extended: 'boolean', page: 'int', pages: 'int' },
     cancelled: listOf(record('Cancellation', { job: text, version: 'long' })),
   },
   move: { machine: text, toPartition: text, drain: 'boolean' },
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -33,7 +33,7 @@
   return key.split('/')[2] ?? '';
 }
 
-/** Present while a controller's grant lives; its version is the controller's incarnation. */
+/** Present while a controller's session lease lives; its version is the controller's incarnation. */
 export interface MemberRecord {
   member: string;
 }
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -84,7 +84,7 @@
   return read.success ? read.data.failed : null;
 }
 
-export function parseGrant(body: unknown): number | null {
+export function parseLease(body: unknown): number | null {
   const read = z.object({ permit: z.number() }).safeParse(body);
   return read.success ? read.data.permit : null;
 }
@@ -105,9 +105,9 @@
   scan: (prefix: string, after: string): string =>
     `/store?prefix=${encodeURIComponent(prefix)}&limit=1000${after ? `&from=${encodeURIComponent(after)}` : ''}`,
   txn: '/multi',
-  grants: '/grants',
-  touch: (grant: number): string => `/grants/${grant}/touch`,
-  grant: (grant: number): string => `/grants/${grant}`,
+  leases: '/grants',
+  touch: (lease: number): string => `/grants/${lease}/touch`,
+  lease: (lease: number): string => `/grants/${lease}`,
   watch: (prefix: string, after: number, holdMs: number): string =>
     `/watch?prefix=${encodeURIComponent(prefix)}&from=${after}&hold_ms=${holdMs}`,
 };
--- a/src/storage/fleets.ts
+++ b/src/storage/fleets.ts
@@ -1,6 +1,6 @@
 import { encodeFleet, keys, type FleetEntry, type MachineRecord } from '../protocol/records';
 import { type Condition, type Write } from '../protocol/store';
-import { type Book } from './book';
+import { type ReplicaView } from './replica-view';
 
 export interface FleetEdit {
   /** The machines that this edit changes; the others are left for the next one. */
@@ -27,7 +27,7 @@
  * the machine is gone.
  */
 export function editFleet(
-  book: Book,
+  replica: ReplicaView,
   partition: string,
   changes: ReadonlyMap<string, MachineRecord | null>,
   name: string,
@@ -38,7 +38,7 @@
   const targets = new Map<string, [string, Standing][]>();
   let bytes = limits.valueBytes * EDIT_SHARE;
   for (const [id, change] of changes) {
-    const machine = book.machines.get(id);
+    const machine = replica.machines.get(id);
     if (!machine || machine.record.partition !== partition) continue;
     const keysAfter = touched.size + (touched.has(machine.key) ? 0 : 1);
     const goesTo = change !== null && change.partition !== partition ? change.partition : null;
@@ -53,11 +53,11 @@
     targets.set(goesTo, there);
   }
   const edited = new Set(ids);
-  const conditions = [...touched].map((key) => ({ key, version: book.ledger.version(key) }));
+  const conditions = [...touched].map((key) => ({ key, version: replica.ledger.version(key) }));
   const writes: Write[] = [];
   const rest = [...touched].map((key) => ({
     key,
-    machines: remaining(book.fleet(key), partition, changes, edited),
+    machines: remaining(replica.fleet(key), partition, changes, edited),
   }));
   const together = encodeFleet(rest.flatMap((r) => r.machines));
   // Values that are rewritten anyway become one, so that later edits touch fewer.
--- a/src/storage/intake.ts
+++ b/src/storage/intake.ts
@@ -1,8 +1,8 @@
 import { type Clock } from '../transport/clock';
 import { encodeAccepted, keys, type AcceptedJob } from '../protocol/records';
 import { type Write } from '../protocol/store';
-import { type Book } from './book';
-import { Priority, type Ledger } from './ledger';
+import { type ReplicaView } from './replica-view';
+import { RequestPriority, type Ledger } from './ledger';
 
 /** `accepted`: by this request; `known`: it was accepted before; `failed`: nobody knows, the user asks again. */
 export type IntakeResult = 'accepted' | 'known' | 'failed';
@@ -39,7 +39,7 @@
 
   constructor(
     private readonly ledger: Ledger,
-    private readonly book: Book,
+    private readonly replica: ReplicaView,
     private readonly clock: Clock,
     private readonly options: IntakeOptions,
   ) {}
@@ -97,12 +97,12 @@
       value: jobs.map((w) => encodeAccepted(w.job)),
     }));
     const conditions = writes.map((w) => ({ key: 'put' in w ? w.put : '', version: 0 }));
-    const result = await this.ledger.txn(conditions, writes, Priority.Decision, DURABLE_MS);
+    const result = await this.ledger.txn(conditions, writes, RequestPriority.Decision, DURABLE_MS);
     // Which of two batches came first is known once the replica holds all up to ours.
     const seen = result.kind === 'applied' && (await this.ledger.caughtUp(result.revision, DURABLE_MS));
     for (const { job, resolve } of values.flat()) {
       if (!seen || result.kind !== 'applied') resolve('failed');
-      else resolve(this.book.jobs.get(job.spec.ref)?.version === result.revision ? 'accepted' : 'known');
+      else resolve(this.replica.jobs.get(job.spec.ref)?.version === result.revision ? 'accepted' : 'known');
     }
   }
 }
--- a/src/storage/ledger.ts
+++ b/src/storage/ledger.ts
@@ -7,7 +7,7 @@
 import {
   parseEntry,
   parseFailed,
-  parseGrant,
+  parseLease,
   parseRevision,
   parseScan,
   parseWatch,
@@ -31,8 +31,8 @@
 export type ReadResult = { kind: 'entry'; entry: Entry } | { kind: 'absent' } | { kind: 'failed' };
 
 /** Which requests go first when the state service's limits are near. */
-export enum Priority {
-  Grant,
+export enum RequestPriority {
+  Lease,
   Decision,
   Read,
   Progress,
@@ -43,7 +43,7 @@
 }
 
 interface Queued {
-  priority: Priority;
+  priority: RequestPriority;
   writes: number;
   deadline: number;
   since: number;
@@ -93,7 +93,7 @@
   /** The newest revision of the pages that it was filled from. */
   private filledTo = 0;
   /** The replica surely holds all that was in the store at this moment of our steady clock. */
-  knownTo = Number.NEGATIVE_INFINITY;
+  freshAsOf = Number.NEGATIVE_INFINITY;
   private readonly requests: Pacer;
   private readonly writes: Pacer;
   private readonly queue: Queued[] = [];
@@ -135,7 +135,7 @@
   async txn(
     conditions: Condition[],
     writes: Write[],
-    priority: Priority,
+    priority: RequestPriority,
     withinMs = 3000,
   ): Promise<TxnResult> {
     const body = txnBody(conditions, writes);
@@ -161,7 +161,7 @@
 
   /** Reads a key as it is now, not as the replica remembers it. */
   async read(key: string, withinMs = 1500): Promise<ReadResult> {
-    const answer = await this.ask('GET', paths.entry(key), undefined, Priority.Read, withinMs, 0);
+    const answer = await this.ask('GET', paths.entry(key), undefined, RequestPriority.Read, withinMs, 0);
     if (answer === null || answer === 'expired') return { kind: 'failed' };
     if (answer.status === 404) return { kind: 'absent' };
     const entry = answer.status === 200 ? this.understood(parseEntry(answer.body), key) : null;
@@ -189,33 +189,33 @@
     const within = Math.max(...asked.map((q) => q.until)) - this.clock.steady();
     const path = paths.entry(keys.nothing);
     const askedAt = this.clock.steady();
-    const answer = await this.ask('GET', path, undefined, Priority.Read, Math.max(0, within), 0);
+    const answer = await this.ask('GET', path, undefined, RequestPriority.Read, Math.max(0, within), 0);
     const known = answer !== null && answer !== 'expired' && answer.status === 404;
     const revision = known ? this.understood(parseRevision(answer.body), path) : null;
     for (const { until, resolve } of asked) {
       if (revision === null) resolve(false);
       else
         void this.caughtUp(revision, until - this.clock.steady()).then((fresh) => {
-          if (fresh) this.knownTo = Math.max(this.knownTo, askedAt);
+          if (fresh) this.freshAsOf = Math.max(this.freshAsOf, askedAt);
           resolve(fresh);
         });
     }
   }
 
-  async openGrant(ttlMs: number): Promise<number | null> {
-    const answer = await this.ask('POST', paths.grants, { ttl_ms: ttlMs }, Priority.Grant, 2000, 0);
-    return answer && answer !== 'expired' && answer.status === 200 ? parseGrant(answer.body) : null;
+  async openLease(ttlMs: number): Promise<number | null> {
+    const answer = await this.ask('POST', paths.leases, { ttl_ms: ttlMs }, RequestPriority.Lease, 2000, 0);
+    return answer && answer !== 'expired' && answer.status === 200 ? parseLease(answer.body) : null;
   }
 
-  async touch(grant: number): Promise<'renewed' | 'ended' | 'failed'> {
-    const answer = await this.ask('POST', paths.touch(grant), {}, Priority.Grant, 1000, 0);
+  async touch(leaseId: number): Promise<'renewed' | 'ended' | 'failed'> {
+    const answer = await this.ask('POST', paths.touch(leaseId), {}, RequestPriority.Lease, 1000, 0);
     if (answer === null || answer === 'expired') return 'failed';
     if (answer.status === 200) return 'renewed';
     return answer.status === 404 ? 'ended' : 'failed';
   }
 
-  async endGrant(grant: number): Promise<boolean> {
-    const answer = await this.ask('DELETE', paths.grant(grant), undefined, Priority.Grant, 1000, 0);
+  async endLease(leaseId: number): Promise<boolean> {
+    const answer = await this.ask('DELETE', paths.lease(leaseId), undefined, RequestPriority.Lease, 1000, 0);
     return answer !== null && answer !== 'expired' && (answer.status === 200 || answer.status === 404);
   }
 
@@ -229,7 +229,7 @@
       const started = this.clock.steady();
       const path = paths.watch(PREFIX, this.revision, this.holdMs);
       // Watches are counted as requests; they wait for their turn like the others.
-      await this.turn(Priority.Decision, 0, Number.POSITIVE_INFINITY);
+      await this.turn(RequestPriority.Decision, 0, Number.POSITIVE_INFINITY);
       const askedAt = this.clock.steady();
       const answer = await this.watchTransport.call('GET', path, undefined, this.holdMs + LATE_MS);
       const watched = answer?.status === 200 ? this.understood(parseWatch(answer.body), 'watch') : null;
@@ -237,7 +237,7 @@
         this.lastOk = this.clock.steady();
         for (const change of watched.changes) this.apply(change);
         this.revision = Math.max(this.revision, watched.revision);
-        this.knownTo = Math.max(this.knownTo, askedAt);
+        this.freshAsOf = Math.max(this.freshAsOf, askedAt);
         this.whole();
         await this.betweenWatches(WATCH_PAUSE_MS - (this.clock.steady() - started));
       } else {
@@ -325,7 +325,7 @@
     const askedAt = this.clock.steady();
     for (;;) {
       const path = paths.scan(PREFIX, after);
-      const answer = await this.ask('GET', path, undefined, Priority.Decision, 3000, 0);
+      const answer = await this.ask('GET', path, undefined, RequestPriority.Decision, 3000, 0);
       const page = answer && answer !== 'expired' && answer.status === 200 ? parseScan(answer.body) : null;
       if (!page) return false;
       // Later pages may be newer than the first; watching from the first page's revision repeats what differs.
@@ -341,7 +341,7 @@
     }
     for (const entry of found.values()) this.apply(entry);
     this.revision = Math.max(this.revision, revision);
-    this.knownTo = Math.max(this.knownTo, askedAt);
+    this.freshAsOf = Math.max(this.freshAsOf, askedAt);
     this.filled = true;
     this.whole();
     return true;
@@ -351,7 +351,7 @@
     method: string,
     path: string,
     body: unknown,
-    priority: Priority,
+    priority: RequestPriority,
     withinMs: number,
     writes: number,
   ): Promise<HttpAnswer | null | 'expired'> {
@@ -388,7 +388,7 @@
   }
 
   /** Waits until a request of this priority may be sent; false if its time runs out before. */
-  private turn(priority: Priority, writes: number, deadline: number): Promise<boolean> {
+  private turn(priority: RequestPriority, writes: number, deadline: number): Promise<boolean> {
     return new Promise((resolve) => {
       const entry: Queued = {
         priority,
@@ -417,13 +417,14 @@
         entry.expire();
         continue;
       }
-      const waits = held && entry.writes > 0 && entry.priority !== Priority.Grant;
+      const waits = held && entry.writes > 0 && entry.priority !== RequestPriority.Lease;
       if (!waits && this.admit(entry, now)) {
         this.queue.splice(i, 1);
         entry.run();
         continue;
       }
-      held ||= entry.priority === Priority.Decision && entry.writes > 0 && now - entry.since > OVERTAKEN_MS;
+      held ||=
+        entry.priority === RequestPriority.Decision && entry.writes > 0 && now - entry.since > OVERTAKEN_MS;
       i++;
     }
     if (this.queue.length > 0 && this.pumpTimer === null) {
@@ -435,12 +436,13 @@
   }
 
   private admit(entry: Queued, now: number): boolean {
-    // Grants are never paced: a controller that loses its grant costs more than one request too many.
-    if (entry.priority === Priority.Grant) return this.requests.take(now, 1, -this.requests.burst);
-    const keep = entry.priority === Priority.Progress ? 0.5 : entry.priority === Priority.Read ? 0.2 : 0.1;
+    // Session leases are never paced: a controller that loses its session lease costs more than one request too many.
+    if (entry.priority === RequestPriority.Lease) return this.requests.take(now, 1, -this.requests.burst);
+    const keep =
+      entry.priority === RequestPriority.Progress ? 0.5 : entry.priority === RequestPriority.Read ? 0.2 : 0.1;
     if (!this.requests.take(now, 1, this.requests.burst * keep)) return false;
     if (entry.writes === 0) return true;
-    const spare = entry.priority === Priority.Progress ? this.writes.burst * 0.4 : 0;
+    const spare = entry.priority === RequestPriority.Progress ? this.writes.burst * 0.4 : 0;
     return this.writes.take(now, entry.writes, spare);
   }
 
--- a/src/storage/opened.ts
+++ b/src/storage/opened.ts
@@ -1,6 +1,6 @@
 import { keys } from '../protocol/records';
 import { type Condition, type Write } from '../protocol/store';
-import { type Book } from './book';
+import { type ReplicaView } from './replica-view';
 
 export interface OpenedEdit {
   /** Those that found room; the others are left for the next one. */
@@ -14,7 +14,7 @@
  * them, so the list stays as long as the fleet is large.
  */
 export function openMachines(
-  book: Book,
+  replica: ReplicaView,
   partition: string,
   machines: readonly string[],
   lives: (id: string) => boolean,
@@ -22,7 +22,7 @@
 ): OpenedEdit {
   for (let n = 0; ; n++) {
     const key = keys.opened(partition, n);
-    const value = book.openedIn(key).filter(lives);
+    const value = replica.openedIn(key).filter(lives);
     const ids: string[] = [];
     let bytes = JSON.stringify(value).length;
     for (const id of machines) {
@@ -31,7 +31,7 @@
       ids.push(id);
     }
     if (ids.length === 0) continue;
-    const condition = { key, version: book.ledger.version(key) };
+    const condition = { key, version: replica.ledger.version(key) };
     return { ids, condition, write: { put: key, value: [...new Set([...value, ...ids])] } };
   }
 }
--- a/src/storage/book.ts
+++ b/src/storage/replica-view.ts
@@ -20,7 +20,7 @@
 import { type Change } from '../protocol/store';
 import { type Ledger } from './ledger';
 
-export interface BookedJob {
+export interface StoredJob {
   readonly spec: JobSpec;
   /** Time of day of the acceptance, in milliseconds. */
   readonly acceptedAt: number;
@@ -29,7 +29,7 @@
   state: JobState;
 }
 
-export interface BookedPartition {
+export interface StoredPartition {
   id: string;
   record: PartitionRecord;
   version: number;
@@ -41,19 +41,19 @@
   version: number;
 }
 
-export type BookEvent =
-  | { kind: 'job'; job: BookedJob }
-  | { kind: 'closed'; job: BookedJob }
+export type ReplicaEvent =
+  | { kind: 'job'; job: StoredJob }
+  | { kind: 'closed'; job: StoredJob }
   | { kind: 'machine'; id: string; entry: FleetEntry }
   | { kind: 'gone'; id: string; partition: string }
   | { kind: 'members' };
 
-export interface BookedProgress extends JobProgress {
+export interface StoredProgress extends JobProgress {
   /** The number of its partition's progress value that it stands in. */
   slot: number;
 }
 
-interface BookedMachine extends FleetEntry {
+interface StoredMachine extends FleetEntry {
   /** The key whose value it stands in. */
   key: string;
 }
@@ -62,21 +62,21 @@
  * What the replica says, in the project's own words and by name: jobs, machines, partitions, members. Every change is
  * read once; whoever asks finds what is wanted without looking through the rest.
  */
-export class Book {
-  readonly events = new Subject<BookEvent>();
-  readonly jobs = new Map<string, BookedJob>();
+export class ReplicaView {
+  readonly events = new Subject<ReplicaEvent>();
+  readonly jobs = new Map<string, StoredJob>();
   /** The jobs of each pipeline. */
-  readonly pipelines = new Map<string, BookedJob[]>();
-  readonly machines = new Map<string, BookedMachine>();
-  readonly partitions = new Map<string, BookedPartition>();
-  /** Controllers whose grants live, with their incarnations. */
+  readonly pipelines = new Map<string, StoredJob[]>();
+  readonly machines = new Map<string, StoredMachine>();
+  readonly partitions = new Map<string, StoredPartition>();
+  /** Controllers whose session leases live, with their incarnations. */
   readonly members = new Map<string, number>();
   leader: { member: string; version: number } | null = null;
   types: ReadonlyMap<string, MachineType> = new Map();
   private readonly ended = new Map<string, JobState>();
   /** Jobs that their users called off, with the revision of that. */
   private readonly cancelled = new Map<string, number>();
-  private readonly progress = new Map<string, BookedProgress>();
+  private readonly progress = new Map<string, StoredProgress>();
   /** Machines that a partition may have started tasks on, by key. */
   private readonly opened = new Map<string, readonly string[]>();
   /** Machines that left the value in which they stood, until the replica is whole again. */
@@ -91,12 +91,12 @@
     ledger.batches.subscribe(() => this.tellVanished());
   }
 
-  progressOf(ref: string): BookedProgress | null {
+  progressOf(ref: string): StoredProgress | null {
     return this.progress.get(ref) ?? null;
   }
 
   /** The partition that looks after a team, once the partitions are known. */
-  partitionOfTeam(team: string): BookedPartition | null {
+  partitionOfTeam(team: string): StoredPartition | null {
     for (const partition of this.partitions.values())
       if (partition.record.teams.includes(team)) return partition;
     return null;
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -5,10 +5,10 @@
 import { Member } from '../src/coordination/member';
 import { PartitionCore } from '../src/coordination/partition';
 import { Reach } from '../src/coordination/reach';
-import { Truce } from '../src/coordination/truce';
+import { LeaseExtensions } from '../src/coordination/lease-extension';
 import { decodePeer, encodePeer } from '../src/protocol/peers';
 import { type JobProgress } from '../src/protocol/records';
-import { Book } from '../src/storage/book';
+import { ReplicaView } from '../src/storage/replica-view';
 import { World } from './standin/world';
 
 const DAY_MS = 280_000;
@@ -235,7 +235,7 @@
   return world;
 }
 
-/** An owner's watches get no answer for a minute while its grant is renewed; users call jobs off through all controllers. */
+/** An owner's watches get no answer for a minute while its session lease is renewed; users call jobs off through all controllers. */
 async function stuckDay(seed: number): Promise<World> {
   const world = new World(seed, { ...LONG_TASKS });
   for (let n = 0; n < 16; n++) world.time.at(2500 + world.pick(20_000), () => world.submit(n));
@@ -398,7 +398,7 @@
   }
 });
 
-test('a promise is given to what a peer can be, and to nothing else', async (t) => {
+test('an extension is given to what a peer can be, and to nothing else', async (t) => {
   const world = new World(1);
   for (let n = 0; n < 8; n++) world.time.at(2500 + 500 * n, () => world.submit(n));
   world.time.at(20_000, () => world.store.outage(60_000));
@@ -427,14 +427,14 @@
     ['one that nobody knows', encodePeer({ ...status, member: 'velodrome-9' }), false],
     ['a frame cut short', encodePeer(status).subarray(0, 20), null],
   ];
-  for (const [name, bytes, promised] of cases) {
+  for (const [name, bytes, extended] of cases) {
     await t.test(name, () => {
       let answered: boolean | null = null;
       asked?.fromPeer(bytes, (reply) => {
         const pong = decodePeer(reply);
-        answered = pong?.kind === 'pong' && pong.promised;
+        answered = pong?.kind === 'pong' && pong.extended;
       });
-      assert.equal(answered, promised);
+      assert.equal(answered, extended);
     });
   }
 });
@@ -448,8 +448,8 @@
   day?: (seed: number, trouble: Fault) => Promise<World>;
 }[] = [
   {
-    name: 'a promise says nothing of what its giver knows to be cancelled',
-    apply: () => patch(Book.prototype, 'cancelledSince', { value: () => [] }),
+    name: 'an extension says nothing of what its giver knows to be cancelled',
+    apply: () => patch(ReplicaView.prototype, 'cancelledSince', { value: () => [] }),
     trouble: () => undefined,
     breaks: /ran_cancelled/,
     day: gapDay,
@@ -490,7 +490,7 @@
     breaks: /ran_twice|quota/,
   },
   {
-    name: 'a controller acts after its grant has ended',
+    name: 'a controller acts after its session lease has ended',
     apply: () => patch(Member.prototype, 'alive', { value: () => true }),
     trouble: (w) => refuseOne(w, 40_000),
     breaks: /ran_twice|quota|ran_cancelled/,
@@ -510,19 +510,19 @@
   {
     name: 'the next owner is not told how far tasks may have been started',
     apply: () => {
-      const real = Book.prototype.progressOf;
-      const forgetful = function (this: Book, ref: string): JobProgress | null {
+      const real = ReplicaView.prototype.progressOf;
+      const forgetful = function (this: ReplicaView, ref: string): JobProgress | null {
         const progress = real.call(this, ref);
         return progress && { ...progress, mark: 0 };
       };
-      return patch(Book.prototype, 'progressOf', { value: forgetful });
+      return patch(ReplicaView.prototype, 'progressOf', { value: forgetful });
     },
     trouble: crashWhileSilent,
     breaks: /ran_twice/,
   },
   {
     name: 'the next owner is not told which machines may have tasks on them',
-    apply: () => patch(Book.prototype, 'openedBy', { value: () => new Set() }),
+    apply: () => patch(ReplicaView.prototype, 'openedBy', { value: () => new Set() }),
     trouble: crashWhileSilent,
     breaks: /ran_twice/,
   },
@@ -540,20 +540,26 @@
     breaks: /ran_twice|quota|ran_cancelled/,
   },
   {
-    name: 'a promise is given though the store answers',
+    name: 'an extension is given though the store answers',
     apply: () => {
-      const real = Object.getOwnPropertyDescriptor(Truce.prototype, 'promise') as PropertyDescriptor;
+      const real = Object.getOwnPropertyDescriptor(LeaseExtensions.prototype, 'extend') as PropertyDescriptor;
       const loose = function (
-        this: Truce,
+        this: LeaseExtensions,
         member: string,
         _seen: boolean,
         _ok: boolean,
         now: number,
       ): unknown {
-        (real.value as Truce['promise']).call(this, member, true, false, Number.NEGATIVE_INFINITY);
-        return (real.value as Truce['promise']).call(new Truce([], 0), member, true, false, now);
+        (real.value as LeaseExtensions['extend']).call(this, member, true, false, Number.NEGATIVE_INFINITY);
+        return (real.value as LeaseExtensions['extend']).call(
+          new LeaseExtensions([], 0),
+          member,
+          true,
+          false,
+          now,
+        );
       };
-      return patch(Truce.prototype, 'promise', { value: loose });
+      return patch(LeaseExtensions.prototype, 'extend', { value: loose });
     },
     trouble: (w) => refuseOne(w, 40_000),
     breaks: /ran_twice|quota|ran_cancelled/,
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -160,7 +160,7 @@
   };
   const messages: PeerMessage[] = [
     {
-      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, promised: true, page: 1, pages: 2 },
+      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, extended: true, page: 1, pages: 2 },
       cancelled: [{ job: 'job-000001', version: 413 }],
     },
     { kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true },
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -5,7 +5,7 @@
 import { Pacer } from '../src/transport/pacer';
 import { NewestFirst } from '../src/transport/turns';
 import { scale, type FleetMachine, type FleetPicture } from '../src/coordination/autoscale';
-import { askEveryMs, unawareMs } from '../src/coordination/awareness';
+import { refreshIntervalMs, maxStalenessMs } from '../src/coordination/staleness';
 import { splitTeams } from '../src/coordination/assignment';
 import { fits, impossible, openZones, zoneRoom } from '../src/coordination/placement';
 import {
@@ -17,7 +17,7 @@
   type PipelineNode,
 } from '../src/coordination/recovery';
 import { Reach, Strays } from '../src/coordination/reach';
-import { PROMISE_MS, Truce } from '../src/coordination/truce';
+import { EXTENSION_MS, LeaseExtensions } from '../src/coordination/lease-extension';
 import { duesOf, effectiveRank, Estimates, missed, raised, type Waited } from '../src/coordination/urgency';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
@@ -609,51 +609,51 @@
   });
 });
 
-test('truce', async (t) => {
-  const promisedAt = 10_000;
-  const truce = new Truce(['b', 'c'], 0);
+test('lease extensions', async (t) => {
+  const extendedAt = 10_000;
+  const extensions = new LeaseExtensions(['b', 'c'], 0);
   const cases: [string, () => unknown, unknown][] = [
-    ['no promise while the store answers', () => truce.promise('b', true, true, promisedAt), false],
+    ['no extension while the store answers', () => extensions.extend('b', true, true, extendedAt), false],
     [
-      'none to a member whose grant has ended for us',
-      () => truce.promise('b', false, false, promisedAt),
+      'none to a member whose session lease has ended for us',
+      () => extensions.extend('b', false, false, extendedAt),
       false,
     ],
-    ['else it is given', () => truce.promise('b', true, false, promisedAt), true],
-    ['and kept', () => truce.mayTakeFrom('b', promisedAt + PROMISE_MS), false],
-    ['until it has run out', () => truce.mayTakeFrom('b', promisedAt + PROMISE_MS + 10), true],
-    ['others are not covered', () => truce.mayTakeFrom('c', promisedAt), true],
+    ['else it is given', () => extensions.extend('b', true, false, extendedAt), true],
+    ['and kept', () => extensions.mayTakeFrom('b', extendedAt + EXTENSION_MS), false],
+    ['until it has run out', () => extensions.mayTakeFrom('b', extendedAt + EXTENSION_MS + 10), true],
+    ['others are not covered', () => extensions.mayTakeFrom('c', extendedAt), true],
     [
-      'a process that has just started sits out what it may have promised before',
-      () => new Truce(['b'], 50_000).mayTakeFrom('b', 50_000 + PROMISE_MS),
+      'a process that has just started sits out what it may have extended before',
+      () => new LeaseExtensions(['b'], 50_000).mayTakeFrom('b', 50_000 + EXTENSION_MS),
       false,
     ],
     [
-      "one peer's promise is not enough",
+      "one peer's extension is not enough",
       () => {
-        truce.answered('b', truce.ask(20_000), true);
-        return truce.holds(20_001);
+        extensions.answered('b', extensions.ask(20_000), true);
+        return extensions.holds(20_001);
       },
       false,
     ],
     [
       'all of them are, counted from the asking',
       () => {
-        const seq = truce.ask(20_000);
-        truce.answered('b', seq, true);
-        truce.answered('c', seq, true);
-        return [truce.holds(22_600), truce.holds(22_800)];
+        const seq = extensions.ask(20_000);
+        extensions.answered('b', seq, true);
+        extensions.answered('c', seq, true);
+        return [extensions.holds(22_600), extensions.holds(22_800)];
       },
       [true, false],
     ],
     [
       'an answer to a question long forgotten counts nothing',
       () => {
-        const old = truce.ask(30_000);
-        for (let i = 0; i < 20; i++) truce.ask(31_000);
-        truce.answered('b', old, true);
-        truce.answered('c', old, true);
-        return truce.holds(30_001);
+        const old = extensions.ask(30_000);
+        for (let i = 0; i < 20; i++) extensions.ask(31_000);
+        extensions.answered('b', old, true);
+        extensions.answered('c', old, true);
+        return extensions.holds(30_001);
       },
       false,
     ],
@@ -661,7 +661,7 @@
   for (const [name, act, expected] of cases) await t.test(name, () => assert.deepEqual(act(), expected));
 });
 
-test('a promise counts with all that its giver knows to be cancelled', async (t) => {
+test('an extension counts with all that its giver knows to be cancelled', async (t) => {
   type Answer = [peer: string, askedAt: number, page: number, pages: number];
   const cases: [string, Answer[], number][] = [
     [
@@ -674,7 +674,7 @@
     ],
     ['a peer that said nothing leaves nothing known', [['b', 1000, 0, 1]], Number.NEGATIVE_INFINITY],
     [
-      'a page that is missing is no promise',
+      'a page that is missing is no extension',
       [
         ['b', 1000, 0, 2],
         ['c', 1000, 0, 1],
@@ -728,18 +728,18 @@
   ];
   for (const [name, answers, expected] of cases) {
     await t.test(name, () => {
-      const truce = new Truce(['b', 'c'], 0);
-      const seqs = new Map([1000, 1500].map((at) => [at, truce.ask(at)]));
+      const extensions = new LeaseExtensions(['b', 'c'], 0);
+      const seqs = new Map([1000, 1500].map((at) => [at, extensions.ask(at)]));
       for (const [peer, at, page, pages] of answers)
-        truce.answered(peer, seqs.get(at) ?? 0, true, page, pages);
-      assert.equal(truce.knownTo, expected);
-      assert.equal(truce.holds(2000), expected > 0);
+        extensions.answered(peer, seqs.get(at) ?? 0, true, page, pages);
+      assert.equal(extensions.freshAsOf, expected);
+      assert.equal(extensions.holds(2000), expected > 0);
     });
   }
   await t.test('an answer to what was never asked', () => {
-    const truce = new Truce(['b'], 0);
-    truce.answered('b', truce.ask(1000) + 1, true);
-    assert.equal(truce.holds(1001), false);
+    const extensions = new LeaseExtensions(['b'], 0);
+    extensions.answered('b', extensions.ask(1000) + 1, true);
+    assert.equal(extensions.holds(1001), false);
   });
 });
 
@@ -751,14 +751,14 @@
     [60_000, 70_000],
   ] as const) {
     await t.test(`lease ${leaseMs}, cancellation ${cancelMs}`, () => {
-      const unaware = unawareMs(leaseMs, cancelMs);
-      assert.ok(unaware > 0 && askEveryMs(unaware) < unaware / 4);
+      const staleMs = maxStalenessMs(leaseMs, cancelMs);
+      assert.ok(staleMs > 0 && refreshIntervalMs(staleMs) < staleMs / 4);
       // Our clock and the worker's may both run slow against the user's.
-      assert.ok((unaware + leaseMs) * (1 + 2 * DRIFT) + 1000 < cancelMs);
+      assert.ok((staleMs + leaseMs) * (1 + 2 * DRIFT) + 1000 < cancelMs);
     });
   }
   await t.test('settings that leave no time allow a moment', () =>
-    assert.equal(unawareMs(30_000, 20_000), 1000),
+    assert.equal(maxStalenessMs(30_000, 20_000), 1000),
   );
 });
 
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -14,7 +14,7 @@
 import { Measures } from '../src/transport/measures';
 import { serveFront } from '../src/transport/front';
 import { Runs } from '../src/coordination/runs';
-import { Book } from '../src/storage/book';
+import { ReplicaView } from '../src/storage/replica-view';
 import { Intake } from '../src/storage/intake';
 import { Ledger } from '../src/storage/ledger';
 import { type MachineType } from '../src/protocol/cloud';
@@ -44,9 +44,9 @@
   teams: ReadonlyMap<string, Team>,
   types: () => ReadonlyMap<string, MachineType>,
 ): Runs {
-  const book = new Book(ledger, log);
-  const intake = new Intake(ledger, book, clock, { valueBytes: 4096, txnOps: 12, life: 'a-1' });
-  return new Runs(ledger, book, intake, clock, teams, types, new Measures());
+  const replica = new ReplicaView(ledger, log);
+  const intake = new Intake(ledger, replica, clock, { valueBytes: 4096, txnOps: 12, life: 'a-1' });
+  return new Runs(ledger, replica, intake, clock, teams, types, new Measures());
 }
 
 /** The routes over a stand-in store; its time passes only while somebody waits for an answer. */
--- a/test/partition-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -5,7 +5,7 @@
 import { PartitionActor } from '../src/coordination/partition-actor';
 import { type HttpAnswer } from '../src/transport/http-client';
 import { keys } from '../src/protocol/records';
-import { Book } from '../src/storage/book';
+import { ReplicaView } from '../src/storage/replica-view';
 import { Ledger } from '../src/storage/ledger';
 import { settle, VirtualTime } from './standin/clock';
 
@@ -38,7 +38,7 @@
     this.ledger = new Ledger({ call }, { call }, clock, log, rates);
     this.ledger.synced = true;
     this.ledger.revision = 140;
-    const book = new Book(this.ledger, log);
+    const replica = new ReplicaView(this.ledger, log);
     const record = { partition: 'p0', phase: 'kept' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
     this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, version: 110 });
@@ -57,7 +57,7 @@
       this.core,
       { teams: [], owner: 'a', incarnation: 7 },
       this.ledger,
-      book,
+      replica,
       clock,
       log,
       { alive: () => this.alive, mayRenewLeases: () => this.alive },
@@ -90,11 +90,11 @@
   }
 });
 
-// A grant that lapses for a moment, as at the start of an outage, once let go of a machine whose move was on its way.
+// A session lease that lapses for a moment, as at the start of an outage, once let go of a machine whose move was on its way.
 test('a machine stays locked while its move may still be carried out', async (t) => {
   const cases: [string, Scripted[], boolean][] = [
     ['refused at once: it stays and is free again', [refused], false],
-    ['an answer was lost, our grant lapsed and came back', [unanswered, refused], true],
+    ['an answer was lost, our session lease lapsed and came back', [unanswered, refused], true],
     ['an answer was lost, and it can be no more', [unanswered, conflict(keys.fleet('p0', '1'))], false],
   ];
   for (const [name, answers, locked] of cases) {
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -50,7 +50,7 @@
   ],
   [
     {
-      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, promised: true, page: 1, pages: 2 },
+      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, extended: true, page: 1, pages: 2 },
       cancelled: [{ job: 'job-000001', version: 413 }],
     },
     'AgJhDgABAgQCFGpvYi0wMDAwMDG6BgA=',
--- a/test/book.test.ts
+++ b/test/replica-view.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { Book } from '../src/storage/book';
+import { ReplicaView } from '../src/storage/replica-view';
 import { editFleet } from '../src/storage/fleets';
 import { openMachines } from '../src/storage/opened';
 import { Ledger } from '../src/storage/ledger';
@@ -16,9 +16,9 @@
 };
 const kind: MachineRecord = { partition: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
 
-/** A book that is told changes as the watch would. */
+/** A replica that is told changes as the watch would. */
 class Told {
-  readonly book: Book;
+  readonly replica: ReplicaView;
   readonly events: string[] = [];
   readonly complaints: string[] = [];
   private revision = 0;
@@ -32,8 +32,8 @@
     );
     const clock = new VirtualTime().clock(() => true);
     const ledger = new Ledger(never, never, clock, log, { requestRate: 1, writeRate: 1, controllers: 1 });
-    this.book = new Book(ledger, log);
-    this.book.events.subscribe((e) => {
+    this.replica = new ReplicaView(ledger, log);
+    this.replica.events.subscribe((e) => {
       if (e.kind === 'machine' || e.kind === 'gone') this.events.push(`${e.kind} ${e.id}`);
       else if (e.kind !== 'members') this.events.push(`${e.kind} ${e.job.spec.ref} ${e.job.state}`);
     });
@@ -44,12 +44,12 @@
     this.whole = false;
     for (const change of changes) change();
     this.whole = true;
-    this.book.ledger.batches.next();
+    this.replica.ledger.batches.next();
     return this;
   }
 
   private settle(): this {
-    if (this.whole) this.book.ledger.batches.next();
+    if (this.whole) this.replica.ledger.batches.next();
     return this;
   }
 
@@ -57,14 +57,14 @@
     this.revision = Math.max(this.revision, version);
     // The wire gives back what JSON keeps.
     const v = JSON.parse(JSON.stringify(value)) as unknown;
-    this.book.ledger.entries.set(key, { key, value: v, version, lease: null });
-    this.book.ledger.changes.next({ key, value: v, version });
+    this.replica.ledger.entries.set(key, { key, value: v, version, lease: null });
+    this.replica.ledger.changes.next({ key, value: v, version });
     return this.settle();
   }
 
   gone(key: string): this {
-    this.book.ledger.entries.delete(key);
-    this.book.ledger.changes.next({ key, deleted: true, version: ++this.revision });
+    this.replica.ledger.entries.delete(key);
+    this.replica.ledger.changes.next({ key, deleted: true, version: ++this.revision });
     return this.settle();
   }
 
@@ -85,20 +85,23 @@
   const cases: [string, (t: Told) => void][] = [
     [
       'a job is kept as it was asked for',
-      (w) => assert.deepEqual(w.accept('a', [spec]).book.jobs.get('job-1')?.spec, spec),
+      (w) => assert.deepEqual(w.accept('a', [spec]).replica.jobs.get('job-1')?.spec, spec),
     ],
     [
       'of two batches that hold a job the earlier one counts, in whatever order they are read',
       (w) => {
         w.accept('late', [{ ...spec, tasks: 9 }], 20).accept('early', [spec], 10);
-        assert.deepEqual([w.book.jobs.get('job-1')?.version, w.book.jobs.get('job-1')?.spec.tasks], [10, 4]);
+        assert.deepEqual(
+          [w.replica.jobs.get('job-1')?.version, w.replica.jobs.get('job-1')?.spec.tasks],
+          [10, 4],
+        );
       },
     ],
     [
       'an end that is read before the job is not lost',
       (w) => {
         w.change(keys.final('p0', 0), { 'job-1': 'done' }).accept('a', [spec]);
-        assert.equal(w.book.jobs.get('job-1')?.state, 'done');
+        assert.equal(w.replica.jobs.get('job-1')?.state, 'done');
         assert.deepEqual(w.events, []);
       },
     ],
@@ -109,7 +112,7 @@
         w.change(keys.final('p0', 0), { 'job-1': 'done', 'job-2': 'failed' });
         w.change(keys.cancel('job-2'), 1).change(keys.final('p0', 0), { 'job-1': 'done', 'job-2': 'failed' });
         assert.deepEqual(
-          [...w.book.jobs.values()].map((j) => j.state),
+          [...w.replica.jobs.values()].map((j) => j.state),
           ['done', 'cancelled'],
         );
       },
@@ -122,7 +125,7 @@
           w.fleet('p0', 'x', [m]);
           if (order === 0) w.fleet('p1', m, [m]).gone(keys.fleet('p0', 'x'));
           else w.gone(keys.fleet('p0', 'x')).fleet('p1', m, [m]);
-          assert.equal(w.book.machines.get(m)?.record.partition, 'p1');
+          assert.equal(w.replica.machines.get(m)?.record.partition, 'p1');
         }
       },
     ],
@@ -132,11 +135,14 @@
         w.fleet('p0', 'x', ['i-1', 'i-2']).fleet('p0', 'y', ['i-3']);
         w.events.length = 0;
         const returned = new Map([['i-2', { ...kind, phase: 'returning' as const }]]);
-        const edit = editFleet(w.book, 'p0', returned, 'n', { valueBytes: 4096, txnOps: 12 });
+        const edit = editFleet(w.replica, 'p0', returned, 'n', { valueBytes: 4096, txnOps: 12 });
         assert.deepEqual(edit.conditions, [{ key: keys.fleet('p0', 'x'), version: 1 }]);
         for (const write of edit.writes) if ('put' in write) w.change(write.put, write.value);
         assert.deepEqual(w.events, ['machine i-2']);
-        assert.deepEqual([w.book.machines.get('i-1')?.version, w.book.machines.get('i-2')?.version], [1, 3]);
+        assert.deepEqual(
+          [w.replica.machines.get('i-1')?.version, w.replica.machines.get('i-2')?.version],
+          [1, 3],
+        );
       },
     ],
     [
@@ -144,7 +150,7 @@
       (w) => {
         w.fleet('p0', 'x', ['i-1', 'i-2']).fleet('p0', 'y', ['i-3', 'i-4']);
         w.events.length = 0;
-        const both = [...w.book.machines].map(
+        const both = [...w.replica.machines].map(
           ([id, { record, version }]) => [id, { record, version }] as const,
         );
         w.together(
@@ -152,7 +158,7 @@
           () => w.change(keys.fleet('p0', 'x'), encodeFleet(both)),
         );
         assert.deepEqual(w.events, []);
-        assert.equal(w.book.machines.size, 4);
+        assert.equal(w.replica.machines.size, 4);
         w.gone(keys.fleet('p0', 'x'));
         assert.deepEqual(w.events, ['gone i-1', 'gone i-2', 'gone i-3', 'gone i-4']);
       },
@@ -162,7 +168,7 @@
       (w) => {
         w.fleet('p0', 'x', ['i-1', 'i-2']).fleet('p0', 'y', ['i-3', 'i-4']);
         const moved = new Map(['i-1', 'i-3'].map((id) => [id, { ...kind, partition: 'p1' }]));
-        const { ids, writes } = editFleet(w.book, 'p0', moved, 'n', { valueBytes: 4096, txnOps: 12 });
+        const { ids, writes } = editFleet(w.replica, 'p0', moved, 'n', { valueBytes: 4096, txnOps: 12 });
         assert.deepEqual(ids, ['i-1', 'i-3']);
         assert.deepEqual(
           writes.map((x) => ('put' in x ? `put ${x.put}` : `remove ${x.remove}`)),
@@ -175,7 +181,7 @@
       (w) => {
         for (let i = 0; i < 5; i++) w.fleet('p0', `x${i}`, [`i-${i}`]);
         const gone = new Map(Array.from({ length: 5 }, (_, i) => [`i-${i}`, null]));
-        const { ids, writes } = editFleet(w.book, 'p0', gone, 'n', { valueBytes: 4096, txnOps: 3 });
+        const { ids, writes } = editFleet(w.replica, 'p0', gone, 'n', { valueBytes: 4096, txnOps: 3 });
         assert.deepEqual([ids.length, writes.length], [3, 3]);
       },
     ],
@@ -194,7 +200,7 @@
           bad.map(([key]) => key),
         );
         w.accept('a', [spec]);
-        assert.equal(w.book.jobs.size, 1);
+        assert.equal(w.replica.jobs.size, 1);
       },
     ],
   ];
@@ -246,7 +252,7 @@
       const told = new Told();
       for (const [n, ids] of listed.entries()) told.change(keys.opened('p0', n), ids);
       const { ids, condition, write } = openMachines(
-        told.book,
+        told.replica,
         'p0',
         open,
         (id) => !gone?.includes(id),
@@ -255,9 +261,9 @@
       const key = keys.opened('p0', expect.n);
       assert.deepEqual(ids, expect.ids);
       assert.deepEqual(write, { put: key, value: expect.value });
-      assert.deepEqual(condition, { key, version: told.book.ledger.version(key) });
-      assert.deepEqual([...told.book.openedBy('p0')], listed.flat());
-      assert.equal(told.book.openedBy('p1').size, 0);
+      assert.deepEqual(condition, { key, version: told.replica.ledger.version(key) });
+      assert.deepEqual([...told.replica.openedBy('p0')], listed.flat());
+      assert.equal(told.replica.openedBy('p1').size, 0);
     });
   }
 });
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -17,7 +17,7 @@
 /** Keys on a page. */
 const PAGE = 7;
 
-/** Stands in for the state service: keys, transactions, grants, watches, outages. */
+/** Stands in for the state service: keys, transactions, session leases, watches, outages. */
 export class StandinStore {
   private readonly keys = new Map<string, Stored>();
   private readonly changes: Change[] = [];
