--- a/src/coordination/assignment.ts
+++ b/src/coordination/assignment.ts
@@ -4,7 +4,7 @@
 import { keys, type PartitionRecord } from '../protocol/records';
 import { type PartitionLoad, type PeerMessage } from '../protocol/peers';
 import { type Settings, type Team } from '../protocol/settings';
-import { Reach } from './reach';
+import { Reachability } from './reachability';
 import { type LeaseExtensions } from './lease-extension';
 
 /** A partition's report costs so little that two controllers carry all; more partitions only leave machines on the wrong side. */
@@ -33,7 +33,7 @@
 
 /** Which controller looks after which partition, as the leader decides it. */
 export class Assignment {
-  readonly reach = new Reach();
+  readonly reachability = new Reachability();
   private assigning = false;
   private leaderVersion = 0;
   private readonly handedOver = new Map<string, number>();
@@ -64,7 +64,7 @@
     for (const { record } of partitions)
       if (members.get(record.owner) === record.incarnation)
         held.set(record.owner, (held.get(record.owner) ?? 0) + 1);
-    const avoided = (m: string): number => Number(this.reach.avoided(m));
+    const avoided = (m: string): number => Number(this.reachability.avoided(m));
     const least = (): string | undefined =>
       [...held].sort(
         (a, b) => avoided(a[0]) - avoided(b[0]) || a[1] - b[1] || (a[0] < b[0] ? -1 : 1),
@@ -131,7 +131,7 @@
     for (const { id, record, version } of partitions) {
       const told = this.loads.get(id);
       if (told?.load.version !== version || now - told.at > LOAD_PROMPT_MS) continue;
-      const to = this.reach.better(record.owner, told.load, this.settings.reportMs, members, now);
+      const to = this.reachability.better(record.owner, told.load, this.settings.reportMs, members, now);
       if (to === null) continue;
       this.log.info({ partition: id, owner: record.owner, to }, 'machines do not reach the owner');
       this.handOver(id, record.owner, to, now);
@@ -150,7 +150,7 @@
     held: ReadonlyMap<string, number>,
     now: number,
   ): void {
-    const empty = [...held].find(([m, n]) => n < 1 && !this.reach.avoided(m))?.[0];
+    const empty = [...held].find(([m, n]) => n < 1 && !this.reachability.avoided(m))?.[0];
     if (!empty) return;
     const from = [...held].sort((a, b) => b[1] - a[1])[0];
     if (!from || from[1] < 2) return;
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,13 +1,13 @@
 import { every, type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
-import { Measures } from '../transport/measures';
+import { Metrics } from '../transport/metrics';
 import { type MachineType } from '../protocol/cloud';
 import { decodePeer, encodePeer, type PartitionLoad, type PeerMessage } from '../protocol/peers';
 import { type Policy } from '../protocol/policy';
 import { type Settings } from '../protocol/settings';
 import { type Report } from '../protocol/workers';
 import { ReplicaView, type StoredPartition, type ReplicaEvent } from '../storage/replica-view';
-import { Intake } from '../storage/intake';
+import { SubmissionBatcher } from '../storage/submission-batcher';
 import { Ledger, type StoreTransport } from '../storage/ledger';
 import { type ReportReply } from './gateway';
 import { refreshIntervalMs, maxStalenessMs } from './staleness';
@@ -15,7 +15,7 @@
 import { Member } from './member';
 import { PartitionCore } from './partition';
 import { PartitionActor } from './partition-actor';
-import { Strays } from './reach';
+import { MisroutedReports } from './reachability';
 import { Runs } from './runs';
 import { LeaseExtensions } from './lease-extension';
 
@@ -61,7 +61,7 @@
 
 /** One controller: the actors and what joins them. */
 export class Controller {
-  private readonly measures = new Measures();
+  private readonly metrics = new Metrics();
   private readonly ledger: Ledger;
   private readonly replica: ReplicaView;
   private readonly member: Member;
@@ -70,7 +70,7 @@
   readonly runs: Runs;
   private readonly partitions = new Map<string, PartitionActor>();
   private statuses = 0;
-  private readonly strays = new Strays();
+  private readonly misrouted = new MisroutedReports();
   private lastHeard: number | null = null;
   /** When the replica first showed a partition's present owner. */
   private readonly ownedSince = new Map<string, { version: number; at: number }>();
@@ -92,7 +92,7 @@
       ...{ requestRate, writeRate, controllers: settings.peers.length + 1 },
       holdMs: this.maxStalenessMs / WATCHES,
     };
-    this.ledger = new Ledger(wiring.store, wiring.watch, clock, log, rates, this.measures);
+    this.ledger = new Ledger(wiring.store, wiring.watch, clock, log, rates, this.metrics);
     this.replica = new ReplicaView(this.ledger, log);
     this.extensions = new LeaseExtensions(
       settings.peers.map((p) => p.member),
@@ -121,8 +121,12 @@
     );
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
     const { valueBytes, txnOps } = settings.store;
-    const intake = new Intake(this.ledger, this.replica, clock, { valueBytes, txnOps, life: wiring.life });
-    this.runs = new Runs(this.ledger, this.replica, intake, clock, teams, () => this.types(), this.measures);
+    const batcher = new SubmissionBatcher(this.ledger, this.replica, clock, {
+      valueBytes,
+      txnOps,
+      life: wiring.life,
+    });
+    this.runs = new Runs(this.ledger, this.replica, batcher, clock, teams, () => this.types(), this.metrics);
     this.replica.events.subscribe((event) => this.forward(event));
     this.ledger.batches.subscribe(() => this.reconcile());
   }
@@ -134,7 +138,7 @@
     this.leader.tell({ kind: 'tick' });
     every(this.clock, TICK_MS, () => this.tick());
     every(this.clock, STATUS_MS, () => this.sendStatus());
-    this.clock.after(MEASURES_AFTER_MS, () => this.measures.load());
+    this.clock.after(MEASURES_AFTER_MS, () => this.metrics.load());
   }
 
   // The store's picture.
@@ -202,7 +206,7 @@
         valueBytes: settings.store.valueBytes,
         objectives: settings.objectives,
       },
-      replica.openedBy(id),
+      replica.assignedBy(id),
     );
     const { valueBytes, txnOps, writeRate } = settings.store;
     const progressMs = this.policy.progressS * 1000;
@@ -239,7 +243,7 @@
     const since = this.clock.steady();
     this.lastHeard = since;
     this.answer(report, reply);
-    this.measures.record('report', this.clock.steady() - since);
+    this.metrics.record('report', this.clock.steady() - since);
   }
 
   private answer(report: Report, reply: (reply: ReportReply) => void, mayWait = true): void {
@@ -276,9 +280,9 @@
    */
   private ownerMayChange({ id }: StoredPartition, machine: string): boolean {
     const now = this.clock.steady();
-    this.strays.note(id, machine, now);
+    this.misrouted.note(id, machine, now);
     const machines = this.replica.fleetOf(id).reduce((n, [, fleet]) => n + fleet.size, 0);
-    return this.strays.many(id, machines, now);
+    return this.misrouted.many(id, machines, now);
   }
 
   /** Just after a change of owner they are on their way to the new one, who is glad if not all come at once. */
@@ -385,10 +389,10 @@
       heardMs: this.lastHeard === null ? -1 : now - this.lastHeard,
       revision: this.ledger.synced ? this.ledger.revision : 0,
     };
-    const forLeader = { ...status, partitions, strays: this.strays.counts(now) };
+    const forLeader = { ...status, partitions, misrouted: this.misrouted.counts(now) };
     if (leader === this.settings.member) this.take(forLeader);
     for (const { member: peer } of this.settings.peers)
-      this.sendTo(peer, peer === leader ? forLeader : { ...status, partitions: [], strays: [] });
+      this.sendTo(peer, peer === leader ? forLeader : { ...status, partitions: [], misrouted: [] });
   }
 
   // Time, health.
@@ -432,7 +436,7 @@
       revision: this.ledger.revision,
       store: { ...this.ledger.counters, changes: this.ledger.changesByKind },
       users: this.runs.counters,
-      took: this.measures.summary(),
+      took: this.metrics.summary(),
       partitions: [...this.partitions.values()].map((p) => p.core.summary()),
     };
   }
--- a/src/coordination/gateway.ts
+++ b/src/coordination/gateway.ts
@@ -1,5 +1,5 @@
 import express, { type NextFunction, type Request, type Response } from 'express';
-import { type FastHandler } from '../transport/front';
+import { type FastHandler } from '../transport/report-server';
 import { type Log } from '../transport/log';
 import { JOB_REF } from '../protocol/jobs';
 import { parseReport, redirectAnswer, reportAnswer, type Command, type Report } from '../protocol/workers';
--- a/src/coordination/job.ts
+++ b/src/coordination/job.ts
@@ -1,10 +1,16 @@
 import { type JobSpec } from '../protocol/jobs';
-import { decodeRanges, encodeRanges, FIRST_MARK, type JobProgress, type JobState } from '../protocol/records';
+import {
+  decodeRanges,
+  encodeRanges,
+  FIRST_WATERMARK,
+  type JobProgress,
+  type JobState,
+} from '../protocol/records';
 import { type MachineState } from './machine';
 
 /** A job that failed on this many machines, most of those it was on, and never succeeded is taken to be at fault itself. */
-const AT_FAULT_ON = 3;
-const AT_FAULT_SHARE = 0.8;
+const FAULTY_ON_MACHINES = 3;
+const FAULTY_SHARE = 0.8;
 const LONGEST_PAUSE_MS = 30_000;
 
 enum TaskState {
@@ -22,7 +28,7 @@
   private readonly tasks: Uint8Array;
   waiting: number;
   done = 0;
-  /** Where tasks that are out are presumed to be. */
+  /** Where tasks that are out are in flight to be. */
   readonly out = new Map<number, MachineState>();
   readonly failedOn = new Set<string>();
   /** Machines that its tasks were started on, until the first one is done. */
@@ -33,12 +39,12 @@
   private pausedUntil = 0;
   private pauseMs = 1000;
   /** Tasks from here on may not be started yet: a later owner would take them to be nowhere. */
-  mark: number;
+  startWatermark: number;
   /** Tasks before this one wait until all machines have spoken: an earlier owner may have started them. */
   readonly suspectBelow: number;
   /** How many of those are neither done nor on a machine that we know of. */
   suspects = 0;
-  private readonly firstMark: number;
+  private readonly firstWatermark: number;
   /** No waiting task has a smaller number. */
   private first = 0;
   /** Urgency that it is placed with. */
@@ -49,7 +55,7 @@
   constructor(
     readonly spec: JobSpec,
     readonly acceptedAt: number,
-    readonly dues: readonly number[],
+    readonly deadlines: readonly number[],
     progress: JobProgress | null,
     /** Accepted before we took the partition over: its tasks may be on machines that have not spoken yet. */
     suspect: boolean,
@@ -65,11 +71,11 @@
     for (const state of this.tasks) if (state === TaskState.Durable) this.done++;
     this.waiting = spec.tasks - this.done;
     // Of a job that may not be run again it must be known whether it was begun: nothing starts before that is kept.
-    this.firstMark = Math.min(spec.tasks, this.onceOnly ? 0 : FIRST_MARK);
-    this.mark = progress?.mark ?? this.firstMark;
+    this.firstWatermark = Math.min(spec.tasks, this.onceOnly ? 0 : FIRST_WATERMARK);
+    this.startWatermark = progress?.startWatermark ?? this.firstWatermark;
     // Where its tasks may be matters to all of them if they must be together or apart.
     const bound = spec.together || spec.apart;
-    this.suspectBelow = suspect ? (bound ? spec.tasks : this.mark) : 0;
+    this.suspectBelow = suspect ? (bound ? spec.tasks : this.startWatermark) : 0;
     for (let i = 0; i < this.suspectBelow; i++) if (this.isWaiting(i)) this.suspects++;
   }
 
@@ -80,7 +86,7 @@
 
   /** Tasks that an earlier owner may have started are neither done nor anywhere. */
   get interrupted(): boolean {
-    for (let i = 0; i < Math.min(this.suspectBelow, this.mark); i++)
+    for (let i = 0; i < Math.min(this.suspectBelow, this.startWatermark); i++)
       if (this.tasks[i] === TaskState.Waiting) return true;
     return false;
   }
@@ -89,17 +95,17 @@
    * Submitted with a mistake, as far as can be told: it failed nearly wherever it was started, and nothing of it was ever
    * done. One whose long tasks run on in most places has merely met machines that fail.
    */
-  get atFault(): boolean {
+  get faulty(): boolean {
     const { size } = this.failedOn;
-    return this.done === 0 && size >= AT_FAULT_ON && size >= AT_FAULT_SHARE * this.triedOn.size;
+    return this.done === 0 && size >= FAULTY_ON_MACHINES && size >= FAULTY_SHARE * this.triedOn.size;
   }
 
   /**
    * How many of its tasks may be out at once. One that is at fault is tried with a single task now and then, until its user
-   * calls it off: it holds no room, and crowds nobody out.
+   * cancels it: it holds no room, and crowds nobody out.
    */
   mostOut(now: number): number {
-    if (!this.atFault) return Number.POSITIVE_INFINITY;
+    if (!this.faulty) return Number.POSITIVE_INFINITY;
     return now < this.pausedUntil ? 0 : Math.max(0, 1 - this.out.size);
   }
 
@@ -139,12 +145,12 @@
   }
 
   /** The store has this progress. */
-  recorded({ done, mark }: JobProgress): void {
-    this.mark = Math.max(this.mark, mark);
+  recorded({ done, startWatermark }: JobProgress): void {
+    this.startWatermark = Math.max(this.startWatermark, startWatermark);
     for (const [from, to] of decodeRanges(done)) this.tasks.fill(TaskState.Durable, from, to + 1);
   }
 
-  /** The task is presumed on a machine. */
+  /** The task is in flight on a machine. */
   goesOut(index: number, machine: MachineState): void {
     if (this.isWaiting(index)) this.leavesWaiting(index);
     this.tasks[index] = TaskState.Out;
@@ -205,7 +211,7 @@
     const found: number[] = [];
     if (this.held) return found;
     while (this.first < this.tasks.length && this.tasks[this.first] !== TaskState.Waiting) this.first++;
-    for (let i = this.from(settled); i < this.mark && found.length < n; i++) {
+    for (let i = this.from(settled); i < this.startWatermark && found.length < n; i++) {
       if (this.tasks[i] !== TaskState.Waiting) continue;
       if (this.notBefore.size > 0 && (this.notBefore.get(i) ?? 0) > now) continue;
       found.push(i);
@@ -214,15 +220,15 @@
   }
 
   /**
-   * Whether the store must know anything of it yet. Once its mark was raised it must, for good: left out of a value
+   * Whether the store must know anything of it yet. Once its start watermark was raised it must, for good: left out of a value
    * that was written anew, it would count as never begun for an owner that has read the store only since.
    */
   get hasProgress(): boolean {
-    return this.mark > this.firstMark || this.done > 0 || this.out.size > 0;
+    return this.startWatermark > this.firstWatermark || this.done > 0 || this.out.size > 0;
   }
 
-  /** The smallest mark that lets `n` more waiting tasks start; what may not start before all have spoken is no help. */
-  markFor(n: number, settled: boolean): number {
+  /** The smallest start watermark that lets `n` more waiting tasks start; what may not start before all have spoken is no help. */
+  watermarkFor(n: number, settled: boolean): number {
     let left = n;
     let i = this.from(settled);
     for (; i < this.tasks.length && left > 0; i++) if (this.tasks[i] === TaskState.Waiting) left--;
@@ -231,6 +237,6 @@
 
   progress(maxLength: number): JobProgress {
     const done = encodeRanges(this.tasks, (s) => s >= TaskState.Done, maxLength);
-    return { done, doneCount: this.done, running: this.out.size, mark: this.mark };
+    return { done, doneCount: this.done, running: this.out.size, startWatermark: this.startWatermark };
   }
 }
--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -2,7 +2,7 @@
 import { type Clock } from '../transport/clock';
 import { type HttpAnswer } from '../transport/http-client';
 import { type Log } from '../transport/log';
-import { Pacer } from '../transport/pacer';
+import { RateLimiter } from '../transport/rate-limiter';
 import { type ReplicaView } from '../storage/replica-view';
 import { editFleet } from '../storage/fleets';
 import { RequestPriority, type Ledger, type TxnResult } from '../storage/ledger';
@@ -26,7 +26,7 @@
 import { scale, type FleetMachine } from './autoscale';
 import { type Member } from './member';
 import { Assignment } from './assignment';
-import { type Heard } from './reach';
+import { type Heard } from './reachability';
 import { type LeaseExtensions } from './lease-extension';
 
 type Message =
@@ -105,7 +105,7 @@
   private listing = false;
   private toldFleetAt = Number.NEGATIVE_INFINITY;
   private catalogAt = Number.NEGATIVE_INFINITY;
-  private readonly pacer: Pacer;
+  private readonly limiter: RateLimiter;
   private readonly assignment: Assignment;
   types: ReadonlyMap<string, MachineType> = new Map();
 
@@ -132,7 +132,7 @@
       this.loads,
       sendTo,
     );
-    this.pacer = new Pacer(settings.cloudRate * 0.8, settings.cloudRate);
+    this.limiter = new RateLimiter(settings.cloudRate * 0.8, settings.cloudRate);
     replica.events.subscribe((event) => {
       if (event.kind === 'gone') this.gone.add(event.id);
       else if (event.kind === 'machine') this.gone.delete(event.id);
@@ -180,7 +180,7 @@
         return;
       }
       case 'heard':
-        this.assignment.reach.tell(message.member, message.heard, message.at);
+        this.assignment.reachability.tell(message.member, message.heard, message.at);
         return;
       case 'unknown-machine':
         if (this.leading) this.meet(message.report);
@@ -255,7 +255,7 @@
   private watchCloud(now: number): void {
     this.refreshCatalog(now);
     const listMs = LIST_MS + LIST_MS_PER_MACHINE * this.replica.machines.size;
-    if (!this.listing && now - this.listedAt > listMs && this.pacer.take(now, 1)) {
+    if (!this.listing && now - this.listedAt > listMs && this.limiter.take(now, 1)) {
       this.listedAt = now;
       this.listing = true;
       void this.fetchList();
@@ -265,7 +265,7 @@
       if (record.phase !== 'returning' || this.returning.has(id) || this.ended.has(id)) continue;
       if (back.push(id) === RETURN_AT_ONCE) break;
     }
-    if (back.length > 0 && this.pacer.take(now, 1)) {
+    if (back.length > 0 && this.limiter.take(now, 1)) {
       for (const id of back) this.returning.add(id);
       void this.cloud.call('POST', '/rentals/return', returnBody(back), CLOUD_MS).then((answer) => {
         this.tell({ kind: 'returned', machines: back, ok: answer?.status === 200 });
@@ -274,7 +274,7 @@
   }
 
   private refreshCatalog(now: number): void {
-    if (now - this.catalogAt <= (this.types.size === 0 ? 1000 : CATALOG_MS) || !this.pacer.take(now, 1))
+    if (now - this.catalogAt <= (this.types.size === 0 ? 1000 : CATALOG_MS) || !this.limiter.take(now, 1))
       return;
     this.catalogAt = now;
     void this.fetchCatalog();
@@ -508,7 +508,7 @@
     for (const [key, { kind, partitions: takers }] of wanted) {
       // A kind that was sold out before may have a few again: one order tells.
       const most = this.soldOut.has(key) ? RENT_AT_ONCE : ORDERS_A_ROUND * RENT_AT_ONCE;
-      for (let i = 0; i < Math.min(most, takers.length) && this.pacer.take(now, 1); i += RENT_AT_ONCE)
+      for (let i = 0; i < Math.min(most, takers.length) && this.limiter.take(now, 1); i += RENT_AT_ONCE)
         this.rent(kind, takers.slice(i, i + RENT_AT_ONCE));
     }
   }
@@ -517,11 +517,11 @@
    * A partition that was just taken over: most of its machines have not spoken, so nothing is known of what they lack. To plan
    * a fleet of hundreds meanwhile would take the time in which its owner, who may be this controller, must answer them.
    */
-  private settles({ partition, version, machines, unresolved }: PartitionLoad, now: number): boolean {
+  private settles({ partition, version, machines, unconfirmed }: PartitionLoad, now: number): boolean {
     const known = this.takenOver.get(partition);
     if (known?.version !== version) this.takenOver.set(partition, { version, at: now });
     const since = known?.version === version ? known.at : now;
-    return unresolved > SETTLING_SHARE * machines.length && now - since < SETTLING_MS;
+    return unconfirmed > SETTLING_SHARE * machines.length && now - since < SETTLING_MS;
   }
 
   /** The fleet at a glance, for the log. */
--- a/src/coordination/lease-extension.ts
+++ b/src/coordination/lease-extension.ts
@@ -15,7 +15,7 @@
  * under way already); the asker counts from when it asked; a process that has just started sits out the
  * longest extension that its earlier life may have given; and an extension counts only together with all that its giver
  * knows to be cancelled and the asker may not, for an owner whose own view of the store had ended earlier than the
- * others' once went on with tasks that their users had called off through them.
+ * others' once went on with tasks that their users had cancelled through them.
  */
 export class LeaseExtensions {
   /** What we extended: until when we leave a member's partitions alone. */
--- a/src/coordination/machine.ts
+++ b/src/coordination/machine.ts
@@ -5,7 +5,7 @@
 import { type Free } from './placement';
 
 /** A start that was sent or seen: the task counts as being on the machine until it is surely gone. */
-export interface Presumed {
+export interface InFlightTask {
   ref: string;
   index: number;
   attempt: number;
@@ -26,15 +26,15 @@
   index: number;
   attempt: number;
   reason: ExitReason;
-  /** What we presumed of it, if it was this attempt. */
-  presumed: Presumed | null;
+  /** What we in flight of it, if it was this attempt. */
+  inFlight: InFlightTask | null;
 }
 
 export interface ReportOutcome {
   exits: Exit[];
-  /** Presumed tasks that are surely not on the machine. */
-  lost: Presumed[];
-  /** Live tasks that were not presumed here. */
+  /** InFlightTask tasks that are surely not on the machine. */
+  lost: InFlightTask[];
+  /** Live tasks that were not in flight here. */
   strangers: ReportedTask[];
 }
 
@@ -45,9 +45,9 @@
   return `${ref}/${index}`;
 }
 
-/** What the tasks on a machine may have been told by somebody else before us is unknown until it is `resolved`. */
+/** What the tasks on a machine may have been told by somebody else before us is unknown until it is `confirmed`. */
 export class MachineState {
-  private readonly presumed = new Map<string, Presumed>();
+  private readonly inFlight = new Map<string, InFlightTask>();
   /** Exited attempts still in the reports. */
   readonly exited = new Map<string, Exit>();
   readonly images = new Set<string>();
@@ -80,7 +80,7 @@
     public record: MachineRecord,
     public version: number,
     /** Nothing that somebody else started can be on it any more. */
-    public resolved: boolean,
+    public confirmed: boolean,
     now: number,
   ) {
     this.leaseFrom = now;
@@ -88,25 +88,25 @@
     this.idleSince = now;
   }
 
-  get tasks(): ReadonlyMap<string, Presumed> {
-    return this.presumed;
+  get tasks(): ReadonlyMap<string, InFlightTask> {
+    return this.inFlight;
   }
 
-  add(task: Presumed): void {
+  add(task: InFlightTask): void {
     this.remove(task);
-    this.presumed.set(taskKey(task.ref, task.index), task);
+    this.inFlight.set(taskKey(task.ref, task.index), task);
     this.count(task, 1);
   }
 
   remove(task: { ref: string; index: number }): void {
     const key = taskKey(task.ref, task.index);
-    const known = this.presumed.get(key);
+    const known = this.inFlight.get(key);
     if (!known) return;
-    this.presumed.delete(key);
+    this.inFlight.delete(key);
     this.count(known, -1);
   }
 
-  private count({ spec }: Presumed, sign: number): void {
+  private count({ spec }: InFlightTask, sign: number): void {
     if (!spec) this.unknownTasks += sign;
     if (!spec) return;
     this.used.cpus += sign * spec.cpus;
@@ -158,7 +158,7 @@
     const outcome: ReportOutcome = { exits: [], lost: [], strangers: [] };
     if (report.session > this.session) {
       // A new session begins with nothing: whatever was sent in earlier ones is gone.
-      for (const task of [...this.presumed.values()]) {
+      for (const task of [...this.inFlight.values()]) {
         if (task.sentIn.session < report.session) this.lose(task, outcome);
       }
       // Its lease ran out: perhaps its reports arrive but our answers do not.
@@ -172,9 +172,9 @@
     // report that carries the token cannot be a late copy from before.
     if (report.token >= this.token(partitionVersion)) {
       this.hears = true;
-      this.resolved = true;
+      this.confirmed = true;
     }
-    if (this.heardNobody(report, partitionVersion, now, leaseMs)) this.resolved = true;
+    if (this.heardNobody(report, partitionVersion, now, leaseMs)) this.confirmed = true;
     this.exited.clear();
     // Exits first: a start refused as `busy` stands beside the live attempt that it met.
     for (const t of report.tasks) if (t.phase === 'exited') this.takeExit(t, outcome);
@@ -182,19 +182,19 @@
     for (const t of report.tasks) {
       if (t.phase === 'exited') continue;
       const key = taskKey(t.ref, t.index);
-      const presumed = this.presumed.get(key);
+      const inFlight = this.inFlight.get(key);
       live.add(key);
-      if (!presumed) {
+      if (!inFlight) {
         outcome.strangers.push(t);
         continue;
       }
-      presumed.attempt = t.attempt;
-      presumed.phase = 'seen';
-      presumed.saving = t.phase === 'saving';
-      if (t.phase === 'running') presumed.runningSince ??= now;
+      inFlight.attempt = t.attempt;
+      inFlight.phase = 'seen';
+      inFlight.saving = t.phase === 'saving';
+      if (t.phase === 'running') inFlight.runningSince ??= now;
     }
     let vanished = false;
-    for (const [key, task] of [...this.presumed]) {
+    for (const [key, task] of [...this.inFlight]) {
       if (live.has(key)) continue;
       // Starts travel only in answers to reports, which the worker either takes before its next report or
       // drops: a newer report without the task proves that it is not there.
@@ -210,16 +210,16 @@
 
   private takeExit(t: ReportedTask, outcome: ReportOutcome): void {
     const key = taskKey(t.ref, t.index);
-    const presumed = this.presumed.get(key);
-    const mine = presumed?.attempt === t.attempt ? presumed : null;
+    const inFlight = this.inFlight.get(key);
+    const mine = inFlight?.attempt === t.attempt ? inFlight : null;
     const { ref, index, attempt } = t;
-    const exit: Exit = { ref, index, attempt, reason: t.exit ?? 'other', presumed: mine };
+    const exit: Exit = { ref, index, attempt, reason: t.exit ?? 'other', inFlight: mine };
     this.exited.set(`${key}#${attempt}`, exit);
     if (mine) this.remove(mine);
     outcome.exits.push(exit);
   }
 
-  private lose(task: Presumed, outcome: ReportOutcome): void {
+  private lose(task: InFlightTask, outcome: ReportOutcome): void {
     this.remove(task);
     outcome.lost.push(task);
   }
@@ -232,7 +232,7 @@
       commands.push({ op: 'forget', ref: exit.ref, index: exit.index, attempt: exit.attempt });
       this.exited.delete(key);
     }
-    for (const { ref, index, attempt, stop, saving } of this.presumed.values()) {
+    for (const { ref, index, attempt, stop, saving } of this.inFlight.values()) {
       // A second stop would cut the saving short; without grace that is what is wanted.
       if (!stop || (saving && stop.graceS > 0)) continue;
       commands.push({ op: 'stop', ref, index, attempt, graceS: stop.graceS });
@@ -261,8 +261,8 @@
   }
 
   /** Takes a live task over that an earlier owner started. */
-  adopt(t: ReportedTask, spec: JobSpec | null, now: number): Presumed {
-    const task: Presumed = {
+  adopt(t: ReportedTask, spec: JobSpec | null, now: number): InFlightTask {
+    const task: InFlightTask = {
       ...{ ref: t.ref, index: t.index, attempt: t.attempt, spec, phase: 'seen', stop: null },
       ...{ saving: t.phase === 'saving', runningSince: t.phase === 'running' ? now : null },
       sentIn: { session: this.session, seq: this.seq },
@@ -277,20 +277,20 @@
 
   /**
    * Once nobody can have answered the worker for a whole lease, its tasks are gone. Returns them and counts
-   * the machine as resolved.
+   * the machine as confirmed.
    */
-  expire(now: number, leaseMs: number): Presumed[] | null {
+  expire(now: number, leaseMs: number): InFlightTask[] | null {
     if (!this.leaseOver(this.leaseFrom, now, leaseMs)) return null;
-    const lost = [...this.presumed.values()];
-    if (lost.length === 0 && this.resolved) return null;
+    const lost = [...this.inFlight.values()];
+    if (lost.length === 0 && this.confirmed) return null;
     for (const task of lost) this.remove(task);
-    this.resolved = true;
+    this.confirmed = true;
     return lost;
   }
 
   /** It is gone, and everything on it. */
-  clear(): Presumed[] {
-    const lost = [...this.presumed.values()];
+  clear(): InFlightTask[] {
+    const lost = [...this.inFlight.values()];
     for (const task of lost) this.remove(task);
     return lost;
   }
--- a/src/coordination/partition-actor.ts
+++ b/src/coordination/partition-actor.ts
@@ -3,7 +3,7 @@
 import { type Log } from '../transport/log';
 import { type ReplicaView, type StoredProgress } from '../storage/replica-view';
 import { ProgressSlots } from '../storage/progress';
-import { openMachines } from '../storage/opened';
+import { recordAssigned } from '../storage/assigned-machines';
 import { editFleet } from '../storage/fleets';
 import { RequestPriority, type Ledger } from '../storage/ledger';
 import {
@@ -32,7 +32,7 @@
   | { kind: 'retire'; machine: string; why: string; force: boolean }
   | { kind: 'handover'; to: string; incarnation: number }
   | { kind: 'recorded'; jobs: ReadonlyMap<string, JobProgress> }
-  | { kind: 'opened'; machines: string[] }
+  | { kind: 'assigned'; machines: string[] }
   | { kind: 'relent'; machines: string[] };
 
 /** Whether we may act for the partition, and keep what its machines run. */
@@ -53,9 +53,9 @@
 /** Machines that have not spoken by then are gone, or cut from us: life goes on. */
 const SETTLING_MS = 8000;
 const PROGRESS_CALL_MS = 2000;
-/** Of the changes that the state service allows, one in this many raises marks, and another opens machines. */
-const MARKS_SHARE = 4;
-const LEAST_MARKS_MS = 400;
+/** Of the changes that the state service allows, one in this many raises start watermarks, and another opens machines. */
+const WATERMARK_WRITES_SHARE = 4;
+const MIN_WATERMARK_INTERVAL_MS = 400;
 /** How many ends are told with one change at most, and how large their value may grow. */
 const FINALS_AT_ONCE = 30;
 const FINAL_BYTES = 1500;
@@ -72,8 +72,8 @@
   private finishing = false;
   private recording = false;
   private recordedAt = Number.NEGATIVE_INFINITY;
-  private opening = false;
-  private openedAt = Number.NEGATIVE_INFINITY;
+  private writingAssigned = false;
+  private assignedWriteAt = Number.NEGATIVE_INFINITY;
   private readonly slots: ProgressSlots;
   private readonly since: number;
   private settled = false;
@@ -137,7 +137,7 @@
         if (this.relends.size > 0) void this.writeRelends();
         if (this.core.finals.size > 0) void this.writeFinals();
         void this.writeProgress(now);
-        void this.writeOpened(now);
+        void this.writeAssigned(now);
         return;
       case 'move':
         if (!this.active) return;
@@ -154,8 +154,8 @@
       case 'recorded':
         this.core.recorded(message.jobs);
         return;
-      case 'opened':
-        this.core.open(message.machines);
+      case 'assigned':
+        this.core.markAssigned(message.machines);
         return;
       case 'relent':
         // Those that moved are not here any more, those that go back stay locked by their record.
@@ -165,12 +165,12 @@
 
   /** Just taken over, and machines are still to speak. */
   settling(now: number): boolean {
-    return this.core.unresolved > 0 && now - this.since < SETTLING_MS;
+    return this.core.unconfirmed > 0 && now - this.since < SETTLING_MS;
   }
 
   /** How long a take-over kept tasks waiting, and what it cost. */
   private tellSettled(now: number): void {
-    if (this.settled || this.core.unresolved > 0) return;
+    if (this.settled || this.core.unconfirmed > 0) return;
     this.settled = true;
     const { lost, reports, stale } = this.core.counters;
     const seconds = Math.round((now - this.since) / 100) / 10;
@@ -206,18 +206,18 @@
   /** The least time between two writes of a kind that tasks wait for. */
   private get betweenMs(): number {
     const { partitions, writeRate } = this.options;
-    return Math.max(LEAST_MARKS_MS, (1000 * MARKS_SHARE * partitions) / writeRate);
+    return Math.max(MIN_WATERMARK_INTERVAL_MS, (1000 * WATERMARK_WRITES_SHARE * partitions) / writeRate);
   }
 
   /** Tells the store on which machines tasks are about to be started for the first time. */
-  private async writeOpened(now: number): Promise<void> {
-    if (this.opening || now - this.openedAt < this.betweenMs) return;
-    const machines = this.core.unopened();
+  private async writeAssigned(now: number): Promise<void> {
+    if (this.writingAssigned || now - this.assignedWriteAt < this.betweenMs) return;
+    const machines = this.core.unassigned();
     if (machines.length === 0) return;
-    this.opening = true;
-    this.openedAt = now;
+    this.writingAssigned = true;
+    this.assignedWriteAt = now;
     const lives = (id: string): boolean => this.core.machines.has(id);
-    const { ids, condition, write } = openMachines(
+    const { ids, condition, write } = recordAssigned(
       this.replica,
       this.core.id,
       machines,
@@ -231,30 +231,30 @@
       PROGRESS_CALL_MS,
     );
     if (result.kind === 'applied') {
-      this.tell({ kind: 'opened', machines: ids });
+      this.tell({ kind: 'assigned', machines: ids });
       await this.ledger.caughtUp(result.revision, PROGRESS_CALL_MS);
     }
-    this.opening = false;
+    this.writingAssigned = false;
   }
 
   // Progress.
 
-  /** Now and then, and sooner if tasks wait for their marks. Only values that differ are written. */
+  /** Now and then, and sooner if tasks wait for their start watermarks. Only values that differ are written. */
   private async writeProgress(now: number): Promise<void> {
     const { txnOps, progressMs } = this.options;
     if (this.recording || now - this.recordedAt < this.betweenMs) return;
-    const { jobs, marksRaised } = this.core.progress(now);
-    if (!marksRaised && now - this.recordedAt < progressMs) return;
+    const { jobs, watermarksRaised } = this.core.progress(now);
+    if (!watermarksRaised && now - this.recordedAt < progressMs) return;
     this.recordedAt = now;
     const values = this.slots.changed(jobs).slice(0, txnOps);
     if (values.length === 0) return;
     this.recording = true;
-    const priority = marksRaised ? RequestPriority.Decision : RequestPriority.Progress;
+    const priority = watermarksRaised ? RequestPriority.Decision : RequestPriority.Progress;
     const writes = values.map(({ slot, jobs: inSlot }) => ({
       put: keys.progress(this.core.id, slot),
       value: encodeProgress(inSlot),
     }));
-    // An earlier try that is applied late must not bring lower marks back.
+    // An earlier try that is applied late must not bring lower start watermarks back.
     const unchanged = writes.map(({ put }) => ({ key: put, version: this.ledger.version(put) }));
     const result = await this.ledger.txn([this.mine, ...unchanged], writes, priority, PROGRESS_CALL_MS);
     if (result.kind === 'applied') await this.ledger.caughtUp(result.revision, PROGRESS_CALL_MS);
--- a/src/coordination/partition-load.ts
+++ b/src/coordination/partition-load.ts
@@ -20,7 +20,7 @@
   return {
     partition: partition.id,
     version: partition.version,
-    unresolved: partition.unresolved,
+    unconfirmed: partition.unconfirmed,
     workLeft,
     quietS: (now - partition.lastArrival) / 1000,
     backlog,
--- a/src/coordination/partition.ts
+++ b/src/coordination/partition.ts
@@ -5,13 +5,13 @@
 import { type Objective, type Quantity, type Team } from '../protocol/settings';
 import { type Command, type Report, type ReportedTask } from '../protocol/workers';
 import { PartitionJob } from './job';
-import { MachineState, taskKey, type Exit, type Presumed } from './machine';
+import { MachineState, taskKey, type Exit, type InFlightTask } from './machine';
 import { partitionLoad } from './partition-load';
 import { PartitionPipelines } from './pipelines';
 import { allows, fits, zoneRoom, type Free } from './placement';
-import { Unresolved } from './unresolved';
-import { inTurn } from './queue';
-import { duesOf, Estimates } from './urgency';
+import { UnconfirmedMachines } from './unconfirmed-machines';
+import { schedulingOrder } from './scheduling-order';
+import { deadlinesOf, Estimates } from './priority';
 
 export interface PartitionOptions {
   reportMs: number;
@@ -27,15 +27,15 @@
 /** A task that has run for less than this is not stopped for another partition's sake: it would seem never to have begun. */
 const RUN_BEFORE_STOP_MS = 30_000;
 const ATTEMPTS_PER_INCARNATION = 1_000_000;
-/** Marks are raised ahead of what can start now by this share of the partition's machines. */
-const MARK_AHEAD = 0.5;
+/** Start watermarks are raised ahead of what can start now by this share of the partition's machines. */
+const WATERMARK_AHEAD = 0.5;
 /** Of a stored value, what the ranges of one job may take. */
 const RANGES_SHARE = 0.25;
 
 const NOTHING: Quantity = { cpus: 0, accelerators: 0 };
 
-function left(limit: number, used: number, hidden: number): number {
-  return limit === Infinity ? Infinity : limit - used - hidden;
+function left(limit: number, used: number, reserved: number): number {
+  return limit === Infinity ? Infinity : limit - used - reserved;
 }
 
 function addTo(sums: Map<string, Quantity>, spec: JobSpec, tasks: number): void {
@@ -62,16 +62,16 @@
   private readonly used = new Map<string, Quantity>();
   private readonly limits = new Map<string, Team>();
   private attempts = 0;
-  private readonly silent = new Unresolved();
+  private readonly unconfirmedMachines = new UnconfirmedMachines();
   /** What may be on machines that have not spoken, by team; null: to be summed up anew. */
-  private hidden: Map<string, Quantity> | null = null;
+  private reserved: Map<string, Quantity> | null = null;
   /** What jobs that are over may still have there. */
-  private readonly leftOvers = new Map<string, Quantity>();
+  private readonly cancelledReserve = new Map<string, Quantity>();
   private readonly ended = new Map<string, FinalState>();
   private readonly pipelines = new PartitionPipelines();
   /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
   private slackCpus: number | null = null;
-  readonly counters = { started: 0, done: 0, lost: 0, failed: 0, reports: 0, stale: 0, looks: 0 };
+  readonly counters = { started: 0, done: 0, lost: 0, failed: 0, reports: 0, stale: 0, placementPasses: 0 };
 
   constructor(
     readonly id: string,
@@ -83,7 +83,7 @@
     private readonly settled: (ref: string) => JobSpec | undefined,
     readonly options: PartitionOptions,
     /** Machines that tasks may have been started on, as the store knows: nothing starts on any other. */
-    private readonly opened: Set<string> = new Set<string>(),
+    private readonly assigned: Set<string> = new Set<string>(),
   ) {
     for (const team of teams) {
       this.limits.set(team.name, team);
@@ -112,11 +112,11 @@
     }
     // Lent to this partition after we took it over: it came with nothing on it (see `lock`). The same if no owner of this
     // partition has opened it: most of what boots while a partition changes hands would hold up its work for a whole lease.
-    const clean = version > this.version || !this.opened.has(id);
+    const clean = version > this.version || !this.assigned.has(id);
     const machine = new MachineState(id, record, version, clean, now);
     machine.locked = record.phase === 'returning';
     this.machines.set(id, machine);
-    if (!clean) this.silent.put(id, this.free(machine));
+    if (!clean) this.unconfirmedMachines.put(id, this.free(machine));
   }
 
   /** The machine is gone, and everything on it. */
@@ -125,15 +125,15 @@
     if (!machine) return;
     this.machines.delete(id);
     // The store's list forgets it as well: should it come back, it is opened anew.
-    this.opened.delete(id);
+    this.assigned.delete(id);
     for (const task of machine.clear()) this.giveBack(task);
-    this.resolved(id);
+    this.confirmed(id);
   }
 
   /** Locks an empty machine, to be moved or returned. False if it is not empty or not known well enough. */
   lock(id: string): boolean {
     const machine = this.machines.get(id);
-    if (!machine || machine.locked || !machine.resolved || machine.tasks.size > 0) return false;
+    if (!machine || machine.locked || !machine.confirmed || machine.tasks.size > 0) return false;
     machine.locked = true;
     return true;
   }
@@ -161,7 +161,7 @@
   }
 
   /** Reserves room for a task that is to go on elsewhere in this partition; false: there is none beyond what waits. */
-  private takeSlack({ spec }: Presumed, now: number): boolean {
+  private takeSlack({ spec }: InFlightTask, now: number): boolean {
     if (!spec || spec.checkpointS <= 0) return false;
     this.slackCpus ??= this.freeCpus(now) - this.waitingCpus();
     if (this.slackCpus < spec.cpus) return false;
@@ -187,17 +187,17 @@
    * room in the store's list, so they are forgotten here as well: one that had been here under an earlier owner came back
    * from another partition and was given tasks, though it was on the list no more, and the next owner took it for empty.
    */
-  unopened(): string[] {
-    for (const id of this.opened) if (!this.machines.has(id)) this.opened.delete(id);
+  unassigned(): string[] {
+    for (const id of this.assigned) if (!this.machines.has(id)) this.assigned.delete(id);
     const found = [];
     for (const m of this.machines.values())
-      if (!this.opened.has(m.id) && !m.locked && m.lastReport !== null) found.push(m.id);
+      if (!this.assigned.has(m.id) && !m.locked && m.lastReport !== null) found.push(m.id);
     return found;
   }
 
   /** The store knows now that tasks may be on these. */
-  open(machines: readonly string[]): void {
-    for (const id of machines) if (this.machines.has(id)) this.opened.add(id);
+  markAssigned(machines: readonly string[]): void {
+    for (const id of machines) if (this.machines.has(id)) this.assigned.add(id);
   }
 
   /** Machines that were emptied for another partition. */
@@ -220,14 +220,14 @@
   }
 
   /** Nothing that an earlier owner started can be on this machine unseen any more. */
-  private resolved(id: string): void {
-    if (!this.silent.remove(id)) return;
-    this.leftOvers.clear();
-    this.walkInterrupted();
+  private confirmed(id: string): void {
+    if (!this.unconfirmedMachines.remove(id)) return;
+    this.cancelledReserve.clear();
+    this.failInterrupted();
   }
 
-  get unresolved(): number {
-    return this.silent.count;
+  get unconfirmed(): number {
+    return this.unconfirmedMachines.count;
   }
 
   // Jobs.
@@ -242,12 +242,12 @@
   ): void {
     if (!this.owns(spec.team) || this.jobs.has(spec.ref)) return;
     const suspect = version <= this.version;
-    const dues = duesOf(spec, this.options.objectives);
-    const job = new PartitionJob(spec, acceptedAt, dues, progress, suspect, now);
+    const deadlines = deadlinesOf(spec, this.options.objectives);
+    const job = new PartitionJob(spec, acceptedAt, deadlines, progress, suspect, now);
     this.jobs.set(spec.ref, job);
-    this.hidden = null;
+    this.reserved = null;
     this.pipelines.put(spec, 'open', version);
-    this.walkPipeline(spec.ref);
+    this.applyPipeline(spec.ref);
     this.endIfDone(job);
     this.lastArrival = now;
     this.queueStale = true;
@@ -257,21 +257,21 @@
   putEnded(spec: JobSpec, state: JobState, version: number): void {
     if (!this.owns(spec.team) || !spec.pipeline) return;
     this.pipelines.put(spec, state, version);
-    this.walkPipeline(spec.ref);
+    this.applyPipeline(spec.ref);
   }
 
-  /** A job that was over before we took the partition: called off, its tasks may still be on machines that are silent. */
+  /** A job that was over before we took the partition: cancelled, its tasks may still be on machines that are silent. */
   putOver(spec: JobSpec, state: JobState, version: number): void {
     if (this.owns(spec.team) && state !== 'done' && version <= this.version) this.leaves(spec, spec.tasks);
   }
 
   private leaves(spec: JobSpec, tasks: number): void {
-    addTo(this.leftOvers, spec, tasks);
-    this.hidden = null;
+    addTo(this.cancelledReserve, spec, tasks);
+    this.reserved = null;
   }
 
   /** Holds and releases the jobs of a pipeline as its edges say, and ends those that a failure reaches. */
-  private walkPipeline(ref: string): void {
+  private applyPipeline(ref: string): void {
     const view = this.pipelines.viewOf(ref);
     if (!view) return;
     for (const member of view.standing.keys()) {
@@ -285,20 +285,20 @@
 
   /** A task of this job was begun and is lost. A plain job runs it again; one that may not be rerun has failed. */
   private lostTask(job: PartitionJob): void {
-    if (job.onceOnly && this.pipelines.interrupt(job.ref)) this.walkPipeline(job.ref);
+    if (job.onceOnly && this.pipelines.interrupt(job.ref)) this.applyPipeline(job.ref);
   }
 
   /**
    * All machines have spoken or their leases have run out: whatever an earlier owner started and is neither done nor
    * anywhere was interrupted.
    */
-  private walkInterrupted(): void {
+  private failInterrupted(): void {
     for (const job of this.jobs.values()) if (job.onceOnly && job.interrupted) this.lostTask(job);
   }
 
   /** The store knows how a job ended. */
   closeJob(ref: string, state: JobState): void {
-    if (this.pipelines.closed(ref, state)) this.walkPipeline(ref);
+    if (this.pipelines.closed(ref, state)) this.applyPipeline(ref);
     const job = this.jobs.get(ref);
     if (!job) return;
     job.state = state;
@@ -306,7 +306,7 @@
     this.jobs.delete(ref);
     this.ended.delete(ref);
     this.queueStale = true;
-    // What is out stays presumed, and counted against the quota, until its machine no longer has it.
+    // What is out stays in flight, and counted against the quota, until its machine no longer has it.
     for (const [index, machine] of job.out) {
       const task = machine.tasks.get(taskKey(ref, index));
       if (task) task.stop = { graceS: 0 };
@@ -322,44 +322,46 @@
     return this.ended;
   }
 
-  /** Progress to be written, in arrival order; with marks that let the next tasks in turn start. */
-  progress(now: number): { jobs: Map<string, JobProgress>; marksRaised: boolean } {
+  /** Progress to be written, in arrival order; with start watermarks that let the next tasks in turn start. */
+  progress(now: number): { jobs: Map<string, JobProgress>; watermarksRaised: boolean } {
     const jobs = new Map<string, JobProgress>();
-    let marksRaised = false;
+    let watermarksRaised = false;
     let room = this.roomAhead(now);
     const teams = new Map<string, number>();
-    const settled = this.unresolved === 0;
+    const settled = this.unconfirmed === 0;
     for (const job of this.sorted()) {
       if (job.state !== 'open' || job.finished) continue;
       const waiting = Math.min(job.waitingNow(settled), job.mostOut(now));
       const { team } = job.spec;
       // What its team's limit holds back takes no room ahead: it once kept those behind from ever being marked.
-      const ofTeam = teams.get(team) ?? this.room(team).cpus + MARK_AHEAD * (this.used.get(team)?.cpus ?? 0);
+      const ofTeam =
+        teams.get(team) ?? this.room(team).cpus + WATERMARK_AHEAD * (this.used.get(team)?.cpus ?? 0);
       const able = Math.floor(Math.min(room, ofTeam) / Math.max(job.spec.cpus, 0.01));
       const wants = job.held ? 0 : Math.max(0, Math.min(waiting, able));
       room -= wants * job.spec.cpus;
       teams.set(team, ofTeam - wants * job.spec.cpus);
-      const mark = wants > 0 ? Math.max(job.mark, job.markFor(wants, settled)) : job.mark;
-      if (mark > job.mark) marksRaised = true;
+      const startWatermark =
+        wants > 0 ? Math.max(job.startWatermark, job.watermarkFor(wants, settled)) : job.startWatermark;
+      if (startWatermark > job.startWatermark) watermarksRaised = true;
       else if (!job.hasProgress) continue;
-      jobs.set(job.ref, { ...job.progress(this.rangeBytes), mark });
+      jobs.set(job.ref, { ...job.progress(this.rangeBytes), startWatermark });
     }
-    return { jobs, marksRaised };
+    return { jobs, watermarksRaised };
   }
 
-  /** CPUs that could be given out until marks are raised the next time. */
+  /** CPUs that could be given out until start watermarks are raised the next time. */
   private roomAhead(now: number): number {
     let room = 0;
     for (const machine of this.machines.values()) {
       const has = this.capacity(machine);
       if (!has) continue;
-      room += MARK_AHEAD * has.cpus;
+      room += WATERMARK_AHEAD * has.cpus;
       if (!this.unfit(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
     }
     return room;
   }
 
-  /** The store has this progress: tasks before the marks may start, exits that it tells of may be forgotten. */
+  /** The store has this progress: tasks before the start watermarks may start, exits that it tells of may be forgotten. */
   recorded(jobs: ReadonlyMap<string, JobProgress>): void {
     for (const [ref, progress] of jobs) this.jobs.get(ref)?.recorded(progress);
   }
@@ -376,7 +378,7 @@
       this.counters.stale++;
       return { token: machine.token(this.version), commands: [] };
     }
-    const wasResolved = machine.resolved;
+    const wasConfirmed = machine.confirmed;
     // What booted until now was not idle: counted from its rental it would be returned the moment it is up.
     if (machine.lastReport === null) machine.idleSince = now;
     const outcome = machine.take(report, this.version, now, this.options.leaseMs);
@@ -386,11 +388,11 @@
     }
     for (const exit of outcome.exits) this.exited(machine, exit, now);
     for (const stranger of outcome.strangers) this.adopt(machine, stranger, now);
-    if (!wasResolved) {
-      if (machine.resolved) this.resolved(machine.id);
-      else this.silent.put(machine.id, this.free(machine));
+    if (!wasConfirmed) {
+      if (machine.confirmed) this.confirmed(machine.id);
+      else this.unconfirmedMachines.put(machine.id, this.free(machine));
     }
-    this.hidden = null;
+    this.reserved = null;
     if (machine.noticeUntil !== null) this.drain(machine, now);
     if (machine.tasks.size > 0) machine.idleSince = now;
     const commands = machine.answer((exit) => this.forgettable(exit), now);
@@ -404,9 +406,9 @@
   }
 
   private exited(machine: MachineState, exit: Exit, now: number): void {
-    if (exit.presumed) this.giveBack(exit.presumed, false);
+    if (exit.inFlight) this.giveBack(exit.inFlight, false);
     const job = this.jobs.get(exit.ref);
-    const since = exit.presumed?.runningSince;
+    const since = exit.inFlight?.runningSince;
     if (job && exit.reason === 'done' && typeof since === 'number' && job.spec.checkpointS === 0) {
       this.estimates.learn(job.spec.workload, job.spec.expectedS, (now - since) / 1000);
     }
@@ -422,7 +424,7 @@
       this.endIfDone(job);
       return;
     }
-    if (!exit.presumed) return;
+    if (!exit.inFlight) return;
     if (exit.reason !== 'no_room' && exit.reason !== 'busy') this.lostTask(job);
     if (exit.reason === 'error' || exit.reason === 'unknown') {
       this.counters.failed++;
@@ -431,7 +433,7 @@
       const errors = job.fails(exit.index);
       // Tried again elsewhere, with growing pauses: the job is not over until its user says so.
       job.waits(exit.index, now + Math.min(30_000, 250 * 2 ** errors));
-      if (job.atFault) job.pause(now);
+      if (job.faulty) job.pause(now);
     } else if (exit.reason === 'no_room') {
       job.waits(exit.index, now + this.options.reportMs);
     }
@@ -445,22 +447,22 @@
   private adopt(machine: MachineState, t: ReportedTask, now: number): void {
     const job = this.jobs.get(t.ref);
     const spec = this.specOf(t.ref);
-    const presumed = machine.adopt(t, spec ?? null, now);
+    const inFlight = machine.adopt(t, spec ?? null, now);
     if (spec) this.reserve(spec, 1);
     if (job?.has(t.index) && job.isWaiting(t.index)) {
       job.goesOut(t.index, machine);
       machine.images.add(job.spec.image);
     } else {
-      presumed.stop = { graceS: 0 };
+      inFlight.stop = { graceS: 0 };
     }
   }
 
-  /** A presumed task is surely not on its machine any more. */
-  private giveBack(task: Presumed, lost = true): void {
+  /** A in flight task is surely not on its machine any more. */
+  private giveBack(task: InFlightTask, lost = true): void {
     if (task.spec) this.reserve(task.spec, -1);
     const job = this.jobs.get(task.ref);
     const machine = job?.out.get(task.index);
-    // The same task may be presumed on another machine too, being stopped there.
+    // The same task may be in flight on another machine too, being stopped there.
     if (!job || machine?.tasks.has(taskKey(task.ref, task.index))) return;
     job.comesBack(task.index);
     this.endIfDone(job);
@@ -493,7 +495,7 @@
   }
 
   /** Stops a task that can go on elsewhere from what it saves. */
-  private saveElsewhere(task: Presumed): void {
+  private saveElsewhere(task: InFlightTask): void {
     const job = this.jobs.get(task.ref);
     if (!job || job.onceOnly || job.spec.checkpointS <= 0 || task.stop) return;
     task.stop = { graceS: job.spec.saveS + 1 };
@@ -512,9 +514,9 @@
       if (!lost) continue;
       this.counters.lost += lost.length;
       for (const task of lost) this.giveBack(task);
-      this.resolved(machine.id);
+      this.confirmed(machine.id);
     }
-    this.hidden = null;
+    this.reserved = null;
     this.slackCpus = null;
     this.chooseMachines(now);
   }
@@ -534,34 +536,34 @@
 
   /** Whether tasks may be started on it at all: nothing unseen is there, it hears us, and the store knows. */
   private takesWork(machine: MachineState, now: number): boolean {
-    return machine.resolved && machine.hears && this.opened.has(machine.id) && !this.unfit(machine, now);
+    return machine.confirmed && machine.hears && this.assigned.has(machine.id) && !this.unfit(machine, now);
   }
 
   /** What a team may still use, counting all of its own that may be on machines that have not spoken yet. */
   room(team: string): Quantity {
     const limit = this.limits.get(team)?.limit ?? NOTHING;
     const used = this.used.get(team) ?? NOTHING;
-    const hidden = this.hiddenOf(team);
+    const reserved = this.reservedFor(team);
     // Without a limit nothing that may run unseen matters.
     return {
-      cpus: left(limit.cpus, used.cpus, hidden.cpus),
-      accelerators: left(limit.accelerators, used.accelerators, hidden.accelerators),
+      cpus: left(limit.cpus, used.cpus, reserved.cpus),
+      accelerators: left(limit.accelerators, used.accelerators, reserved.accelerators),
     };
   }
 
   /**
    * What of a team may run unseen: no more than the machines that have not spoken have room for, nor than the tasks
-   * that an earlier owner may have started, that are neither done nor seen, and what jobs called off may have left.
+   * that an earlier owner may have started, that are neither done nor seen, and what jobs cancelled may have left.
    * To count those machines as full against every team would hold teams back that have nothing on them.
    */
-  private hiddenOf(team: string): Quantity {
-    if (this.silent.count === 0) return NOTHING;
-    if (!this.hidden) {
-      this.hidden = new Map([...this.leftOvers].map(([name, left]) => [name, { ...left }]));
-      for (const { spec, suspects } of this.jobs.values()) addTo(this.hidden, spec, suspects);
+  private reservedFor(team: string): Quantity {
+    if (this.unconfirmedMachines.count === 0) return NOTHING;
+    if (!this.reserved) {
+      this.reserved = new Map([...this.cancelledReserve].map(([name, left]) => [name, { ...left }]));
+      for (const { spec, suspects } of this.jobs.values()) addTo(this.reserved, spec, suspects);
     }
-    const own = this.hidden.get(team) ?? NOTHING;
-    const { most } = this.silent;
+    const own = this.reserved.get(team) ?? NOTHING;
+    const { most } = this.unconfirmedMachines;
     return {
       cpus: Math.min(most.cpus, own.cpus),
       accelerators: Math.min(most.accelerators, own.accelerators),
@@ -575,7 +577,7 @@
     let cpus = 1;
     for (const m of this.machines.values()) cpus += this.capacity(m)?.cpus ?? 0;
     const { estimates, limits, today } = this;
-    this.queue = inTurn([...this.jobs.values()], {
+    this.queue = schedulingOrder([...this.jobs.values()], {
       ...{ cpus, estimates, limits, today },
       objectives: this.options.objectives,
     });
@@ -611,9 +613,9 @@
     if (machine.passedOver || !this.takesWork(machine, now)) return;
     const free = this.free(machine);
     if (!free || free.cpus <= 0) return;
-    this.counters.looks++;
+    this.counters.placementPasses++;
     const queue = this.sorted();
-    const settled = this.unresolved === 0;
+    const settled = this.unconfirmed === 0;
     for (let from = 0; from < queue.length && free.cpus > 0;) {
       const rank = queue[from]?.rank;
       let to = from;
@@ -639,14 +641,14 @@
     const room = this.room(spec.team);
     n = Math.min(
       n,
-      job.waitingNow(this.unresolved === 0),
+      job.waitingNow(this.unconfirmed === 0),
       job.mostOut(now),
       fits({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 }),
     );
     if (n > 0 && (spec.together || spec.apart))
       n = Math.min(n, zoneRoom(spec, machine.record.zone, this.zonesOf(job)));
     if (n === 0) return;
-    for (const index of job.startable(n, this.unresolved === 0, now)) {
+    for (const index of job.startable(n, this.unconfirmed === 0, now)) {
       if (machine.tasks.has(taskKey(job.ref, index))) continue;
       commands.push(machine.start(spec, index, this.version * ATTEMPTS_PER_INCARNATION + ++this.attempts));
       machine.images.add(spec.image);
@@ -662,7 +664,7 @@
 
   private zonesOf(job: PartitionJob): Map<string, number> {
     const zones = new Map<string, number>();
-    // Not only `out`: a task may also be presumed on a machine where it is being stopped.
+    // Not only `out`: a task may also be in flight on a machine where it is being stopped.
     for (const machine of this.machines.values()) {
       for (const task of machine.tasks.values()) {
         if (task.ref !== job.ref) continue;
@@ -685,7 +687,7 @@
     let doubtful = 0;
     for (const [ref, n] of machine.failing) {
       const job = this.jobs.get(ref);
-      if (!job || job.atFault) continue;
+      if (!job || job.faulty) continue;
       if (job.done > 0) failures += n;
       else if (!machine.proven) failures += n;
       else doubtful++;
@@ -704,6 +706,6 @@
       return { urgency: name, jobs: jobs.length, waiting: jobs.reduce((n, j) => n + j.waiting, 0) };
     });
     const { size } = this.machines;
-    return { partition: this.id, machines: size, unresolved: this.unresolved, byRank, ...this.counters };
+    return { partition: this.id, machines: size, unconfirmed: this.unconfirmed, byRank, ...this.counters };
   }
 }
--- a/src/coordination/pipelines.ts
+++ b/src/coordination/pipelines.ts
@@ -1,6 +1,13 @@
 import { type JobSpec, type PipelineStanding } from '../protocol/jobs';
 import { type FinalState, type JobState } from '../protocol/records';
-import { failJob, mayBegin, walk, type Edge, type PipelineNode, type WalkResult } from './recovery';
+import {
+  failJob,
+  mayBegin,
+  recoveryPass,
+  type Edge,
+  type PipelineNode,
+  type RecoveryResult,
+} from './recovery';
 
 /** A job of a pipeline, as far as its pipeline cares. */
 export interface Member {
@@ -37,7 +44,7 @@
   const over = new Map<number, FinalState>();
   const released = new Set<number>();
   let failed = false;
-  const take = (result: WalkResult): void => {
+  const take = (result: RecoveryResult): void => {
     for (const i of result.fail) over.set(i, 'failed');
     for (const i of result.cancel) over.set(i, 'dropped');
     for (const i of result.release) released.add(i);
@@ -49,7 +56,7 @@
   });
   // What stands in for a failed job begins once the failure is on record: a later owner could not tell it again.
   const begun = new Set(released);
-  take(walk(nodes, edges, [...nodes.keys()]));
+  take(recoveryPass(nodes, edges, [...nodes.keys()]));
   const ready = new Set<string>();
   const decided = new Map<string, FinalState>();
   const standing = new Map<string, PipelineStanding>();
--- a/src/coordination/placement.ts
+++ b/src/coordination/placement.ts
@@ -38,7 +38,7 @@
   return (job.zone === null || job.zone === machine.zone) && allowsKind(job, machine);
 }
 
-/** How many more tasks of a job a zone may take, given where its tasks are presumed to be now. */
+/** How many more tasks of a job a zone may take, given where its tasks are in flight to be now. */
 export function zoneRoom(spec: JobSpec, zone: string, placed: ReadonlyMap<string, number>): number {
   if (spec.together) {
     for (const [other, count] of placed) if (other !== zone && count > 0) return 0;
@@ -48,7 +48,7 @@
 }
 
 /**
- * The zones in which more tasks of a job may start, given where they are presumed to be now; null: all. Room elsewhere is
+ * The zones in which more tasks of a job may start, given where they are in flight to be now; null: all. Room elsewhere is
  * none for it, and machines rented there would leave it waiting for ever.
  */
 export function openZones(
--- a/src/coordination/urgency.ts
+++ b/src/coordination/priority.ts
@@ -2,34 +2,39 @@
 import { type Objective } from '../protocol/settings';
 
 /** The times, in seconds from its submission, by which a job is expected to be done; earliest first. */
-export function duesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
-  const dues: number[] = [];
+export function deadlinesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
+  const deadlines: number[] = [];
   for (const o of objectives) {
     if (o.kind === 'guarantee' || o.workload !== spec.workload) continue;
-    if (o.kind === 'finished') dues.push(o.withinS);
-    else if (spec.deadlineS !== null) dues.push(spec.deadlineS * o.times);
+    if (o.kind === 'finished') deadlines.push(o.withinS);
+    else if (spec.deadlineS !== null) deadlines.push(spec.deadlineS * o.times);
   }
-  if (dues.length === 0 && spec.deadlineS !== null) dues.push(spec.deadlineS);
-  return dues.sort((a, b) => a - b);
+  if (deadlines.length === 0 && spec.deadlineS !== null) deadlines.push(spec.deadlineS);
+  return deadlines.sort((a, b) => a - b);
 }
 
 /**
- * How many of its dues a job has missed for certain, `runS` being the least that it still needs. A job that
+ * How many of its deadlines a job has missed for certain, `runS` being the least that it still needs. A job that
  * can be in time no more goes behind those that can. One that has been late for as long again as its last due
  * goes before them: nobody is forgotten for good.
  */
-export function missed(dues: readonly number[], ageS: number, runS: number): number {
-  const last = dues[dues.length - 1];
+export function lateness(deadlines: readonly number[], ageS: number, runS: number): number {
+  const last = deadlines[deadlines.length - 1];
   if (last === undefined || ageS > 2 * last) return 0;
-  return dues.filter((due) => ageS + runS > due).length;
+  return deadlines.filter((due) => ageS + runS > due).length;
 }
 
 /**
  * The urgency that a job is placed with: one step up once half of the time to its first due is gone while it can
  * still be met. Waiting behind everything more urgent until it is too late helps nobody.
  */
-export function effectiveRank(spec: JobSpec, dues: readonly number[], ageS: number, runS: number): number {
-  const due = dues[0];
+export function effectivePriority(
+  spec: JobSpec,
+  deadlines: readonly number[],
+  ageS: number,
+  runS: number,
+): number {
+  const due = deadlines[0];
   if (due === undefined || spec.rank < URGENCIES.length - 1) return spec.rank;
   return ageS > due / 2 && ageS + runS <= due ? spec.rank - 1 : spec.rank;
 }
@@ -55,7 +60,7 @@
 }
 
 /** Whether a job has waited so long that it goes up: nobody starves, and a guarantee counts for more than urgency. */
-export function raised(rank: number, waited: Waited, objectives: readonly Objective[]): number {
+export function raisedPriority(rank: number, waited: Waited, objectives: readonly Objective[]): number {
   const within = objectives.find((o) => o.kind === 'guarantee')?.withinS ?? GUARANTEE_S;
   const owed = waited.withinGuarantee && waited.ageS > GUARANTEE_SHARE * within;
   if (starves(waited)) return Math.min(rank, RAISED);
--- a/src/coordination/reach.ts
+++ b/src/coordination/reachability.ts
@@ -1,14 +1,14 @@
-import { type PartitionLoad, type StrayCount } from '../protocol/peers';
+import { type PartitionLoad, type MisroutedCount } from '../protocol/peers';
 
 /** For how long a machine that came to the wrong controller counts as stray: it tries the owner, waits 4 s, comes again. */
-const STRAY_MS = 6000;
+const MISROUTED_MS = 6000;
 /** Of a partition's machines, the share that must have come here of late for their reports to be kept waiting. */
 const MANY = 0.1;
 const MANY_LATELY_MS = 2000;
 const FEWEST = 2;
 /** An owner is cut off if it has missed reports of this share of its machines while this share came to others. */
 const UNHEARD = 0.8;
-const STRAYS = 0.25;
+const MISROUTED_SHARE = 0.25;
 /** For this long at least a controller that machines could not reach gets no partition. */
 const SHUNNED_MS = 20_000;
 /** After this long it gets another chance though it has heard nothing: perhaps nobody had a reason to come. */
@@ -16,7 +16,7 @@
 const HEARD_LATELY_MS = 6000;
 
 /** The machines that came to this controller though another owns their partition. */
-export class Strays {
+export class MisroutedReports {
   private readonly came = new Map<string, Map<string, number>>();
 
   note(partition: string, machine: string, now: number): void {
@@ -26,7 +26,7 @@
     here.delete(machine);
     here.set(machine, now);
     for (const [id, at] of here) {
-      if (now - at <= STRAY_MS) break;
+      if (now - at <= MISROUTED_MS) break;
       here.delete(id);
     }
   }
@@ -37,10 +37,10 @@
     return lately >= FEWEST && lately >= MANY * machines;
   }
 
-  counts(now: number): StrayCount[] {
+  counts(now: number): MisroutedCount[] {
     return [...this.came.keys()].map((partition) => ({
       partition,
-      machines: this.within(partition, STRAY_MS, now),
+      machines: this.within(partition, MISROUTED_MS, now),
     }));
   }
 
@@ -53,7 +53,7 @@
 
 /** What a controller tells of the machines that come to it. */
 export interface Heard {
-  strays: readonly StrayCount[];
+  misrouted: readonly MisroutedCount[];
   /** Time since it last heard any machine, -1: never. */
   heardMs: number;
 }
@@ -62,7 +62,7 @@
  * How well machines reach the controllers, as the leader sees it. An owner that is cut from its machines alone keeps its
  * session lease and its partitions; the others would go on sending its machines back to it until all their leases have run out.
  */
-export class Reach {
+export class Reachability {
   private readonly told = new Map<string, Heard & { at: number }>();
   private readonly shunned = new Map<string, number>();
 
@@ -97,15 +97,15 @@
     // One that hears some machine, late as it may, is not cut off but has too much to do: a take-over makes it more.
     const heardMs = this.told.get(owner)?.heardMs ?? 0;
     if (heardMs < tooLong) return null;
-    const straysAt = (member: string): number => {
+    const misroutedAt = (member: string): number => {
       const told = this.told.get(member);
       if (!told || now - told.at > HEARD_LATELY_MS) return 0;
-      return told.strays.find((s) => s.partition === load.partition)?.machines ?? 0;
+      return told.misrouted.find((s) => s.partition === load.partition)?.machines ?? 0;
     };
-    const reached = others.filter((m) => m !== owner && !this.avoided(m) && straysAt(m) > 0);
-    const sum = reached.reduce((n, m) => n + straysAt(m), 0);
-    if (sum < Math.max(FEWEST, STRAYS * up.length)) return null;
+    const reached = others.filter((m) => m !== owner && !this.avoided(m) && misroutedAt(m) > 0);
+    const sum = reached.reduce((n, m) => n + misroutedAt(m), 0);
+    if (sum < Math.max(FEWEST, MISROUTED_SHARE * up.length)) return null;
     this.shunned.set(owner, now);
-    return reached.sort((a, b) => straysAt(b) - straysAt(a))[0] ?? null;
+    return reached.sort((a, b) => misroutedAt(b) - misroutedAt(a))[0] ?? null;
   }
 }
--- a/src/coordination/recovery.ts
+++ b/src/coordination/recovery.ts
@@ -23,7 +23,7 @@
   alternates: number[];
 }
 
-export interface WalkResult {
+export interface RecoveryResult {
   /** Interrupted jobs to run again: only their unfinished tasks. */
   rerun: number[];
   fail: number[];
@@ -36,12 +36,12 @@
 }
 
 /** Walks the interrupted jobs from the earliest; `order` gives the jobs in the order in which they began. */
-export function walk(
+export function recoveryPass(
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
   order: readonly number[],
-): WalkResult {
-  const result: WalkResult = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
+): RecoveryResult {
+  const result: RecoveryResult = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
   const state = nodes.map((n) => n.state);
   for (const i of order) {
     const node = nodes[i];
@@ -60,8 +60,18 @@
 }
 
 /** What one job's failure in ordinary running does to the others: the same adjustment as after a crash. */
-export function failJob(nodes: readonly PipelineNode[], edges: readonly Edge[], failed: number): WalkResult {
-  const result: WalkResult = { rerun: [], fail: [failed], cancel: [], release: [], pipelineFailed: false };
+export function failJob(
+  nodes: readonly PipelineNode[],
+  edges: readonly Edge[],
+  failed: number,
+): RecoveryResult {
+  const result: RecoveryResult = {
+    rerun: [],
+    fail: [failed],
+    cancel: [],
+    release: [],
+    pipelineFailed: false,
+  };
   const state = nodes.map((n) => n.state);
   state[failed] = 'failed';
   passFailure(failed, nodes, edges, state, result);
@@ -73,7 +83,7 @@
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
   state: NodeState[],
-  result: WalkResult,
+  result: RecoveryResult,
 ): void {
   const adjust = [first];
   const release = (i: number): void => {
--- a/src/coordination/runs.ts
+++ b/src/coordination/runs.ts
@@ -1,7 +1,7 @@
 import { type Clock } from '../transport/clock';
-import { type Measures } from '../transport/measures';
+import { type Metrics } from '../transport/metrics';
 import { type ReplicaView, type StoredJob } from '../storage/replica-view';
-import { type Intake } from '../storage/intake';
+import { type SubmissionBatcher } from '../storage/submission-batcher';
 import { RequestPriority, type Ledger } from '../storage/ledger';
 import {
   jobAnswer,
@@ -44,11 +44,11 @@
   constructor(
     private readonly ledger: Ledger,
     private readonly replica: ReplicaView,
-    private readonly intake: Intake,
+    private readonly batcher: SubmissionBatcher,
     private readonly clock: Clock,
     private readonly teams: ReadonlyMap<string, Team>,
     private readonly types: () => ReadonlyMap<string, MachineType>,
-    private readonly measures: Measures,
+    private readonly metrics: Metrics,
   ) {}
 
   submit(body: unknown): Promise<UserAnswer> {
@@ -60,13 +60,13 @@
   }
 
   cancel(ref: string): Promise<UserAnswer> {
-    return this.timed('cancellation', this.callOff(ref));
+    return this.timed('cancellation', this.cancelJob(ref));
   }
 
   private async timed(what: string, answer: Promise<UserAnswer>): Promise<UserAnswer> {
     const since = this.clock.steady();
     const result = await answer;
-    this.measures.record(what, this.clock.steady() - since);
+    this.metrics.record(what, this.clock.steady() - since);
     return result;
   }
 
@@ -81,7 +81,7 @@
     if (team && catalog.length === 0) return this.failed('machine types not known yet');
     const job = { spec, accepted: this.clock.today().toISOString() };
     const never = team ? impossible(spec, catalog, team.limit) : `unknown team ${spec.team}`;
-    const tooLarge = !this.intake.holds(job);
+    const tooLarge = !this.batcher.holds(job);
     if (never !== null || tooLarge || spec.pipeline) {
       if (!(await this.ledger.fresh())) return this.failed('no answer yet');
       if (this.replica.jobs.has(spec.ref)) return this.known(spec.ref);
@@ -89,11 +89,11 @@
       if (reason !== null) return { status: 422, body: { error: reason } };
       if (tooLarge) return { status: 400, body: { error: 'the description is too large to be kept' } };
     }
-    if (this.intake.waiting >= MAX_PENDING) {
+    if (this.batcher.waiting >= MAX_PENDING) {
       this.counters.shed++;
       return { status: 429, body: { error: 'overloaded' }, retryAfter: 2 };
     }
-    const result = await this.intake.submit(job);
+    const result = await this.batcher.submit(job);
     if (result === 'known') return this.known(spec.ref);
     if (result === 'failed') return this.failed('no durable answer in time');
     this.counters.accepted++;
@@ -123,7 +123,7 @@
     return job === 'absent' ? unknownJob : { status: 200, body: this.shown(job) };
   }
 
-  private async callOff(ref: string): Promise<UserAnswer> {
+  private async cancelJob(ref: string): Promise<UserAnswer> {
     for (let tries = 0; tries < CANCEL_TRIES; tries++) {
       const job = await this.find(ref);
       if (job === null) break;
@@ -175,7 +175,7 @@
     const running = state === 'open' ? (progress?.running ?? 0) : 0;
     const done = state === 'done' ? spec.tasks : (progress?.doneCount ?? 0);
     const open: JobStatus = running > 0 ? 'running' : 'queued';
-    // A job that failed for its pipeline's sake is over for us but not for its user, who alone may call it off.
+    // A job that failed for its pipeline's sake is over for us but not for its user, who alone may cancel it.
     const status = state === 'done' || state === 'cancelled' ? state : open;
     return jobAnswer(spec.ref, status, done, running, this.standing(spec));
   }
--- a/src/coordination/queue.ts
+++ b/src/coordination/scheduling-order.ts
@@ -1,6 +1,6 @@
 import { type Objective, type Team } from '../protocol/settings';
 import { type PartitionJob } from './job';
-import { effectiveRank, missed, raised, starves, type Estimates } from './urgency';
+import { effectivePriority, lateness, raisedPriority, starves, type Estimates } from './priority';
 
 const STEP_BACK = 4;
 const MOST_STEP_S = 90;
@@ -18,18 +18,18 @@
 }
 
 /** A partition's open jobs in the order in which they get room; notes with each the urgency that it is placed with. */
-export function inTurn(jobs: readonly PartitionJob[], view: QueueView): PartitionJob[] {
+export function schedulingOrder(jobs: readonly PartitionJob[], view: QueueView): PartitionJob[] {
   const owed = withinGuarantee(jobs, view.limits);
   const places = new Map<PartitionJob, { late: number; turn: number }>();
   for (const job of jobs) {
-    const { spec, dues, acceptedAt } = job;
+    const { spec, deadlines, acceptedAt } = job;
     const ageS = (view.today - acceptedAt) / 1000;
     const expectedS = view.estimates.expect(spec);
     const begun = job.begun(view.limits.get(spec.team)?.limit.cpus ?? 0);
     const waited = { ageS, begun, withinGuarantee: owed.has(job) };
-    const rank = effectiveRank(spec, dues, ageS, expectedS * SURELY_NEEDED);
-    job.rank = raised(rank, waited, view.objectives);
-    const late = starves(waited) ? -1 : missed(dues, ageS, expectedS * SURELY_NEEDED);
+    const rank = effectivePriority(spec, deadlines, ageS, expectedS * SURELY_NEEDED);
+    job.rank = raisedPriority(rank, waited, view.objectives);
+    const late = starves(waited) ? -1 : lateness(deadlines, ageS, expectedS * SURELY_NEEDED);
     // Arrival order, but a job steps back by a few times what it would take all our machines: one large job
     // ahead of twenty small ones makes twenty users wait for one. The step is bounded, so none starves.
     const step = (STEP_BACK * spec.tasks * spec.cpus * expectedS) / view.cpus;
--- a/src/coordination/server.ts
+++ b/src/coordination/server.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from 'node:crypto';
 import { createServer } from 'node:http';
 import { type Clock } from '../transport/clock';
-import { BACKLOG, serveFront } from '../transport/front';
+import { BACKLOG, serveReports } from '../transport/report-server';
 import { HttpClient } from '../transport/http-client';
 import { type Log } from '../transport/log';
 import { listenForPeers, PeerLink } from '../transport/peer-link';
@@ -34,7 +34,7 @@
   const general = createServer(gateway(dependencies));
   general.keepAliveTimeout = 120_000;
   general.requestTimeout = 0;
-  const front = serveFront(REPORT_PATH, fastReports(dependencies), general, BODY_LIMIT);
+  const front = serveReports(REPORT_PATH, fastReports(dependencies), general, BODY_LIMIT);
   front.on('error', (error) => log.error({ error }, 'cannot listen'));
   const users = split(settings.listen);
   front.listen(users.port, users.host, BACKLOG);
--- a/src/coordination/staleness.ts
+++ b/src/coordination/staleness.ts
@@ -9,7 +9,7 @@
 const SELDOM_MS = 2000;
 
 /**
- * How long an owner may go on answering workers without knowing which jobs were called off. A cancellation that was
+ * How long an owner may go on answering workers without knowing which jobs were cancelled. A cancellation that was
  * confirmed just after the owner last knew all of them (`freshAsOf`) is unknown to it, and each answer may keep a task of that
  * job for another lease. So the last answer before it hears is given by `freshAsOf + maxStalenessMs`, and then
  *
--- a/src/coordination/unresolved.ts
+++ b/src/coordination/unconfirmed-machines.ts
@@ -6,7 +6,7 @@
  * take-over hears hundreds of first reports, and to look through all machines at each costs the square of the fleet,
  * at the very time when the leases of those not answered yet run out.
  */
-export class Unresolved {
+export class UnconfirmedMachines {
   /** What each of them has free for tasks that nobody has told of; null: unknown. */
   private readonly shares = new Map<string, Quantity | null>();
   private unknown = 0;
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -44,7 +44,7 @@
   demands: Demand[];
   machines: MachineLoad[];
   /** Machines that have not spoken since it was taken over. */
-  unresolved: number;
+  unconfirmed: number;
   /** CPU seconds that the tasks now out are expected to take still, by urgency. */
   workLeft: number[];
   /** CPU seconds that wait, also beyond what the teams' limits allow now, by urgency. */
@@ -54,7 +54,7 @@
 }
 
 /** How many machines of a partition came to a controller that does not own it. */
-export interface StrayCount {
+export interface MisroutedCount {
   partition: string;
   machines: number;
 }
@@ -67,7 +67,7 @@
       storeOk: boolean;
       incarnation: number;
       partitions: PartitionLoad[];
-      strays: StrayCount[];
+      misrouted: MisroutedCount[];
       /** Time since the sender last heard any machine, -1: never. */
       heardMs: number;
       /** The sender's replica holds everything up to this revision of the store. */
@@ -135,11 +135,11 @@
     workLeft: listOf(amount),
     backlog: listOf(amount),
     quietS: amount,
-    unresolved: 'int',
+    unconfirmed: 'int',
   },
   ...{ demands: listOf(demandType), machines: listOf(machineType) },
 });
-const strayType = record('StrayCount', { partition: text, machines: 'int' });
+const misroutedType = record('MisroutedCount', { partition: text, machines: 'int' });
 const messages: Record<PeerMessage['kind'], Record<string, unknown>> = {
   status: {
     ...{
@@ -149,7 +149,7 @@
       incarnation: 'long',
       partitions: listOf(partitionType),
     },
-    ...{ strays: listOf(strayType), heardMs: amount, revision: 'long' },
+    ...{ misrouted: listOf(misroutedType), heardMs: amount, revision: 'long' },
   },
   // New fields come last: a frame of an earlier version is then cut short for us, and ours too long for it.
   pong: {
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -21,7 +21,7 @@
   /** Progress of a partition's open jobs. */
   progress: (partition: string, n: number): string => `${PREFIX}progress/${partition}/${n}`,
   /** Machines of a partition that tasks may have been started on: told before the first start. */
-  opened: (partition: string, n: number): string => `${PREFIX}opened/${partition}/${n}`,
+  assigned: (partition: string, n: number): string => `${PREFIX}opened/${partition}/${n}`,
   /** Machines of a partition. */
   fleet: (partition: string, name: string): string => `${PREFIX}fleet/${partition}/${name}`,
   /** Never written: asking for it tells the store's revision. */
@@ -84,11 +84,11 @@
   doneCount: number;
   running: number;
   /** Tasks from this number on have never been started by anyone. */
-  mark: number;
+  startWatermark: number;
 }
 
 /** Tasks that may be started before the first progress of their job is written. */
-export const FIRST_MARK = 8;
+export const FIRST_WATERMARK = 8;
 
 // A batch: one array a job, in the order of the fields of JobSpec, for names would be half of the value.
 const batchSchema = z.array(
@@ -149,26 +149,28 @@
   return read.success ? read.data : null;
 }
 
-const openedSchema = z.array(z.string());
+const assignedSchema = z.array(z.string());
 
-export function decodeOpened(value: unknown): string[] | null {
-  const read = openedSchema.safeParse(value);
+export function decodeAssigned(value: unknown): string[] | null {
+  const read = assignedSchema.safeParse(value);
   return read.success ? read.data : null;
 }
 
 const progressSchema = z.record(z.string(), z.tuple([z.string(), z.number(), z.number(), z.number()]));
 
 export function encodeProgress(jobs: ReadonlyMap<string, JobProgress>): object {
-  return Object.fromEntries([...jobs].map(([ref, p]) => [ref, [p.done, p.doneCount, p.running, p.mark]]));
+  return Object.fromEntries(
+    [...jobs].map(([ref, p]) => [ref, [p.done, p.doneCount, p.running, p.startWatermark]]),
+  );
 }
 
 export function decodeProgress(value: unknown): Map<string, JobProgress> | null {
   const read = progressSchema.safeParse(value);
   if (!read.success) return null;
   return new Map(
-    Object.entries(read.data).map(([ref, [done, doneCount, running, mark]]) => [
+    Object.entries(read.data).map(([ref, [done, doneCount, running, startWatermark]]) => [
       ref,
-      { done, doneCount, running, mark },
+      { done, doneCount, running, startWatermark },
     ]),
   );
 }
--- a/src/storage/opened.ts
+++ b/src/storage/assigned-machines.ts
@@ -2,7 +2,7 @@
 import { type Condition, type Write } from '../protocol/store';
 import { type ReplicaView } from './replica-view';
 
-export interface OpenedEdit {
+export interface AssignedEdit {
   /** Those that found room; the others are left for the next one. */
   ids: string[];
   condition: Condition;
@@ -13,16 +13,16 @@
  * Adds machines to what the store says of a partition's opened ones, with one change. Machines that are gone make room for
  * them, so the list stays as long as the fleet is large.
  */
-export function openMachines(
+export function recordAssigned(
   replica: ReplicaView,
   partition: string,
   machines: readonly string[],
   lives: (id: string) => boolean,
   valueBytes: number,
-): OpenedEdit {
+): AssignedEdit {
   for (let n = 0; ; n++) {
-    const key = keys.opened(partition, n);
-    const value = replica.openedIn(key).filter(lives);
+    const key = keys.assigned(partition, n);
+    const value = replica.assignedIn(key).filter(lives);
     const ids: string[] = [];
     let bytes = JSON.stringify(value).length;
     for (const id of machines) {
--- a/src/storage/ledger.ts
+++ b/src/storage/ledger.ts
@@ -2,8 +2,8 @@
 import { type Clock } from '../transport/clock';
 import { type HttpAnswer } from '../transport/http-client';
 import { type Log } from '../transport/log';
-import { Measures } from '../transport/measures';
-import { Pacer } from '../transport/pacer';
+import { Metrics } from '../transport/metrics';
+import { RateLimiter } from '../transport/rate-limiter';
 import {
   parseEntry,
   parseFailed,
@@ -94,8 +94,8 @@
   private filledTo = 0;
   /** The replica surely holds all that was in the store at this moment of our steady clock. */
   freshAsOf = Number.NEGATIVE_INFINITY;
-  private readonly requests: Pacer;
-  private readonly writes: Pacer;
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
   private readonly queue: Queued[] = [];
   private pumpTimer: (() => void) | null = null;
   private lastOk = Number.NEGATIVE_INFINITY;
@@ -116,13 +116,13 @@
     private readonly clock: Clock,
     private readonly log: Log,
     options: LedgerOptions,
-    private readonly measures = new Measures(),
+    private readonly metrics = new Metrics(),
   ) {
     // The limits are shared by all controllers without their speaking about it. Load is uneven, so each may
     // use more than its even partition; a 429 empties the bucket, which brings the sum back under the limit.
     const share = Math.min(1, 1.8 / options.controllers);
-    this.requests = new Pacer(options.requestRate * share, options.requestRate * share);
-    this.writes = new Pacer(options.writeRate * share, options.writeRate * share);
+    this.requests = new RateLimiter(options.requestRate * share, options.requestRate * share);
+    this.writes = new RateLimiter(options.writeRate * share, options.writeRate * share);
     this.holdMs = Math.min(HOLD_MS, options.holdMs ?? HOLD_MS);
     this.gatherMs = Math.max(20, (1000 * options.controllers * QUESTION_SHARE) / options.requestRate);
   }
@@ -249,7 +249,7 @@
 
   /**
    * Pages are read one after the other, so later ones may show what came after the earlier ones were read: a partition that was
-   * given to us meanwhile, without the machines opened and the marks raised before that. The picture is whole, and told
+   * given to us meanwhile, without the machines opened and the start watermarks raised before that. The picture is whole, and told
    * as such, once the watch has brought all of it to the newest page's revision.
    */
   private whole(): void {
@@ -364,7 +364,7 @@
       const left = Math.max(50, Math.min(CALL_MS, deadline - sentAt));
       const answer = await this.transport.call(method, path, body, left);
       const now = this.clock.steady();
-      this.measures.record(writes > 0 ? 'store write' : 'store read', now - sentAt);
+      this.metrics.record(writes > 0 ? 'store write' : 'store read', now - sentAt);
       if (answer === null) {
         this.counters.unanswered++;
         return null;
--- a/src/storage/progress.ts
+++ b/src/storage/progress.ts
@@ -11,7 +11,7 @@
 
 /**
  * In which of its partition's progress values each open job stands. A job keeps its place until it ends: moved from one
- * value to another it could be missing from both after a crash, and with it the mark that says how far its tasks may
+ * value to another it could be missing from both after a crash, and with it the start watermark that says how far its tasks may
  * have been started.
  */
 export class ProgressSlots {
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -4,7 +4,7 @@
   decodeBatch,
   decodeFinal,
   decodeFleet,
-  decodeOpened,
+  decodeAssigned,
   decodeProgress,
   keys,
   partitionOfKey,
@@ -74,11 +74,11 @@
   leader: { member: string; version: number } | null = null;
   types: ReadonlyMap<string, MachineType> = new Map();
   private readonly ended = new Map<string, JobState>();
-  /** Jobs that their users called off, with the revision of that. */
+  /** Jobs that their users cancelled, with the revision of that. */
   private readonly cancelled = new Map<string, number>();
   private readonly progress = new Map<string, StoredProgress>();
   /** Machines that a partition may have started tasks on, by key. */
-  private readonly opened = new Map<string, readonly string[]>();
+  private readonly assigned = new Map<string, readonly string[]>();
   /** Machines that left the value in which they stood, until the replica is whole again. */
   private readonly vanished = new Map<string, { key: string; partition: string }>();
   private readonly fleets = new Map<string, Map<string, FleetEntry>>();
@@ -118,13 +118,15 @@
     return this.fleets.get(key) ?? new Map<string, FleetEntry>();
   }
 
-  openedIn(key: string): readonly string[] {
-    return this.opened.get(key) ?? [];
+  assignedIn(key: string): readonly string[] {
+    return this.assigned.get(key) ?? [];
   }
 
   /** The machines that owners of this partition may have started tasks on. */
-  openedBy(partition: string): Set<string> {
-    return new Set([...this.opened].flatMap(([key, ids]) => (partitionOfKey(key) === partition ? ids : [])));
+  assignedBy(partition: string): Set<string> {
+    return new Set(
+      [...this.assigned].flatMap(([key, ids]) => (partitionOfKey(key) === partition ? ids : [])),
+    );
   }
 
   /**
@@ -161,9 +163,9 @@
       case 'progress':
         return this.takeProgress(change.key, value);
       case 'opened': {
-        const ids = value === null ? [] : decodeOpened(value);
+        const ids = value === null ? [] : decodeAssigned(value);
         if (!ids) return this.malformed(change.key);
-        this.opened.set(change.key, ids);
+        this.assigned.set(change.key, ids);
         return;
       }
       case 'fleet':
--- a/src/storage/intake.ts
+++ b/src/storage/submission-batcher.ts
@@ -31,7 +31,7 @@
  * job is accepted once its batch is in the store; if it stands in two, the earlier revision counts. So no job's
  * name needs a key of its own, and any controller may take any job.
  */
-export class Intake {
+export class SubmissionBatcher {
   private readonly queue: Waiting[] = [];
   private readonly pending = new Map<string, Promise<IntakeResult>>();
   private inFlight = 0;
--- a/src/transport/turns.ts
+++ b/src/transport/fair-queue.ts
@@ -15,7 +15,7 @@
  * and cost nothing more. Node takes one connection each time it looks at the sockets: were reports answered meanwhile,
  * machines would wait longer to be taken than they wait for an answer.
  */
-export class NewestFirst {
+export class NewestFirstQueue {
   /** The first requests of their connections, and others. */
   private readonly firsts: Waiting[] = [];
   private readonly others: Waiting[] = [];
--- a/src/transport/measures.ts
+++ b/src/transport/metrics.ts
@@ -17,7 +17,7 @@
  * How long things take, for the operators. The library is loaded only when asked for, some time after the start:
  * a start has better things to do with its first tenths of a second.
  */
-export class Measures {
+export class Metrics {
   private readonly histograms = new Map<string, Histogram>();
   private early: [string, number][] | null = [];
 
--- a/src/transport/pacer.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,5 +1,5 @@
 /** A token bucket: `rate` a second, at most `burst` at once. Time is passed in, so it stays pure. */
-export class Pacer {
+export class RateLimiter {
   private tokens: number;
   private last = Number.NEGATIVE_INFINITY;
 
--- a/src/transport/front.ts
+++ b/src/transport/report-server.ts
@@ -1,6 +1,6 @@
 import { createServer as createNetServer, type Server as NetServer } from 'node:net';
 import { STATUS_CODES, type Server } from 'node:http';
-import { NewestFirst } from './turns';
+import { NewestFirstQueue } from './fair-queue';
 
 /** Takes the body of a request; answers once, at once or later. */
 export type FastHandler = (body: string, answer: (status: number, body: string) => void) => void;
@@ -24,9 +24,9 @@
  * that one is read here, straight from the socket, at a tenth of what a general HTTP server costs. A connection
  * whose next request is anything else, or not as plain, is handed to the general server with what was read of it.
  */
-export function serveFront(path: string, handle: FastHandler, general: Server, maxBody: number): NetServer {
+export function serveReports(path: string, handle: FastHandler, general: Server, maxBody: number): NetServer {
   const line = `POST ${path} HTTP/1.1\r\n`;
-  const turns = new NewestFirst(() => performance.now(), setImmediate);
+  const turns = new NewestFirstQueue(() => performance.now(), setImmediate);
   return createNetServer((socket) => {
     turns.arrived();
     let rest: Buffer = Buffer.alloc(0);
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -4,7 +4,7 @@
 import { MachineState } from '../src/coordination/machine';
 import { Member } from '../src/coordination/member';
 import { PartitionCore } from '../src/coordination/partition';
-import { Reach } from '../src/coordination/reach';
+import { Reachability } from '../src/coordination/reachability';
 import { LeaseExtensions } from '../src/coordination/lease-extension';
 import { decodePeer, encodePeer } from '../src/protocol/peers';
 import { type JobProgress } from '../src/protocol/records';
@@ -20,7 +20,7 @@
   leading: boolean;
   revision: number;
   store: { requests: number; writes: number };
-  partitions: { reports: number; looks: number; started: number }[];
+  partitions: { reports: number; placementPasses: number; started: number }[];
 }
 
 /** A controller that owns a partition, if there is any. */
@@ -95,7 +95,7 @@
     w.lateWrites = 3;
     w.time.at(w.time.now + 10_000 + w.pick(10_000), () => (w.lateWrites = 0));
   },
-  'users call off what runs while a machine hangs': (w) => {
+  'users cancel what runs while a machine hangs': (w) => {
     const workers = [...w.cloud.workers.values()];
     const worker = workers[w.pick(Math.max(1, workers.length))];
     if (worker) worker.hung = true;
@@ -176,7 +176,7 @@
   assert.ok(changes < 6.5 * seconds, `${changes} changes`);
   for (const { partitions } of status)
     for (const partition of partitions)
-      assert.ok(partition.looks <= partition.reports, 'at most one look for work a report');
+      assert.ok(partition.placementPasses <= partition.reports, 'at most one look for work a report');
 });
 
 /** A day whose one kind of trouble, again and again, is what a guard is there for. */
@@ -211,7 +211,7 @@
     return world.leasesLost;
   };
   const whole = await leases();
-  const restore = patch(Reach.prototype, 'better', { value: () => null });
+  const restore = patch(Reachability.prototype, 'better', { value: () => null });
   try {
     const without = await leases();
     assert.ok(whole < without / 2, `${whole} leases lost, ${without} without the hand-over`);
@@ -221,7 +221,7 @@
 });
 
 /**
- * The state service refuses an owner alone, users call jobs off through the others, and then the service is down for all
+ * The state service refuses an owner alone, users cancel jobs through the others, and then the service is down for all
  * for longer than `cancel_s` while the machines go on reporting to the old owner.
  */
 async function gapDay(seed: number, between: Fault): Promise<World> {
@@ -235,7 +235,7 @@
   return world;
 }
 
-/** An owner's watches get no answer for a minute while its session lease is renewed; users call jobs off through all controllers. */
+/** An owner's watches get no answer for a minute while its session lease is renewed; users cancel jobs through all controllers. */
 async function stuckDay(seed: number): Promise<World> {
   const world = new World(seed, { ...LONG_TASKS });
   for (let n = 0; n < 16; n++) world.time.at(2500 + world.pick(20_000), () => world.submit(n));
@@ -267,7 +267,7 @@
   },
 };
 
-test('what is called off while the owner cannot see it is gone in time, also in an outage', async (t) => {
+test('what is cancelled while the owner cannot see it is gone in time, also in an outage', async (t) => {
   for (const [name, between] of Object.entries(gapVariants)) {
     for (const seed of [1, 2, 3]) {
       await t.test(`${name}, seed ${seed}`, async () => {
@@ -275,7 +275,7 @@
         assert.deepEqual(world.broken, []);
         assert.ok(
           world.jobs.some((j) => j.cancelledAt !== null && j.cancelledAt < 42_000),
-          'something was called off before the outage',
+          'something was cancelled before the outage',
         );
       });
     }
@@ -342,7 +342,7 @@
       w.time.at(w.time.now + n * 4000, () => w.crash(Math.max(0, leaderOf(w)), 200 + w.pick(2500)));
     w.time.at(w.time.now + 15_000, () => w.store.outage(15_000));
   },
-  'machines that reach nobody while their jobs are called off': (w) => {
+  'machines that reach nobody while their jobs are cancelled': (w) => {
     halfOf(w, 'mute', 20_000);
     w.cancelSome(3);
   },
@@ -415,7 +415,7 @@
       incarnation,
       partitions: [],
     },
-    ...{ strays: [], heardMs: 0, revision },
+    ...{ misrouted: [], heardMs: 0, revision },
   };
   const cases: [string, Buffer, boolean | null][] = [
     ['a peer as it is', encodePeer(status), true],
@@ -468,7 +468,7 @@
   },
   {
     name: 'new work starts while machines taken over have not seen the new token',
-    apply: () => patch(PartitionCore.prototype, 'unresolved', { get: () => 0 }),
+    apply: () => patch(PartitionCore.prototype, 'unconfirmed', { get: () => 0 }),
     trouble: crashWhileSilent,
     breaks: /ran_twice|quota/,
   },
@@ -513,7 +513,7 @@
       const real = ReplicaView.prototype.progressOf;
       const forgetful = function (this: ReplicaView, ref: string): JobProgress | null {
         const progress = real.call(this, ref);
-        return progress && { ...progress, mark: 0 };
+        return progress && { ...progress, startWatermark: 0 };
       };
       return patch(ReplicaView.prototype, 'progressOf', { value: forgetful });
     },
@@ -522,7 +522,7 @@
   },
   {
     name: 'the next owner is not told which machines may have tasks on them',
-    apply: () => patch(ReplicaView.prototype, 'openedBy', { value: () => new Set() }),
+    apply: () => patch(ReplicaView.prototype, 'assignedBy', { value: () => new Set() }),
     trouble: crashWhileSilent,
     breaks: /ran_twice/,
   },
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -149,14 +149,14 @@
     version: 9,
     workLeft: [1, 0, 0, 0],
     backlog: [0, 2, 0, 0],
-    unresolved: 2,
+    unconfirmed: 2,
     quietS: 3,
     demands: [demand],
     machines: [machine],
   };
   const status: PeerMessage = {
     ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, partitions: [partition] },
-    ...{ strays: [{ partition: 'p0', machines: 3 }], heardMs: 1.5, revision: 412 },
+    ...{ misrouted: [{ partition: 'p0', machines: 3 }], heardMs: 1.5, revision: 412 },
   };
   const messages: PeerMessage[] = [
     {
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { DRIFT } from '../src/transport/clock';
-import { Pacer } from '../src/transport/pacer';
-import { NewestFirst } from '../src/transport/turns';
+import { RateLimiter } from '../src/transport/rate-limiter';
+import { NewestFirstQueue } from '../src/transport/fair-queue';
 import { scale, type FleetMachine, type FleetPicture } from '../src/coordination/autoscale';
 import { refreshIntervalMs, maxStalenessMs } from '../src/coordination/staleness';
 import { splitTeams } from '../src/coordination/assignment';
@@ -11,14 +11,21 @@
 import {
   failJob,
   mayBegin,
-  walk,
+  recoveryPass,
   type Edge,
   type NodeState,
   type PipelineNode,
 } from '../src/coordination/recovery';
-import { Reach, Strays } from '../src/coordination/reach';
+import { Reachability, MisroutedReports } from '../src/coordination/reachability';
 import { EXTENSION_MS, LeaseExtensions } from '../src/coordination/lease-extension';
-import { duesOf, effectiveRank, Estimates, missed, raised, type Waited } from '../src/coordination/urgency';
+import {
+  deadlinesOf,
+  effectivePriority,
+  Estimates,
+  lateness,
+  raisedPriority,
+  type Waited,
+} from '../src/coordination/priority';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { DEFAULT_POLICY } from '../src/protocol/policy';
@@ -75,7 +82,7 @@
     ],
   ];
   for (const [name, nodes, edges, expected] of cases) {
-    await t.test(name, () => assert.deepEqual(walk(nodes, edges, [...nodes.keys()]), expected));
+    await t.test(name, () => assert.deepEqual(recoveryPass(nodes, edges, [...nodes.keys()]), expected));
   }
   await t.test('a cycle of abort edges ends', () => {
     const ring = [node('executing'), node('executing'), node('executing')];
@@ -206,7 +213,7 @@
   return {
     partition: id,
     version: 1,
-    unresolved: 0,
+    unconfirmed: 0,
     demands,
     machines,
     workLeft: [0, 0, 0, 0],
@@ -569,10 +576,13 @@
     // Overloaded after a take-over, owners heard too little in time; partitions went from one to the next for minutes.
     ['an owner that hears machines late has too much to do', silent(8, 6000), { a: 0, b: 8 }, null],
   ];
-  const heard = (machines: number, heardMs = 100) => ({ strays: [{ partition: 'p0', machines }], heardMs });
+  const heard = (machines: number, heardMs = 100) => ({
+    misrouted: [{ partition: 'p0', machines }],
+    heardMs,
+  });
   for (const [name, machines, told, to] of cases) {
     await t.test(name, () => {
-      const reach = new Reach();
+      const reach = new Reachability();
       reach.tell('a', heard(0, 6000), 0);
       for (const [member, n] of Object.entries(told)) reach.tell(member, heard(n), 0);
       const better = reach.better('a', partition('p0', [], machines), REPORT_MS, ['a', 'b', 'c'], 100);
@@ -589,23 +599,23 @@
   ];
   for (const [name, at, heardMs, avoided] of returns) {
     await t.test(name, () => {
-      const reach = new Reach();
+      const reach = new Reachability();
       reach.tell('a', heard(0, 6000), 0);
       reach.tell('b', heard(8), 0);
       reach.better('a', partition('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
-      reach.tell('a', { strays: [], heardMs }, at);
+      reach.tell('a', { misrouted: [], heardMs }, at);
       assert.equal(reach.avoided('a'), avoided);
     });
   }
   await t.test('reports wait for a change of owner only if many machines stray, and lately', () => {
-    const strays = new Strays();
-    for (let i = 0; i < 5; i++) strays.note('p0', `i-${i % 3}`, i * 100);
-    assert.equal(strays.many('p0', 30, 500), true);
-    assert.equal(strays.many('p0', 31, 500), false, 'a few of many');
-    assert.equal(strays.many('p0', 30, 3000), false, 'a while ago');
-    assert.deepEqual(strays.counts(500), [{ partition: 'p0', machines: 3 }], 'each counts once');
-    strays.note('p0', 'i-9', 8000);
-    assert.deepEqual(strays.counts(8000), [{ partition: 'p0', machines: 1 }]);
+    const misrouted = new MisroutedReports();
+    for (let i = 0; i < 5; i++) misrouted.note('p0', `i-${i % 3}`, i * 100);
+    assert.equal(misrouted.many('p0', 30, 500), true);
+    assert.equal(misrouted.many('p0', 31, 500), false, 'a few of many');
+    assert.equal(misrouted.many('p0', 30, 3000), false, 'a while ago');
+    assert.deepEqual(misrouted.counts(500), [{ partition: 'p0', machines: 3 }], 'each counts once');
+    misrouted.note('p0', 'i-9', 8000);
+    assert.deepEqual(misrouted.counts(8000), [{ partition: 'p0', machines: 1 }]);
   });
 });
 
@@ -775,30 +785,34 @@
     ...{ ageS, begun, withinGuarantee },
   });
   const cases: [string, () => unknown, unknown][] = [
-    ['all dues of the class, earliest first', () => duesOf(idle, objectives), [100, 150, 250]],
-    ['without objectives the deadline', () => duesOf(idle, []), [100]],
-    ['no deadline, no due', () => duesOf({ ...idle, deadlineS: null }, objectives.slice(0, 2)), []],
-    ['in time for all', () => missed([100, 150], 40, 50), 0],
-    ['too late for the first', () => missed([100, 150], 60, 50), 1],
-    ['too late for all', () => missed([100, 150], 140, 50), 2],
-    ['so late that it comes forward again', () => missed([100, 150], 301, 50), 0],
-    ['idle work keeps its rank at first', () => effectiveRank(idle, [250], 100, 30), 3],
-    ['goes up a step when half of its time is gone', () => effectiveRank(idle, [250], 130, 30), 2],
-    ['but not once it is too late', () => effectiveRank(idle, [250], 230, 30), 3],
-    ['other work keeps its rank', () => effectiveRank({ ...idle, rank: 2 }, [250], 130, 30), 2],
-    ['one that has waited for long without a begin goes up', () => raised(3, waits(160), objectives), 1],
-    ['not once it has begun', () => raised(3, waits(160, 0.1), objectives), 3],
-    ['again if that was little', () => raised(3, waits(220, 0.1), objectives), 1],
-    ['not if it was half', () => raised(3, waits(220, 0.5), objectives), 3],
-    ['nor a more urgent one', () => raised(0, waits(160), objectives), 0],
+    ['all deadlines of the class, earliest first', () => deadlinesOf(idle, objectives), [100, 150, 250]],
+    ['without objectives the deadline', () => deadlinesOf(idle, []), [100]],
+    ['no deadline, no due', () => deadlinesOf({ ...idle, deadlineS: null }, objectives.slice(0, 2)), []],
+    ['in time for all', () => lateness([100, 150], 40, 50), 0],
+    ['too late for the first', () => lateness([100, 150], 60, 50), 1],
+    ['too late for all', () => lateness([100, 150], 140, 50), 2],
+    ['so late that it comes forward again', () => lateness([100, 150], 301, 50), 0],
+    ['idle work keeps its rank at first', () => effectivePriority(idle, [250], 100, 30), 3],
+    ['goes up a step when half of its time is gone', () => effectivePriority(idle, [250], 130, 30), 2],
+    ['but not once it is too late', () => effectivePriority(idle, [250], 230, 30), 3],
+    ['other work keeps its rank', () => effectivePriority({ ...idle, rank: 2 }, [250], 130, 30), 2],
+    [
+      'one that has waited for long without a begin goes up',
+      () => raisedPriority(3, waits(160), objectives),
+      1,
+    ],
+    ['not once it has begun', () => raisedPriority(3, waits(160, 0.1), objectives), 3],
+    ['again if that was little', () => raisedPriority(3, waits(220, 0.1), objectives), 1],
+    ['not if it was half', () => raisedPriority(3, waits(220, 0.5), objectives), 3],
+    ['nor a more urgent one', () => raisedPriority(0, waits(160), objectives), 0],
     [
       'work within a guarantee goes up sooner, not past urgent work',
-      () => raised(3, waits(50, 1, true), []),
+      () => raisedPriority(3, waits(50, 1, true), []),
       2,
     ],
     [
       'as soon as the operators wish',
-      () => [40, 50].map((s) => raised(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
+      () => [40, 50].map((s) => raisedPriority(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
       [3, 2],
     ],
     ['estimates count until enough was seen', () => estimates.expect(spec), 30],
@@ -827,19 +841,19 @@
   assert.deepEqual(splitTeams(teams.slice(0, 1), 3), [['a']]);
 });
 
-test('a pacer keeps its rate, and its reserve for what is urgent', () => {
-  const pacer = new Pacer(10, 5);
-  assert.equal(pacer.take(0, 5), true);
-  assert.equal(pacer.take(0, 1), false);
-  assert.equal(pacer.take(100, 1), true);
-  assert.equal(pacer.take(400, 1, 3), false);
-  assert.equal(pacer.take(400, 1), true);
-  pacer.drain(500);
-  assert.equal(pacer.take(500, 1), false);
+test('a limiter keeps its rate, and its reserve for what is urgent', () => {
+  const limiter = new RateLimiter(10, 5);
+  assert.equal(limiter.take(0, 5), true);
+  assert.equal(limiter.take(0, 1), false);
+  assert.equal(limiter.take(100, 1), true);
+  assert.equal(limiter.take(400, 1, 3), false);
+  assert.equal(limiter.take(400, 1), true);
+  limiter.drain(500);
+  assert.equal(limiter.take(500, 1), false);
 });
 
 test('reports wait for their turn', async (t) => {
-  type Step = (turns: NewestFirst, log: string[], world: { now: number; gone: Set<string> }) => void;
+  type Step = (turns: NewestFirstQueue, log: string[], world: { now: number; gone: Set<string> }) => void;
   const add =
     (name: string, costs = 1, first = false): Step =>
     (turns, log, world) =>
@@ -908,7 +922,7 @@
     await t.test(name, () => {
       const world = { now: 0, gone: new Set<string>() };
       let next: (() => void) | null = null;
-      const turns = new NewestFirst(
+      const turns = new NewestFirstQueue(
         () => world.now,
         (action) => (next = action),
       );
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -11,11 +11,11 @@
   type GatewayDependencies,
   type ReportReply,
 } from '../src/coordination/gateway';
-import { Measures } from '../src/transport/measures';
-import { serveFront } from '../src/transport/front';
+import { Metrics } from '../src/transport/metrics';
+import { serveReports } from '../src/transport/report-server';
 import { Runs } from '../src/coordination/runs';
 import { ReplicaView } from '../src/storage/replica-view';
-import { Intake } from '../src/storage/intake';
+import { SubmissionBatcher } from '../src/storage/submission-batcher';
 import { Ledger } from '../src/storage/ledger';
 import { type MachineType } from '../src/protocol/cloud';
 import { type Clock } from '../src/transport/clock';
@@ -45,8 +45,12 @@
   types: () => ReadonlyMap<string, MachineType>,
 ): Runs {
   const replica = new ReplicaView(ledger, log);
-  const intake = new Intake(ledger, replica, clock, { valueBytes: 4096, txnOps: 12, life: 'a-1' });
-  return new Runs(ledger, replica, intake, clock, teams, types, new Measures());
+  const batcher = new SubmissionBatcher(ledger, replica, clock, {
+    valueBytes: 4096,
+    txnOps: 12,
+    life: 'a-1',
+  });
+  return new Runs(ledger, replica, batcher, clock, teams, types, new Metrics());
 }
 
 /** The routes over a stand-in store; its time passes only while somebody waits for an answer. */
@@ -85,7 +89,7 @@
     ready: () => types.length > 0,
     status: () => ({}),
   };
-  server = serveFront(
+  server = serveReports(
     REPORT_PATH,
     fastReports(dependencies),
     createServer(gateway(dependencies)),
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -49,7 +49,7 @@
 }
 
 // A controller that had just started was given a partition between two pages of its first look: it missed a machine opened and
-// the marks raised shortly before, and started tasks a second time.
+// the start watermarks raised shortly before, and started tasks a second time.
 test('the replica is told as whole only once it is a picture at one revision', async (t) => {
   const a = { key: 'hb/opened/p0/0', stamp: 9 };
   const b = { key: 'hb/part/p0', stamp: 12 };
--- a/test/partition.test.ts
+++ b/test/partition.test.ts
@@ -32,7 +32,7 @@
   private seq = 0;
   readonly known = new Map<string, JobSpec>();
   /** Every machine that is named here was opened before. */
-  private readonly opened = new Set<string>();
+  private readonly assigned = new Set<string>();
 
   constructor(limit = 8) {
     const team = {
@@ -48,7 +48,7 @@
       () => new Map([['small', type]]),
       (r) => this.known.get(r),
       options,
-      this.opened,
+      this.assigned,
     );
   }
 
@@ -61,24 +61,24 @@
       spot: true,
       ...change,
     };
-    this.opened.add(id);
+    this.assigned.add(id);
     this.core.putMachine(id, row, version, 0);
   }
 
   /** Opened by an earlier owner, and not here now. */
-  openedBefore(id: string): void {
-    this.opened.add(id);
+  assignedBefore(id: string): void {
+    this.assigned.add(id);
   }
 
   /** One that no owner of this partition has opened. */
-  unopened(id: string, version: number): void {
+  unassigned(id: string, version: number): void {
     const row: MachineRecord = { partition: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
     this.core.putMachine(id, row, version, 0);
   }
 
-  job(job: JobSpec, version = FRESH, done = '', mark = job.tasks): void {
+  job(job: JobSpec, version = FRESH, done = '', startWatermark = job.tasks): void {
     this.known.set(job.ref, job);
-    this.core.putJob(job, 0, version, { done, doneCount: 0, running: 0, mark }, 0);
+    this.core.putJob(job, 0, version, { done, doneCount: 0, running: 0, startWatermark }, 0);
   }
 
   over(job: JobSpec, state: JobState = 'cancelled'): void {
@@ -264,13 +264,13 @@
     [
       // What an owner before us may have started counts, wherever it is; else a limit would be exceeded unseen.
       ['tasks of the team that nobody has seen since', (b) => b.job(spec('job-1'), OLD), 2],
-      ['a job called off before, whose tasks may run on', (b) => b.over(spec('job-1', { tasks: 3 })), 3],
+      ['a job cancelled before, whose tasks may run on', (b) => b.over(spec('job-1', { tasks: 3 })), 3],
       ['more than the machine holds', (b) => b.over(spec('job-1', { tasks: 30 })), 4],
       // Counted as full for everybody, one silent machine held teams back that had nothing on it.
       ['nothing', () => undefined, 0],
       ['a job that was done', (b) => b.over(spec('job-1', { tasks: 3 }), 'done'), 0],
       [
-        'a job called off while it is silent',
+        'a job cancelled while it is silent',
         (b) => (b.job(spec('job-1'), OLD), b.close('job-1', 'cancelled')),
         2,
       ],
@@ -292,12 +292,12 @@
     'a machine that nobody opened holds nothing up, and gets nothing before it is',
     (b) => {
       b.machine('m', FRESH);
-      b.unopened('booting', OLD);
+      b.unassigned('booting', OLD);
       b.job(spec('job-1', { tasks: 6 }), OLD);
       assert.equal(starts(b.report('m', 0)).length, 4, 'begun before, but surely not there');
       assert.deepEqual(starts(b.report('booting', 100)), []);
-      assert.deepEqual(b.core.unopened(), ['booting']);
-      b.core.open(['booting']);
+      assert.deepEqual(b.core.unassigned(), ['booting']);
+      b.core.markAssigned(['booting']);
       assert.equal(starts(b.report('booting', 200)).length, 2);
     },
   ],
@@ -326,15 +326,15 @@
   [
     'a machine of an earlier owner that comes back from another partition is opened anew',
     (b) => {
-      b.openedBefore('m');
-      b.unopened('n', FRESH);
+      b.assignedBefore('m');
+      b.unassigned('n', FRESH);
       b.report('n', 0);
-      assert.deepEqual(b.core.unopened(), ['n'], 'the list is written anew, without m');
-      b.unopened('m', FRESH + 1);
+      assert.deepEqual(b.core.unassigned(), ['n'], 'the list is written anew, without m');
+      b.unassigned('m', FRESH + 1);
       b.job(spec('job-1'));
       assert.deepEqual(starts(b.report('m', 1000)), []);
-      assert.deepEqual(b.core.unopened(), ['n', 'm']);
-      b.core.open(['m']);
+      assert.deepEqual(b.core.unassigned(), ['n', 'm']);
+      b.core.markAssigned(['m']);
       assert.equal(starts(b.report('m', 2000)).length, 2);
     },
   ],
@@ -345,9 +345,9 @@
       b.machine('m', FRESH);
       b.job(spec('job-1'));
       b.core.dropMachine('m');
-      b.unopened('m', FRESH);
+      b.unassigned('m', FRESH);
       assert.deepEqual(starts(b.report('m', 0)), []);
-      assert.deepEqual(b.core.unopened(), ['m']);
+      assert.deepEqual(b.core.unassigned(), ['m']);
     },
   ],
   [
@@ -573,7 +573,7 @@
       b.job(spec('job-1', { tasks: 40 }), FRESH, '', 8);
       b.report('m', 0);
       b.job(spec('job-2', { tasks: 10, team: 'u' }), FRESH, '0-7', 8);
-      assert.equal(b.core.progress(0).jobs.get('job-2')?.mark, 10);
+      assert.equal(b.core.progress(0).jobs.get('job-2')?.startWatermark, 10);
     },
     4,
   ],
@@ -655,14 +655,14 @@
     },
   ],
   [
-    'tasks beyond the mark wait until the store has it; after a take-over they are known to be nowhere',
+    'tasks beyond the start watermark wait until the store has it; after a take-over they are known to be nowhere',
     (b) => {
       b.machine('m', FRESH);
       b.machine('silent', OLD);
       b.job(spec('job-1', { tasks: 4, cpus: 0.5 }), OLD, '', 2);
       assert.deepEqual(starts(b.report('m', 0)), []);
-      const { jobs, marksRaised } = b.core.progress(100);
-      assert.equal(marksRaised, true);
+      const { jobs, watermarksRaised } = b.core.progress(100);
+      assert.equal(watermarksRaised, true);
       b.core.recorded(jobs);
       assert.deepEqual(starts(b.report('m', 2000)), ['job-1/2', 'job-1/3']);
       b.core.tick(13_000, 0);
@@ -674,7 +674,7 @@
     },
   ],
   [
-    // Marks were raised for tasks that had to wait anyway: a whole lease long nothing new began.
+    // Start watermarks were raised for tasks that had to wait anyway: a whole lease long nothing new began.
     'after a take-over marks are raised for tasks that were never begun, while others wait for a silent machine',
     (b) => {
       b.machine('m', FRESH);
@@ -736,7 +736,7 @@
     },
   ],
   [
-    'a job that may not be run again: nothing before its mark, and a lost task ends it; then its fallback begins',
+    'a job that may not be run again: nothing before its start watermark, and a lost task ends it; then its fallback begins',
     (b) => {
       const link = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
       const instead = { ...link, reExecutable: true, alternateFor: 'job-1' };
@@ -773,13 +773,13 @@
     },
   ],
   [
-    // Left out while none of its tasks was out, it lost its mark: the next owner took tasks for never begun.
-    'a job whose mark was raised stays on record though nothing of it runs',
+    // Left out while none of its tasks was out, it lost its start watermark: the next owner took tasks for never begun.
+    'a job whose start watermark was raised stays on record though nothing of it runs',
     (b) => {
       b.machine('m', FRESH);
       b.job(spec('job-1', { tasks: 20, cpus: 0.1 }), FRESH, '', 8);
       b.core.recorded(b.core.progress(0).jobs);
-      assert.ok((b.core.progress(0).jobs.get('job-1')?.mark ?? 0) > 8);
+      assert.ok((b.core.progress(0).jobs.get('job-1')?.startWatermark ?? 0) > 8);
     },
   ],
   [
@@ -801,7 +801,12 @@
 });
 
 test('progress keeps its place, fits, and is written only where it differs', () => {
-  const at = (done: string, mark: number): JobProgress => ({ done, doneCount: 0, running: 0, mark });
+  const at = (done: string, startWatermark: number): JobProgress => ({
+    done,
+    doneCount: 0,
+    running: 0,
+    startWatermark,
+  });
   const slots = new ProgressSlots(512);
   const three = new Map(['job-1', 'job-2', 'job-3'].map((ref) => [ref, at('0-3', 8)]));
   const first = slots.changed(three);
@@ -823,6 +828,6 @@
   const long = Array.from({ length: 200 }, (_, i) => `${2 * i}`).join(',');
   const [cut] = slots.changed(new Map([['job-2', at(long, 399)]]));
   assert.ok((cut?.text.length ?? 0) <= 512);
-  assert.equal(cut?.jobs.get('job-2')?.mark, 399);
+  assert.equal(cut?.jobs.get('job-2')?.startWatermark, 399);
   assert.match(cut?.jobs.get('job-2')?.done ?? '', /^0,2,4(,[0-9]+)*$/);
 });
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -14,7 +14,7 @@
 /** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
 const status: PeerMessage = {
   ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, heardMs: 1.5, revision: 412 },
-  strays: [{ partition: 'p0', machines: 3 }],
+  misrouted: [{ partition: 'p0', machines: 3 }],
   partitions: [
     {
       ...{
@@ -22,7 +22,7 @@
         version: 9,
         workLeft: [1, 0, 0, 0],
         backlog: [0, 2, 0, 0],
-        unresolved: 2,
+        unconfirmed: 2,
         quietS: 3,
       },
       demands: [
@@ -93,7 +93,12 @@
   await t.test('progress', () => {
     const stored = { 'job-000001': ['0-3,7', 5, 2, 16] };
     const progress = decodeProgress(stored);
-    assert.deepEqual(progress?.get('job-000001'), { done: '0-3,7', doneCount: 5, running: 2, mark: 16 });
+    assert.deepEqual(progress?.get('job-000001'), {
+      done: '0-3,7',
+      doneCount: 5,
+      running: 2,
+      startWatermark: 16,
+    });
     assert.deepEqual(encodeProgress(progress ?? new Map()), stored);
   });
   await t.test('machines', () => {
@@ -124,7 +129,7 @@
         keys.batch('b'),
         keys.cancel('j'),
       ],
-      ...[keys.final('p0', 1), keys.progress('p0', 2), keys.opened('p0', 3), keys.fleet('p0', 'f')],
+      ...[keys.final('p0', 1), keys.progress('p0', 2), keys.assigned('p0', 3), keys.fleet('p0', 'f')],
     ];
     assert.deepEqual(named, [
       ...['hb/member/m', 'hb/leader', 'hb/catalog', 'hb/part/p0', 'hb/batch/b', 'hb/cancel/j'],
--- a/test/replica-view.test.ts
+++ b/test/replica-view.test.ts
@@ -3,7 +3,7 @@
 import pino from 'pino';
 import { ReplicaView } from '../src/storage/replica-view';
 import { editFleet } from '../src/storage/fleets';
-import { openMachines } from '../src/storage/opened';
+import { recordAssigned } from '../src/storage/assigned-machines';
 import { Ledger } from '../src/storage/ledger';
 import { type JobSpec } from '../src/protocol/jobs';
 import { encodeAccepted, encodeFleet, keys, type MachineRecord } from '../src/protocol/records';
@@ -250,20 +250,20 @@
   for (const { name, listed, gone, open, bytes, expect } of cases) {
     await t.test(name, () => {
       const told = new Told();
-      for (const [n, ids] of listed.entries()) told.change(keys.opened('p0', n), ids);
-      const { ids, condition, write } = openMachines(
+      for (const [n, ids] of listed.entries()) told.change(keys.assigned('p0', n), ids);
+      const { ids, condition, write } = recordAssigned(
         told.replica,
         'p0',
         open,
         (id) => !gone?.includes(id),
         bytes,
       );
-      const key = keys.opened('p0', expect.n);
+      const key = keys.assigned('p0', expect.n);
       assert.deepEqual(ids, expect.ids);
       assert.deepEqual(write, { put: key, value: expect.value });
       assert.deepEqual(condition, { key, version: told.replica.ledger.version(key) });
-      assert.deepEqual([...told.replica.openedBy('p0')], listed.flat());
-      assert.equal(told.replica.openedBy('p1').size, 0);
+      assert.deepEqual([...told.replica.assignedBy('p0')], listed.flat());
+      assert.equal(told.replica.assignedBy('p1').size, 0);
     });
   }
 });
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -349,7 +349,7 @@
     }
   }
 
-  /** Users call off up to `count` jobs that run. */
+  /** Users cancel up to `count` jobs that run. */
   cancelSome(count: number): void {
     const runs = (job: UserJob): boolean =>
       job.accepted &&
