--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -23,7 +23,8 @@
 import { type Settings } from '../protocol/settings';
 import { type Report } from '../protocol/workers';
 import { type Condition, type Write } from '../protocol/store';
-import { scale, type FleetMachine } from './autoscale';
+import { scale } from './autoscale';
+import { kindKey, type FleetMachine } from './fleet-plan';
 import { type Member } from './member';
 import { Assignment } from './assignment';
 import { type Heard } from './reachability';
@@ -598,7 +599,3 @@
     void this.record(records).then(settle);
   }
 }
-
-function kindKey(kind: { type: string; zone: string; spot: boolean }): string {
-  return `${kind.type}/${kind.zone}/${kind.spot}`;
-}
