--- a/src/coordination/partition.ts
+++ b/src/coordination/partition.ts
@@ -8,7 +8,9 @@
 import { MachineState, taskKey, type Exit, type InFlightTask } from './machine';
 import { partitionLoad } from './partition-load';
 import { PartitionPipelines } from './pipelines';
-import { allows, fits, zoneRoom, type Free } from './placement';
+import { type Free } from './placement';
+import { TaskPlacement, type PlacementHost } from './task-placement';
+import { TeamQuota } from './team-quota';
 import { UnconfirmedMachines } from './unconfirmed-machines';
 import { schedulingOrder } from './scheduling-order';
 import { deadlinesOf, Estimates } from './priority';
@@ -20,37 +22,20 @@
   objectives: readonly Objective[];
 }
 
-/** Failures without a success between them after which a machine is taken to be the one at fault. */
-const FAULTY_AFTER = 3;
 const REORDER_MS = 1000;
-const IMAGE_PATIENCE_MS = 30_000;
 /** A task that has run for less than this is not stopped for another partition's sake: it would seem never to have begun. */
 const RUN_BEFORE_STOP_MS = 30_000;
-const ATTEMPTS_PER_INCARNATION = 1_000_000;
 /** Start watermarks are raised ahead of what can start now by this share of the partition's machines. */
 const WATERMARK_AHEAD = 0.5;
 /** Of a stored value, what the ranges of one job may take. */
 const RANGES_SHARE = 0.25;
 
-const NOTHING: Quantity = { cpus: 0, accelerators: 0 };
-
-function left(limit: number, used: number, reserved: number): number {
-  return limit === Infinity ? Infinity : limit - used - reserved;
-}
-
-function addTo(sums: Map<string, Quantity>, spec: JobSpec, tasks: number): void {
-  const sum = sums.get(spec.team) ?? { ...NOTHING };
-  sum.cpus += tasks * spec.cpus;
-  sum.accelerators += tasks * spec.accelerators;
-  sums.set(spec.team, sum);
-}
-
 /**
  * The pure core of a partition: the jobs of its teams and the machines lent to it. No tasks of these teams are on
  * any other machine, so everything that quota, placement and recovery ask is known here. A report costs what its
  * own machine's tasks cost, and a look through the jobs that wait if there is room; never a look at the fleet.
  */
-export class PartitionCore {
+export class PartitionCore implements PlacementHost {
   readonly machines = new Map<string, MachineState>();
   readonly jobs = new Map<string, PartitionJob>();
   private queue: PartitionJob[] = [];
@@ -59,18 +44,11 @@
   private today = 0;
   lastArrival = 0;
   readonly estimates = new Estimates();
-  private readonly used = new Map<string, Quantity>();
-  private readonly limits = new Map<string, Team>();
-  private attempts = 0;
   private readonly unconfirmedMachines = new UnconfirmedMachines();
-  /** What may be on machines that have not spoken, by team; null: to be summed up anew. */
-  private reserved: Map<string, Quantity> | null = null;
-  /** What jobs that are over may still have there. */
-  private readonly cancelledReserve = new Map<string, Quantity>();
+  readonly quota: TeamQuota;
+  private readonly placement: TaskPlacement;
   private readonly ended = new Map<string, FinalState>();
   private readonly pipelines = new PartitionPipelines();
-  /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
-  private slackCpus: number | null = null;
   readonly counters = { started: 0, done: 0, lost: 0, failed: 0, reports: 0, stale: 0, placementPasses: 0 };
 
   constructor(
@@ -85,10 +63,16 @@
     /** Machines that tasks may have been started on, as the store knows: nothing starts on any other. */
     private readonly assigned: Set<string> = new Set<string>(),
   ) {
-    for (const team of teams) {
-      this.limits.set(team.name, team);
-      this.used.set(team.name, { cpus: 0, accelerators: 0 });
-    }
+    this.quota = new TeamQuota(teams, this.unconfirmedMachines, this.jobs);
+    this.placement = new TaskPlacement(this);
+  }
+
+  get reportMs(): number {
+    return this.options.reportMs;
+  }
+
+  isAssigned(machine: string): boolean {
+    return this.assigned.has(machine);
   }
 
   private get rangeBytes(): number {
@@ -96,7 +80,7 @@
   }
 
   owns(team: string): boolean {
-    return this.limits.has(team);
+    return this.quota.has(team);
   }
 
   // Machines.
@@ -155,33 +139,11 @@
       // A dear machine is not kept for the sake of tasks that can go on elsewhere from what they saved. For another partition's
       // sake a task is stopped only if it loses next to nothing by that: there is room for it here, and it has run a while.
       if (leavesFleet) this.saveElsewhere(task);
-      else if (now - task.runningSince > RUN_BEFORE_STOP_MS && this.takeSlack(task, now))
+      else if (now - task.runningSince > RUN_BEFORE_STOP_MS && this.placement.takeSlack(task, now))
         this.saveElsewhere(task);
     }
   }
 
-  /** Reserves room for a task that is to go on elsewhere in this partition; false: there is none beyond what waits. */
-  private takeSlack({ spec }: InFlightTask, now: number): boolean {
-    if (!spec || spec.checkpointS <= 0) return false;
-    this.slackCpus ??= this.freeCpus(now) - this.waitingCpus();
-    if (this.slackCpus < spec.cpus) return false;
-    this.slackCpus -= spec.cpus;
-    return true;
-  }
-
-  private freeCpus(now: number): number {
-    let free = 0;
-    for (const machine of this.machines.values())
-      if (this.takesWork(machine, now)) free += this.free(machine)?.cpus ?? 0;
-    return free;
-  }
-
-  private waitingCpus(): number {
-    let needed = 0;
-    for (const job of this.sorted()) needed += job.waiting * job.spec.cpus;
-    return needed;
-  }
-
   /**
    * Machines that could take tasks once the store knows that they may have some. Names of machines that are not here make
    * room in the store's list, so they are forgotten here as well: one that had been here under an earlier owner came back
@@ -222,7 +184,7 @@
   /** Nothing that an earlier owner started can be on this machine unseen any more. */
   private confirmed(id: string): void {
     if (!this.unconfirmedMachines.remove(id)) return;
-    this.cancelledReserve.clear();
+    this.quota.releaseCancelled();
     this.failInterrupted();
   }
 
@@ -245,7 +207,7 @@
     const deadlines = deadlinesOf(spec, this.options.objectives);
     const job = new PartitionJob(spec, acceptedAt, deadlines, progress, suspect, now);
     this.jobs.set(spec.ref, job);
-    this.reserved = null;
+    this.quota.changed();
     this.pipelines.put(spec, 'open', version);
     this.applyPipeline(spec.ref);
     this.endIfDone(job);
@@ -262,12 +224,8 @@
 
   /** A job that was over before we took the partition: cancelled, its tasks may still be on machines that are silent. */
   putOver(spec: JobSpec, state: JobState, version: number): void {
-    if (this.owns(spec.team) && state !== 'done' && version <= this.version) this.leaves(spec, spec.tasks);
-  }
-
-  private leaves(spec: JobSpec, tasks: number): void {
-    addTo(this.cancelledReserve, spec, tasks);
-    this.reserved = null;
+    if (this.owns(spec.team) && state !== 'done' && version <= this.version)
+      this.quota.reserveForCancelled(spec, spec.tasks);
   }
 
   /** Holds and releases the jobs of a pipeline as its edges say, and ends those that a failure reaches. */
@@ -302,7 +260,7 @@
     const job = this.jobs.get(ref);
     if (!job) return;
     job.state = state;
-    if (state !== 'done') this.leaves(job.spec, job.suspects);
+    if (state !== 'done') this.quota.reserveForCancelled(job.spec, job.suspects);
     this.jobs.delete(ref);
     this.ended.delete(ref);
     this.queueStale = true;
@@ -334,8 +292,7 @@
       const waiting = Math.min(job.waitingNow(settled), job.mostOut(now));
       const { team } = job.spec;
       // What its team's limit holds back takes no room ahead: it once kept those behind from ever being marked.
-      const ofTeam =
-        teams.get(team) ?? this.room(team).cpus + WATERMARK_AHEAD * (this.used.get(team)?.cpus ?? 0);
+      const ofTeam = teams.get(team) ?? this.room(team).cpus + WATERMARK_AHEAD * this.quota.usedBy(team).cpus;
       const able = Math.floor(Math.min(room, ofTeam) / Math.max(job.spec.cpus, 0.01));
       const wants = job.held ? 0 : Math.max(0, Math.min(waiting, able));
       room -= wants * job.spec.cpus;
@@ -356,7 +313,7 @@
       const has = this.capacity(machine);
       if (!has) continue;
       room += WATERMARK_AHEAD * has.cpus;
-      if (!this.unfit(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
+      if (!this.placement.unfit(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
     }
     return room;
   }
@@ -392,11 +349,11 @@
       if (machine.confirmed) this.confirmed(machine.id);
       else this.unconfirmedMachines.put(machine.id, this.free(machine));
     }
-    this.reserved = null;
+    this.quota.changed();
     if (machine.noticeUntil !== null) this.drain(machine, now);
     if (machine.tasks.size > 0) machine.idleSince = now;
     const commands = machine.answer((exit) => this.forgettable(exit), now);
-    this.fill(machine, commands, now);
+    this.placement.fill(machine, commands, now);
     return { token: machine.token(this.version), commands };
   }
 
@@ -448,7 +405,7 @@
     const job = this.jobs.get(t.ref);
     const spec = this.specOf(t.ref);
     const inFlight = machine.adopt(t, spec ?? null, now);
-    if (spec) this.reserve(spec, 1);
+    if (spec) this.quota.use(spec, 1);
     if (job?.has(t.index) && job.isWaiting(t.index)) {
       job.goesOut(t.index, machine);
       machine.images.add(job.spec.image);
@@ -459,7 +416,7 @@
 
   /** A in flight task is surely not on its machine any more. */
   private giveBack(task: InFlightTask, lost = true): void {
-    if (task.spec) this.reserve(task.spec, -1);
+    if (task.spec) this.quota.use(task.spec, -1);
     const job = this.jobs.get(task.ref);
     const machine = job?.out.get(task.index);
     // The same task may be in flight on another machine too, being stopped there.
@@ -477,13 +434,6 @@
     if (job.finished && job.out.size === 0) this.ended.set(job.ref, 'done');
   }
 
-  private reserve(spec: JobSpec, n: number): void {
-    const used = this.used.get(spec.team);
-    if (!used) return;
-    used.cpus += n * spec.cpus;
-    used.accelerators += n * spec.accelerators;
-  }
-
   /** The cloud takes the machine away: tasks that can save do so in time. */
   private drain(machine: MachineState, now: number): void {
     const left = ((machine.noticeUntil ?? now) - now) / 1000;
@@ -516,67 +466,20 @@
       for (const task of lost) this.giveBack(task);
       this.confirmed(machine.id);
     }
-    this.reserved = null;
-    this.slackCpus = null;
-    this.chooseMachines(now);
+    this.quota.changed();
+    this.placement.chooseMachines(now);
   }
 
   // Placement.
 
-  private unfit(machine: MachineState, now: number): boolean {
-    return (
-      machine.locked ||
-      machine.leavingTo !== null ||
-      machine.noticeUntil !== null ||
-      this.isFaulty(machine) ||
-      machine.lastReport === null ||
-      now - machine.lastReport > this.options.reportMs * 1.5 + 1000
-    );
-  }
-
-  /** Whether tasks may be started on it at all: nothing unseen is there, it hears us, and the store knows. */
-  private takesWork(machine: MachineState, now: number): boolean {
-    return machine.confirmed && machine.hears && this.assigned.has(machine.id) && !this.unfit(machine, now);
-  }
-
-  /** What a team may still use, counting all of its own that may be on machines that have not spoken yet. */
-  room(team: string): Quantity {
-    const limit = this.limits.get(team)?.limit ?? NOTHING;
-    const used = this.used.get(team) ?? NOTHING;
-    const reserved = this.reservedFor(team);
-    // Without a limit nothing that may run unseen matters.
-    return {
-      cpus: left(limit.cpus, used.cpus, reserved.cpus),
-      accelerators: left(limit.accelerators, used.accelerators, reserved.accelerators),
-    };
-  }
-
-  /**
-   * What of a team may run unseen: no more than the machines that have not spoken have room for, nor than the tasks
-   * that an earlier owner may have started, that are neither done nor seen, and what jobs cancelled may have left.
-   * To count those machines as full against every team would hold teams back that have nothing on them.
-   */
-  private reservedFor(team: string): Quantity {
-    if (this.unconfirmedMachines.count === 0) return NOTHING;
-    if (!this.reserved) {
-      this.reserved = new Map([...this.cancelledReserve].map(([name, left]) => [name, { ...left }]));
-      for (const { spec, suspects } of this.jobs.values()) addTo(this.reserved, spec, suspects);
-    }
-    const own = this.reserved.get(team) ?? NOTHING;
-    const { most } = this.unconfirmedMachines;
-    return {
-      cpus: Math.min(most.cpus, own.cpus),
-      accelerators: Math.min(most.accelerators, own.accelerators),
-    };
-  }
-
   /** The open jobs in their turn. */
   sorted(): readonly PartitionJob[] {
     if (!this.queueStale) return this.queue;
     this.queueStale = false;
     let cpus = 1;
     for (const m of this.machines.values()) cpus += this.capacity(m)?.cpus ?? 0;
-    const { estimates, limits, today } = this;
+    const { estimates, today } = this;
+    const limits = this.quota.teams;
     this.queue = schedulingOrder([...this.jobs.values()], {
       ...{ cpus, estimates, limits, today },
       objectives: this.options.objectives,
@@ -584,115 +487,15 @@
     return this.queue;
   }
 
-  /**
-   * Cheap machines first, then the fullest, as far as what waits needs them: what is dear or nearly empty comes free
-   * to be given back. The others are passed over until more waits.
-   */
-  private chooseMachines(now: number): void {
-    let needed = this.waitingCpus();
-    const usable: { machine: MachineState; free: number }[] = [];
-    for (const machine of this.machines.values()) {
-      machine.passedOver = false;
-      if (needed === 0 || !this.takesWork(machine, now)) continue;
-      const free = this.free(machine)?.cpus ?? 0;
-      if (free > 0) usable.push({ machine, free });
-    }
-    usable.sort((a, b) => Number(b.machine.record.spot) - Number(a.machine.record.spot) || a.free - b.free);
-    for (const { machine, free } of usable) {
-      machine.passedOver = needed <= 0;
-      needed -= free;
-    }
-  }
-
-  /**
-   * Starts waiting tasks on a machine that has just reported: first fit in arrival order within an urgency, in two
-   * goes. Room first goes to jobs whose image the machine holds, for a fetch costs as much as many a task. Who has
-   * waited long is not passed over.
-   */
-  private fill(machine: MachineState, commands: Command[], now: number): void {
-    if (machine.passedOver || !this.takesWork(machine, now)) return;
-    const free = this.free(machine);
-    if (!free || free.cpus <= 0) return;
-    this.counters.placementPasses++;
-    const queue = this.sorted();
-    const settled = this.unconfirmed === 0;
-    for (let from = 0; from < queue.length && free.cpus > 0;) {
-      const rank = queue[from]?.rank;
-      let to = from;
-      for (; to < queue.length && queue[to]?.rank === rank; to++) {
-        const job = queue[to] as PartitionJob;
-        if (job.waitingNow(settled) === 0 || !machine.images.has(job.spec.image)) continue;
-        if (now - job.readySince < IMAGE_PATIENCE_MS) this.fit(job, machine, free, commands, now);
-      }
-      for (let i = from; i < to; i++) {
-        const job = queue[i] as PartitionJob;
-        if (job.waitingNow(settled) > 0) this.fit(job, machine, free, commands, now);
-      }
-      from = to;
-    }
-  }
-
-  private fit(job: PartitionJob, machine: MachineState, free: Free, commands: Command[], now: number): void {
-    const { spec } = job;
-    let n = fits(free, spec);
-    if (n === 0 || job.state !== 'open' || !allows(spec, machine.record)) return;
-    // It succeeded nowhere yet and fails here: another machine tells whose fault it is.
-    if (job.done === 0 && (machine.failing.get(job.ref) ?? 0) >= FAULTY_AFTER) return;
-    const room = this.room(spec.team);
-    n = Math.min(
-      n,
-      job.waitingNow(this.unconfirmed === 0),
-      job.mostOut(now),
-      fits({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 }),
-    );
-    if (n > 0 && (spec.together || spec.apart))
-      n = Math.min(n, zoneRoom(spec, machine.record.zone, this.zonesOf(job)));
-    if (n === 0) return;
-    for (const index of job.startable(n, this.unconfirmed === 0, now)) {
-      if (machine.tasks.has(taskKey(job.ref, index))) continue;
-      commands.push(machine.start(spec, index, this.version * ATTEMPTS_PER_INCARNATION + ++this.attempts));
-      machine.images.add(spec.image);
-      machine.idleSince = now;
-      job.goesOut(index, machine);
-      this.reserve(spec, 1);
-      this.counters.started++;
-      free.cpus -= spec.cpus;
-      free.accelerators -= spec.accelerators;
-      free.memoryGb -= spec.memoryGb;
-    }
-  }
+  // What the leader and the operators are told.
 
-  private zonesOf(job: PartitionJob): Map<string, number> {
-    const zones = new Map<string, number>();
-    // Not only `out`: a task may also be in flight on a machine where it is being stopped.
-    for (const machine of this.machines.values()) {
-      for (const task of machine.tasks.values()) {
-        if (task.ref !== job.ref) continue;
-        zones.set(machine.record.zone, (zones.get(machine.record.zone) ?? 0) + 1);
-      }
-    }
-    return zones;
+  /** What a team may still use. */
+  room(team: string): Quantity {
+    return this.quota.room(team);
   }
 
-  // What the leader and the operators are told.
-
-  /**
-   * Whether it is the machine that is at fault when tasks fail on it. A job that succeeds elsewhere and fails here says so,
-   * and so do several jobs that fail here. One that has succeeded nowhere yet says it only of a machine where nothing was
-   * ever done: jobs with a mistake fail everywhere, and once had good machines sent back by the dozen.
-   */
   isFaulty(machine: MachineState): boolean {
-    if (machine.failing.size === 0) return false;
-    let failures = 0;
-    let doubtful = 0;
-    for (const [ref, n] of machine.failing) {
-      const job = this.jobs.get(ref);
-      if (!job || job.faulty) continue;
-      if (job.done > 0) failures += n;
-      else if (!machine.proven) failures += n;
-      else doubtful++;
-    }
-    return failures >= FAULTY_AFTER || doubtful >= FAULTY_AFTER;
+    return this.placement.isFaulty(machine);
   }
 
   load(now: number): PartitionLoad {
