--- a/test/standin/fleet.ts
+++ b/test/standin/fleet.ts
@@ -224,6 +224,7 @@
     const name = `i-${String(this.count++).padStart(6, '0')}`;
     this.booting.set(name, { model, yard, loaners });
     this.since.set(name, this.time.now);
+    if (bootMs === Infinity) return name;
     this.time.at(this.time.now + bootMs, () => {
       if (!this.booting.delete(name)) return;
       this.workers.set(name, new Worker(this.time, this.hooks, name, model, yard, loaners));
@@ -231,6 +232,14 @@
     return name;
   }
 
+  /** How many times as long as usual machines rented now take to boot; Infinity: they never come up. */
+  bootFactor = (): number => 1;
+
+  /** Machines that are rented and not up. */
+  get stillBooting(): number {
+    return this.booting.size;
+  }
+
   /** How many machines were taken or given back. */
   taken = 0;
 
@@ -282,7 +291,7 @@
     if (room <= 0) return answer(503, { error: 'no capacity' });
     const names: string[] = [];
     for (let i = 0; i < Math.min(room, order.how_many); i++) {
-      names.push(this.open(order.model, order.yard, order.loaners, this.bootMs));
+      names.push(this.open(order.model, order.yard, order.loaners, this.bootMs * this.bootFactor()));
     }
     this.requests.set(order.hire_order, names);
     return answer(200, { velodromes: names });
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -113,6 +113,8 @@
   lateWrites = 0;
   /** This zone and the first controller see each other and nobody else; state service and cloud are outside. */
   cutZone: string | null = null;
+  /** Users ask so many times as often about their jobs. */
+  askFactor = 1;
   /** Users cancel, ask and submit again at the very end of a job's last task. */
   meetEnds = false;
   /** When all troubles are over. */
@@ -487,7 +489,7 @@
 
   private poll(job: UserJob): void {
     this.ask(job);
-    if (this.time.now < 400_000) this.time.at(this.time.now + 1500, () => this.poll(job));
+    if (this.time.now < 400_000) this.time.at(this.time.now + 1500 / this.askFactor, () => this.poll(job));
   }
 
   private ask(job: UserJob): void {
