--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -11,7 +11,8 @@
 import { Ledger, type StoreTransport } from '../storage/ledger';
 import { type ReportReply } from './gateway';
 import { refreshIntervalMs, maxStalenessMs } from './staleness';
-import { Leader, type CloudTransport } from './leader';
+import { CloudClient, type CloudTransport } from './cloud-client';
+import { Leader } from './leader';
 import { Member } from './member';
 import { PartitionCore } from './partition';
 import { PartitionActor } from './partition-actor';
@@ -107,18 +108,12 @@
       this.maxStalenessMs,
       () => this.reconcile(),
     );
-    this.leader = new Leader(
-      settings,
-      policy,
-      this.member,
-      this.ledger,
-      this.replica,
-      wiring.cloud,
-      clock,
-      log,
-      this.extensions,
-      (to, message) => this.sendTo(to, message),
-    );
+    this.leader = new Leader({
+      ...{ settings, policy, clock, log, member: this.member, ledger: this.ledger, replica: this.replica },
+      cloud: new CloudClient(wiring.cloud, clock, log, settings.cloudRate),
+      extensions: this.extensions,
+      sendTo: (to, message) => this.sendTo(to, message),
+    });
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
     const { valueBytes, txnOps } = settings.store;
     const batcher = new SubmissionBatcher(this.ledger, this.replica, clock, {
--- a/src/coordination/partition-actor.ts
+++ b/src/coordination/partition-actor.ts
@@ -52,6 +52,8 @@
 
 /** Machines that have not spoken by then are gone, or cut from us: life goes on. */
 const SETTLING_MS = 8000;
+/** Machines that a line of the log names at most. */
+const MACHINES_NAMED = 5;
 const PROGRESS_CALL_MS = 2000;
 /** Of the changes that the state service allows, one in this many raises start watermarks, and another opens machines. */
 const WATERMARK_WRITES_SHARE = 4;
@@ -77,6 +79,7 @@
   private readonly slots: ProgressSlots;
   private readonly since: number;
   private settled = false;
+  private toldWaiting = false;
 
   constructor(
     readonly core: PartitionCore,
@@ -170,13 +173,23 @@
 
   /** How long a take-over kept tasks waiting, and what it cost. */
   private tellSettled(now: number): void {
-    if (this.settled || this.core.unconfirmed > 0) return;
+    if (this.settled) return;
+    if (this.core.unconfirmed > 0) return this.tellWaiting(now);
     this.settled = true;
     const { lost, reports, stale } = this.core.counters;
     const seconds = Math.round((now - this.since) / 100) / 10;
     this.log.info({ partition: this.core.id, seconds, lost, reports, stale }, 'partition settled');
   }
 
+  /** Which machines keep a take-over waiting, told once: its symptoms alone do not show them. */
+  private tellWaiting(now: number): void {
+    if (this.toldWaiting || now - this.since < SETTLING_MS) return;
+    this.toldWaiting = true;
+    const { id: partition, unconfirmed } = this.core;
+    const machines = this.core.firstUnconfirmed(MACHINES_NAMED);
+    this.log.info({ partition, unconfirmed, machines }, 'machines have not spoken since the take-over');
+  }
+
   // Ends of jobs.
 
   /** Writes down which jobs have ended, unless their users have cancelled them meanwhile. */
--- a/src/coordination/partition.ts
+++ b/src/coordination/partition.ts
@@ -188,6 +188,11 @@
     this.failInterrupted();
   }
 
+  /** The first few of the machines that have not spoken since the partition was taken over. */
+  firstUnconfirmed(count: number): string[] {
+    return this.unconfirmedMachines.first(count);
+  }
+
   get unconfirmed(): number {
     return this.unconfirmedMachines.count;
   }
--- a/src/coordination/unconfirmed-machines.ts
+++ b/src/coordination/unconfirmed-machines.ts
@@ -16,6 +16,10 @@
     return this.shares.size;
   }
 
+  first(count: number): string[] {
+    return [...this.shares.keys()].slice(0, count);
+  }
+
   /** Notes how a machine that has not spoken stands; `has` is null while its type or its tasks are not known. */
   put(id: string, has: Free | null): void {
     this.remove(id);
