--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -8,7 +8,11 @@
   rules: {
     'no-restricted-imports': [
       'error',
-      { patterns: layers.slice(i + 1).map((higher) => ({ group: [`**/${higher}/*`], message: `${layer} lies below ${higher}` })) },
+      {
+        patterns: layers
+          .slice(i + 1)
+          .map((higher) => ({ group: [`**/${higher}/*`], message: `${layer} lies below ${higher}` })),
+      },
     ],
   },
 }));
@@ -18,5 +22,31 @@
   js.configs.recommended,
   ...tseslint.configs.strict,
   ...layerRules,
+  {
+    files: ['src/**/*.ts', 'test/**/*.ts'],
+    languageOptions: {
+      parserOptions: { project: './tsconfig.test.json', tsconfigRootDir: import.meta.dirname },
+    },
+    rules: {
+      // node:test runs what `test` returns by itself.
+      '@typescript-eslint/no-floating-promises': [
+        'error',
+        { allowForKnownSafeCalls: [{ from: 'package', package: 'node:test', name: 'test' }] },
+      ],
+      '@typescript-eslint/no-misused-promises': ['error', { checksVoidReturn: false }],
+      '@typescript-eslint/await-thenable': 'error',
+      '@typescript-eslint/switch-exhaustiveness-check': [
+        'error',
+        { considerDefaultExhaustiveForUnions: true },
+      ],
+    },
+  },
+  {
+    files: ['src/**/*.ts'],
+    rules: {
+      'max-lines': ['error', { max: 400, skipBlankLines: true, skipComments: true }],
+      'max-lines-per-function': ['error', { max: 60, skipBlankLines: true, skipComments: true }],
+    },
+  },
   { files: ['test/**/*.ts'], rules: { '@typescript-eslint/no-non-null-assertion': 'off' } },
 );
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -188,6 +188,10 @@
         return this.events.next({ kind: 'members' });
       case 'catalog':
         if (value !== null) this.types = new Map((value as MachineType[]).map((t) => [t.name, t]));
+        return;
+      default:
+        // Keys of a later version, or none of ours.
+        return;
     }
   }
 
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -7,14 +7,28 @@
 
 // What few starts need is kept out of the one file, to be read only when it is asked for.
 const apart = ['fengari', 'hdr-histogram-js'];
-const common = { bundle: true, minify: true, keepNames: true, platform: 'node', target: 'node20', logLevel: 'error' };
+const common = {
+  bundle: true,
+  minify: true,
+  keepNames: true,
+  platform: 'node',
+  target: 'node20',
+  logLevel: 'error',
+};
 for (const name of apart) {
-  await build({ ...common, stdin: { contents: `module.exports = require('${name}')`, resolveDir: '.' }, outfile: `target/${name}.js` });
+  await build({
+    ...common,
+    stdin: { contents: `module.exports = require('${name}')`, resolveDir: '.' },
+    outfile: `target/${name}.js`,
+  });
 }
 const keepApart = {
   name: 'keep-apart',
   setup(build) {
-    build.onResolve({ filter: new RegExp(`^(${apart.join('|')})$`) }, ({ path }) => ({ path: `./${path}.js`, external: true }));
+    build.onResolve({ filter: new RegExp(`^(${apart.join('|')})$`) }, ({ path }) => ({
+      path: `./${path}.js`,
+      external: true,
+    }));
   },
 };
 
@@ -22,11 +36,15 @@
 const leaveOut = {
   name: 'leave-out',
   setup(build) {
-    const unused = /(zod.v4.locales.index\.(c?js|mjs)|iconv-lite.encodings.(tables.*|sbcs-data.*|dbcs-data.*))$/;
+    const unused =
+      /(zod.v4.locales.index\.(c?js|mjs)|iconv-lite.encodings.(tables.*|sbcs-data.*|dbcs-data.*))$/;
     build.onLoad({ filter: unused }, () => ({ contents: 'module.exports = {}', loader: 'js' }));
     // Of two thousand media types one is spoken; sorting them all takes longer than anything of ours.
     const types = { 'application/json': { source: 'iana', charset: 'UTF-8', extensions: ['json'] } };
-    build.onLoad({ filter: /mime-db.db\.json$/ }, () => ({ contents: JSON.stringify(types), loader: 'json' }));
+    build.onLoad({ filter: /mime-db.db\.json$/ }, () => ({
+      contents: JSON.stringify(types),
+      loader: 'json',
+    }));
   },
 };
 
