--- a/src/coordination/leader.ts
+++ b/src/coordination/leader.ts
@@ -156,6 +156,7 @@
     this.refreshList(now);
     this.returnMachines();
     void this.registry.forgetEnded();
+    void this.registry.sweepEmpty(now);
     const due = now - this.scaledAt >= (this.newLoads ? SCALE_MS : SCALE_ANYWAY_MS);
     // What is rented must be recorded, or it would be rented again and again.
     if (due && this.deps.ledger.answering(STORE_ANSWERED_MS)) this.scaleFleet(now);
--- a/src/coordination/machine-registry.ts
+++ b/src/coordination/machine-registry.ts
@@ -1,9 +1,9 @@
 import { type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
 import { type ReplicaView } from '../storage/replica-view';
-import { editFleet } from '../storage/fleets';
+import { editFleet, mayBeWrittenAgain } from '../storage/fleets';
 import { RequestPriority, type Ledger, type TxnResult } from '../storage/ledger';
-import { encodeFleet, keys, type MachineRecord } from '../protocol/records';
+import { encodeFleet, firstRecordName, keys, type MachineRecord } from '../protocol/records';
 import { type Settings } from '../protocol/settings';
 import { type Condition, type Write } from '../protocol/store';
 import { type Report } from '../protocol/workers';
@@ -14,6 +14,9 @@
 const RECORDS_A_VALUE = 50;
 const RETRY_MS = 150;
 const CAUGHT_UP_MS = 2000;
+const SWEEP_MS = 5000;
+/** Bounds what a sweep takes of the changes that the state service allows. */
+const SWEPT_AT_ONCE = 6;
 
 /** The leader's records of machines: which are recorded for which partition, and which are gone. */
 export class MachineRegistry {
@@ -29,6 +32,10 @@
   /** Machines that reported and are not recorded. */
   private readonly strangers = new Map<string, { session: number; seq: number }>();
   private values = 0;
+  /** Values of this leader's whose every try was answered: none can be carried out once more. */
+  private readonly certain = new Set<string>();
+  private sweptAt = Number.NEGATIVE_INFINITY;
+  private sweeping = false;
 
   constructor(
     private readonly settings: Settings,
@@ -127,20 +134,40 @@
     const version = this.leaderVersion;
     const { conditions, writes } = this.newValues(machines, version);
     let result: TxnResult = { kind: 'refused' };
+    let unsure = false;
     // Until it is known what became of it, also while our session lease lapses for a moment: a try whose answer was lost
     // may still be carried out, and a machine recorded anew meanwhile would stand in two partitions.
     while (this.leaderVersion === version && this.replica.leader?.version === version) {
       if (this.member.alive()) {
         result = await this.ledger.txn(conditions, writes, RequestPriority.Decision);
+        unsure ||= result.kind === 'unknown';
         // A conflict: our own earlier try was applied, or we do not lead any more. Either way the replica must show it.
         if (result.kind === 'applied' && (await this.ledger.caughtUp(result.revision, CAUGHT_UP_MS))) break;
         if (result.kind === 'conflict' && (await this.ledger.fresh())) break;
       }
       await new Promise<void>((resolve) => this.clock.after(RETRY_MS, resolve));
     }
+    if (!unsure) for (const write of writes) if ('put' in write) this.certain.add(write.put);
     for (const [id] of machines) this.recording.delete(id);
   }
 
+  /** Now and then removes values that hold no machine any more, and that nothing can write once more. */
+  async sweepEmpty(now: number): Promise<void> {
+    if (this.sweeping || now - this.sweptAt < SWEEP_MS) return;
+    this.sweptAt = now;
+    const removable = [...this.replica.emptyFleetKeys].filter(
+      (key) => this.certain.has(key) || !mayBeWrittenAgain(this.replica, key),
+    );
+    const swept = removable.slice(0, Math.min(SWEPT_AT_ONCE, this.settings.store.txnOps));
+    if (swept.length === 0) return;
+    this.sweeping = true;
+    const conditions = swept.map((key) => ({ key, version: this.ledger.version(key) }));
+    const removals = swept.map((key): Write => ({ remove: key }));
+    const result = await this.ledger.txn(conditions, removals, RequestPriority.Progress);
+    if (result.kind === 'applied') for (const key of swept) this.certain.delete(key);
+    this.sweeping = false;
+  }
+
   /** The values that hold new machines, each under a key of its own. */
   private newValues(
     machines: readonly [string, MachineRecord][],
@@ -156,7 +183,7 @@
     const writes: Write[] = [];
     for (const [partition, list] of byPartition) {
       for (let i = 0; i < list.length; i += RECORDS_A_VALUE) {
-        const key = keys.fleet(partition, `${version}-${++this.values}`);
+        const key = keys.fleet(partition, firstRecordName(version, ++this.values));
         conditions.push({ key, version: 0 });
         writes.push({ put: key, value: encodeFleet(list.slice(i, i + RECORDS_A_VALUE)) });
       }
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -33,6 +33,17 @@
   return key.split('/')[2] ?? '';
 }
 
+/** The name of a value that a leader first writes machines to. */
+export function firstRecordName(leaderVersion: number, n: number): string {
+  return `${leaderVersion}-${n}`;
+}
+
+/** Which leader, by its version, first wrote the value of this key; null: an owner did, by moving machines. */
+export function firstRecordLeader(key: string): number | null {
+  const version = /^(\d+)-\d+$/.exec(key.split('/')[3] ?? '')?.[1];
+  return version === undefined ? null : Number(version);
+}
+
 /** Present while a controller's session lease lives; its version is the controller's incarnation. */
 export interface MemberRecord {
   member: string;
--- a/src/storage/fleets.ts
+++ b/src/storage/fleets.ts
@@ -1,4 +1,10 @@
-import { encodeFleet, keys, type FleetEntry, type MachineRecord } from '../protocol/records';
+import {
+  encodeFleet,
+  firstRecordLeader,
+  keys,
+  type FleetEntry,
+  type MachineRecord,
+} from '../protocol/records';
 import { type Condition, type Write } from '../protocol/store';
 import { type ReplicaView } from './replica-view';
 
@@ -64,7 +70,7 @@
   const merge = Buffer.byteLength(JSON.stringify(together)) <= limits.valueBytes * (1 - EDIT_SHARE);
   for (const [i, { key, machines }] of rest.entries()) {
     const value = merge ? (i === 0 ? together : []) : encodeFleet(machines);
-    writes.push(value.length > 0 ? { put: key, value } : { remove: key });
+    writes.push(value.length > 0 || mayBeWrittenAgain(replica, key) ? { put: key, value } : { remove: key });
   }
   for (const [target, machines] of targets) {
     const key = keys.fleet(target, name);
@@ -74,6 +80,15 @@
   return { ids, conditions, writes };
 }
 
+/**
+ * Whether the transaction that first wrote this value may be carried out once more. A leader repeats one whose answer is lost,
+ * and the lost one may come late; it is conditional on the absence of the key and on the leader. Were the key removed while
+ * that leader leads, machines that have moved on meanwhile would stand here again: their tasks were once started a second time.
+ */
+export function mayBeWrittenAgain(replica: ReplicaView, key: string): boolean {
+  return replica.leader !== null && firstRecordLeader(key) === replica.leader.version;
+}
+
 function remaining(
   fleet: ReadonlyMap<string, FleetEntry>,
   partition: string,
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -81,6 +81,8 @@
   private readonly assigned = new Map<string, readonly string[]>();
   /** Machines that left the value in which they stood, until the replica is whole again. */
   private readonly vanished = new Map<string, { key: string; partition: string }>();
+  /** Values of machines that hold none any more. */
+  readonly emptyFleetKeys = new Set<string>();
   private readonly fleets = new Map<string, Map<string, FleetEntry>>();
 
   constructor(
@@ -243,6 +245,8 @@
     const before = this.fleets.get(key);
     if (now.size > 0) this.fleets.set(key, now);
     else this.fleets.delete(key);
+    if (value !== null && now.size === 0) this.emptyFleetKeys.add(key);
+    else this.emptyFleetKeys.delete(key);
     for (const [id, entry] of now) {
       const known = this.machines.get(id);
       if (known && known.version > entry.version) continue;
--- a/test/operations.test.ts
+++ b/test/operations.test.ts
@@ -179,6 +179,18 @@
   }
 });
 
+// An empty value stays while its first write may still be carried out once more; it must not stay for good.
+test('values that hold no machine any more are swept away', async () => {
+  const world = new World(5, { nodes: 3, capacity: 14, teams: 2 });
+  for (let n = 0; n < 24; n++) world.time.at(2500 + 4000 * n, () => world.submit(n));
+  await world.run(DAY_MS);
+  assert.deepEqual(world.broken, []);
+  const values = [...world.store.keys].filter(([key]) => key.startsWith('hb/fleet/'));
+  const empty = values.filter(([, entry]) => (entry.v as unknown[]).length === 0);
+  assert.ok(world.cloud.taken > 5, 'machines came and went');
+  assert.ok(empty.length <= 2, `${empty.length} empty values are left`);
+});
+
 test('questions many times as often while controllers end and the state service is slow to come back', async (t) => {
   for (const seed of [1, 2]) {
     await t.test(`seed ${seed}`, async () => {
--- a/test/replica-view.test.ts
+++ b/test/replica-view.test.ts
@@ -176,6 +176,26 @@
         );
       },
     ],
+    [
+      // Removed, it was written once more by a try of the leader's that came late: machines stood in two partitions.
+      'a value that the present leader first wrote stays when it is empty, that of an earlier one goes',
+      (w) => {
+        w.change(keys.leader, { member: 'a' });
+        const leader = w.replica.leader?.version ?? 0;
+        const [present, earlier] = [`${leader}-1`, `${leader - 1}-1`];
+        w.fleet('p0', present, ['i-1']).fleet('p0', earlier, ['i-2']);
+        const gone = new Map([...w.replica.machines.keys()].map((id) => [id, null]));
+        const { writes } = editFleet(w.replica, 'p0', gone, 'n', { valueBytes: 4096, txnOps: 12 });
+        assert.deepEqual(writes, [
+          { put: keys.fleet('p0', present), value: [] },
+          { remove: keys.fleet('p0', earlier) },
+        ]);
+        w.change(keys.fleet('p0', present), []);
+        assert.deepEqual([...w.replica.emptyFleetKeys], [keys.fleet('p0', present)]);
+        w.gone(keys.fleet('p0', present));
+        assert.equal(w.replica.emptyFleetKeys.size, 0);
+      },
+    ],
     [
       'what does not fit into one transaction is left for the next',
       (w) => {
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -19,7 +19,7 @@
 
 /** Stands in for the state service: keys, transactions, session leases, watches, outages. */
 export class StandinStore {
-  private readonly keys = new Map<string, Stored>();
+  readonly keys = new Map<string, Stored>();
   private readonly changes: Change[] = [];
   private readonly grants = new Map<number, { ttl: number; until: number }>();
   private readonly watchers = new Set<() => void>();
--- a/test/standin/world.ts
+++ b/test/standin/world.ts
@@ -40,6 +40,8 @@
   /** Its tasks were found running on; once is enough. */
   reported: boolean;
   asked: boolean;
+  /** What its user was last told. */
+  told: string | null;
   /** When a question about it was last answered. */
   answeredAt: number;
 }
@@ -60,6 +62,8 @@
 const SMALL: Scale = { nodes: 3, capacity: 10, teams: 1 };
 const LEASE_MS = 12_000;
 const CANCEL_MS = 37_000;
+/** So many of the copies kept for the next leader are brought. */
+const KEPT_COPIES = 60;
 /** Troubles over, a job of which nothing is said for so long is forgotten. */
 const FORGOTTEN_MS = 75_000;
 const TEAMS = [
@@ -111,6 +115,12 @@
   leasesLost = 0;
   /** Of the changes asked of the state service, one in this many gets no answer and is carried out late; 0: none. */
   lateWrites = 0;
+  /** Of the changes asked of the state service, one in this many is made at once and only its answer is lost; 0: none. */
+  lostAnswers = 0;
+  /** Copies of reports are kept, and brought to every controller as soon as a new one leads. */
+  copiesForNextLeader = false;
+  /** Users ask at all controllers within milliseconds whenever they have been told something new of a job. */
+  asksEverywhere = false;
   /** This zone and the first controller see each other and nobody else; state service and cloud are outside. */
   cutZone: string | null = null;
   /** Users ask so many times as often about their jobs. */
@@ -120,6 +130,8 @@
   /** When all troubles are over. */
   calmFrom = Number.POSITIVE_INFINITY;
   private lives = 0;
+  private readonly keptCopies: { worker: Worker; report: object }[] = [];
+  private leaderNow = -1;
   private random: prand.RandomGenerator;
 
   constructor(
@@ -155,6 +167,7 @@
     }
     const look = (): void => {
       this.checkCancelled();
+      this.bringCopies();
       this.time.at(this.time.now + 250, look);
     };
     this.time.at(250, look);
@@ -180,8 +193,12 @@
         ? new Promise((resolve) => this.time.at(this.time.now + timeoutMs, () => resolve(null)))
         : path === '/multi' && this.lateWrites > 0 && this.pick(this.lateWrites) === 0
           ? this.carriedOutLate(timeoutMs, () => this.store.request(method, path, body, () => false))
-          : this.overNetwork(timeoutMs, node, isUp, () =>
-              this.store.request(method, path, body, () => node.storeRefused || node.apart),
+          : this.overNetwork(
+              timeoutMs,
+              node,
+              isUp,
+              () => this.store.request(method, path, body, () => node.storeRefused || node.apart),
+              path === '/multi' && this.lostAnswers > 0 && this.pick(this.lostAnswers) === 0,
             );
     const controller = new Controller(
       parseSettings(settingsOf(i, this.scale)),
@@ -240,6 +257,7 @@
     node: Node,
     isUp: () => boolean,
     act: () => Promise<HttpAnswer>,
+    answerLost = false,
   ): Promise<HttpAnswer | null> {
     return new Promise((resolve) => {
       const late = this.pick(150) === 0;
@@ -248,7 +266,9 @@
         this.awake(node, () => (isUp() ? resolve(answer) : undefined));
       this.time.at(this.time.now + timeoutMs, () => tell(null));
       this.time.at(this.time.now + delay, () => {
-        void act().then((answer) => this.time.at(this.time.now + 2, () => tell(answer)));
+        void act().then((answer) => {
+          if (!answerLost) this.time.at(this.time.now + 2, () => tell(answer));
+        });
       });
     });
   }
@@ -276,6 +296,7 @@
       else if (node.cut) this.time.at(this.time.now + 5000 + this.pick(15_000), arrive);
       else {
         this.time.at(this.time.now + 2, arrive);
+        if (this.copiesForNextLeader) this.keptCopies.push({ worker, report });
         // Copies of old reports come late, by seconds to well over a lease, and to any controller.
         if (this.pick(25) === 0) {
           const copyTo = this.pick(this.nodes.length);
@@ -297,6 +318,17 @@
     });
   }
 
+  /** A new leader has begun: copies of reports from before reach every controller at once. */
+  private bringCopies(): void {
+    const leader = this.nodes.findIndex(
+      (n) => n.up && (n.controller?.status() as { leading: boolean }).leading,
+    );
+    if (leader < 0 || leader === this.leaderNow) return;
+    this.leaderNow = leader;
+    for (const { worker, report } of this.keptCopies.splice(0).slice(-KEPT_COPIES))
+      for (let i = 0; i < this.nodes.length; i++) this.hear(i, worker, report);
+  }
+
   private spec(piece: string): UserJob | undefined {
     return this.jobs.find((j) => j.ref === piece.split('/')[0]);
   }
@@ -360,13 +392,19 @@
     for (const job of this.jobs.filter(runs).slice(0, count)) this.cancel(job);
   }
 
+  /** The user of the job with this number cancels it, once it is accepted. */
+  cancelJob(n: number): void {
+    const job = this.jobs.find((j) => j.ref === `job-${String(n).padStart(6, '0')}`);
+    if (job?.accepted && !job.asked) this.cancel(job);
+  }
+
   /** A user submits a job to any node that is up, until one accepts it, then polls; some cancel. */
-  submit(n: number): void {
+  submit(n: number, tasks?: number): void {
     const team = TEAMS[this.pick(TEAMS.length)] as (typeof TEAMS)[number];
     const job: UserJob = {
       ref: `job-${String(n).padStart(6, '0')}`,
       crew: team.name,
-      pieces: 1 + this.pick(this.pick(8) === 0 ? 30 : 12),
+      pieces: tasks ?? 1 + this.pick(this.pick(8) === 0 ? 30 : 12),
       cpus: 1 + this.pick(2),
       loaners: this.pick(4) > 0,
       together: this.pick(3) === 0,
@@ -378,6 +416,7 @@
       cancelledAt: null,
       reported: false,
       asked: false,
+      told: null,
       answeredAt: this.time.now,
     };
     if (this.scale.bound && !job.together) {
@@ -493,7 +532,11 @@
   }
 
   private ask(job: UserJob): void {
-    void this.inTime(this.controller().runs.status(job.ref), 2000).then((answer) => {
+    this.askAt(this.controller(), job);
+  }
+
+  private askAt(controller: Controller, job: UserJob): void {
+    void this.inTime(controller.runs.status(job.ref), 2000).then((answer) => {
       if (answer.status === 404) this.broken.push(`forgotten: ${job.ref} at ${this.time.now}`);
       if (answer.status === 200) job.answeredAt = this.time.now;
       else if (this.time.now - Math.max(job.answeredAt, this.calmFrom) > FORGOTTEN_MS)
@@ -512,6 +555,14 @@
         if (!this.completed.has(`${job.ref}/${i}`)) this.broken.push(`not_done: ${job.ref}/${i}`);
       }
     }
+    const news = job.told !== status;
+    job.told = status;
+    if (this.asksEverywhere && news)
+      for (const node of this.nodes) {
+        const { controller } = node;
+        if (node.up && controller)
+          this.time.at(this.time.now + this.pick(5), () => this.askAt(controller, job));
+      }
     if (status === 'done' || status === 'aborted') job.final = status;
     if (status === 'aborted') job.cancelledAt ??= this.time.now;
   }
