--- a/src/coordination/reachability.ts
+++ b/src/coordination/reachability.ts
@@ -1,6 +1,6 @@
 import { type PartitionLoad, type MisroutedCount } from '../protocol/peers';
 
-/** For how long a machine that came to the wrong controller counts as stray: it tries the owner, waits 4 s, comes again. */
+/** For how long a machine that came to the wrong controller counts as misrouted: it tries the owner, waits 4 s, comes again. */
 const MISROUTED_MS = 6000;
 /** Of a partition's machines, the share that must have come here of late for their reports to be kept waiting. */
 const MANY = 0.1;
--- a/src/coordination/recovery.ts
+++ b/src/coordination/recovery.ts
@@ -1,7 +1,7 @@
 import { type EdgeKind } from '../protocol/jobs';
 
 /**
- * The recovery walk of the paper (Ray, Xin, Zhu, section 5, phase 3) and the typed edges of section 3, on
+ * The recovery pass of the paper (Ray, Xin, Zhu, section 5, phase 3) and the typed edges of section 3, on
  * one pipeline. It is pure: a pipeline's states in, the decisions out.
  */
 /** `to` depends on `from`. */
