--- a/packages/load-balancer/src/even-placement.ts
+++ b/packages/load-balancer/src/even-placement.ts
@@ -1,4 +1,4 @@
-import { type MachineView } from './partition-view';
+import { type MachineSnapshot } from './partition-view';
 
 /** How full a machine is, and how large. */
 export interface MachineFill {
@@ -7,20 +7,20 @@
 }
 
 /** Steps in which the level is searched; more than any difference that a task makes. */
-const SEARCH_STEPS = 24;
+const LEVEL_SEARCH_STEP_COUNT = 24;
 
 /**
  * The share of their CPUs up to which all machines would be filled if what waits were spread evenly: like water poured into
  * vessels that are filled differently. 1 if there is less room than what waits.
  */
-export function evenLevel(machines: readonly MachineFill[], waitingCpus: number): number {
+export function evenLevel(machines: readonly MachineFill[], pendingCpus: number): number {
   let low = 0;
   let high = 1;
-  for (let step = 0; step < SEARCH_STEPS; step++) {
+  for (let step = 0; step < LEVEL_SEARCH_STEP_COUNT; step++) {
     const level = (low + high) / 2;
-    let room = 0;
-    for (const { cpus, used } of machines) room += Math.max(0, level * cpus - used);
-    if (room < waitingCpus) low = level;
+    let freeCpus = 0;
+    for (const { cpus, used } of machines) freeCpus += Math.max(0, level * cpus - used);
+    if (freeCpus < pendingCpus) low = level;
     else high = level;
   }
   return high;
@@ -31,7 +31,7 @@
  * beyond the level by what the fetch would cost elsewhere, as a share of the task's run time: locality against evenness.
  */
 export function evenAllowance(
-  machine: Pick<MachineView, 'capacity' | 'free'>,
+  machine: Pick<MachineSnapshot, 'capacity' | 'free'>,
   level: number,
   savedFetchS: number,
   expectedS: number,
--- a/packages/load-balancer/src/fetch-planner.ts
+++ b/packages/load-balancer/src/fetch-planner.ts
@@ -2,58 +2,63 @@
 import { type MovePlan } from './move-plan';
 import { MoveCandidates } from './move-candidates';
 import { type PlanContext } from './move-planner';
-import { taskName, type MachineView, type PartitionView, type TaskView } from './partition-view';
+import { taskKey, type MachineSnapshot, type PartitionSnapshot, type TaskSnapshot } from './partition-view';
 
 /** Machines whose fetches are looked at in one round: those that fetch most images at once. */
-const MACHINES_TRIED = 16;
+const MAX_SOURCES_PER_ROUND = 16;
 /** A single fetch has the whole bandwidth: there is nothing to even out. */
-const SHARED_FETCHES = 2;
-const NOTHING_TAKEN = new Map<string, never>();
+const MIN_SHARED_FETCH_COUNT = 2;
+const NO_RESERVATIONS = new Map<string, never>();
 
 /**
  * Plans moves of tasks that have not started: from machines where several images share the bandwidth to machines that have
  * the task's image. Nothing runs yet, so no rule of preemption is touched and no work is lost.
  */
-export function planFetchMoves(view: PartitionView, context: PlanContext, movesLeft: number): MovePlan[] {
-  const busy = view
+export function planFetchMoves(
+  partition: PartitionSnapshot,
+  context: PlanContext,
+  movesLeft: number,
+): MovePlan[] {
+  const busy = partition
     .machines()
-    .filter(({ fetching }) => fetching >= SHARED_FETCHES)
+    .filter(({ fetching }) => fetching >= MIN_SHARED_FETCH_COUNT)
     .sort((a, b) => b.fetching - a.fetching)
-    .slice(0, MACHINES_TRIED);
+    .slice(0, MAX_SOURCES_PER_ROUND);
   if (busy.length === 0) return [];
-  const candidates = new MoveCandidates(view);
+  const candidates = new MoveCandidates(partition);
   const plans: MovePlan[] = [];
   for (const machine of busy) {
-    for (const task of view.tasksOn(machine.id)) {
+    for (const task of partition.tasksOn(machine.id)) {
       if (plans.length >= movesLeft) return plans;
-      const plan = task.phase === 'fetching' ? moveNearImage(task, machine, candidates, context) : null;
+      const plan = task.phase === 'fetching' ? planMoveToImage(task, machine, candidates, context) : null;
       if (!plan) continue;
       plans.push(plan);
-      for (const { target } of plan.moves) if (target !== null) candidates.take(target, task.of.needs);
+      for (const { target } of plan.moves)
+        if (target !== null) candidates.reserve(target, task.spec.resources);
     }
   }
   return plans;
 }
 
-function moveNearImage(
-  task: TaskView,
-  source: MachineView,
+function planMoveToImage(
+  task: TaskSnapshot,
+  source: MachineSnapshot,
   candidates: MoveCandidates,
   context: PlanContext,
 ): MovePlan | null {
   const { settings, budget, refusals } = context;
-  const name = taskName(task);
-  const cause = { kind: 'fetch' as const, job: task.of.job };
-  if (task.pinned !== null || context.isMoving(name) || source.hasImage(task.of.image)) return null;
+  const name = taskKey(task);
+  const cause = { kind: 'fetch' as const, job: task.spec.job };
+  if (task.pinned !== null || context.isMoving(name) || source.hasImage(task.spec.image)) return null;
   if (budget.movedFor(name, cause)) {
     refusals.count('moved for this before');
     return null;
   }
-  const targets = candidates.targetsFor(task, source.id, NOTHING_TAKEN);
-  const target = targets.find((machine) => machine.hasImage(task.of.image));
+  const targets = candidates.targetsFor(task, source.id, NO_RESERVATIONS);
+  const target = targets.find((machine) => machine.hasImage(task.spec.image));
   if (!target) return null;
   // `fetching` counts this task's image already.
-  const alone = fetchSeconds(task.of, { ...source, fetching: source.fetching - 1, hasImage: () => false });
+  const alone = fetchSeconds(task.spec, { ...source, fetching: source.fetching - 1, hasImage: () => false });
   const gainS = Math.max(0, alone - task.elapsedS);
   const cost = moveCost(task, target, context);
   const costS = costSeconds(cost, context.localityWeight);
@@ -63,7 +68,7 @@
   }
   return {
     cause,
-    cleared: null,
+    clearedMachine: null,
     gainS,
     costS,
     moves: [{ task, source: source.id, target: target.id, cost, costS }],
--- a/packages/load-balancer/src/load-summary.ts
+++ b/packages/load-balancer/src/load-summary.ts
@@ -37,8 +37,8 @@
 export type SummaryFault = 'malformed' | 'absurd' | 'old epoch' | 'repeated';
 
 /** More CPUs or CPU-seconds than this are no load but a mistake. */
-const MOST_CPUS = 1e8;
-const MOST_CPU_SECONDS = 1e13;
+const MAX_CPU_COUNT = 1e8;
+const MAX_CPU_SECONDS = 1e13;
 
 /** What is wrong with the figures of a summary in themselves; null: nothing. */
 export function summaryFault(summary: LoadSummary): SummaryFault | null {
@@ -50,36 +50,36 @@
   if (![...amounts, ...running, ...waiting, trendPerS].every(Number.isFinite)) return 'malformed';
   const wrong =
     [...amounts, ...running, ...waiting, epoch, sequence].some((amount) => amount < 0) ||
-    cpus > MOST_CPUS ||
+    cpus > MAX_CPU_COUNT ||
     freeCpus > cpus ||
     largestFreeCpus > freeCpus ||
-    [...running, ...waiting, Math.abs(trendPerS)].some((work) => work > MOST_CPU_SECONDS);
+    [...running, ...waiting, Math.abs(trendPerS)].some((work) => work > MAX_CPU_SECONDS);
   return wrong ? 'absurd' : null;
 }
 
-interface KnownSummary {
+interface ReceivedSummary {
   summary: LoadSummary;
   /** When its figures were true, by the receiver's steady clock; or earlier. */
   asOf: number;
 }
 
 /** The latest summary of each partition, as far as it may be relied on. What may not is counted and dropped. */
-export class SummaryBoard {
-  private readonly known = new Map<string, KnownSummary>();
+export class SummaryStore {
+  private readonly byPartition = new Map<string, ReceivedSummary>();
   private readonly faults = new Map<SummaryFault, number>();
 
   constructor(private readonly maxAgeMs: number) {}
 
   /** Takes a summary that arrived now; what is wrong with it, or null. */
-  take(summary: LoadSummary, now: number): SummaryFault | null {
-    const fault = summaryFault(summary) ?? this.isOlder(summary);
-    if (fault === null) this.known.set(summary.partition, { summary, asOf: now - summary.ageMs });
+  record(summary: LoadSummary, now: number): SummaryFault | null {
+    const fault = summaryFault(summary) ?? this.outdatedFault(summary);
+    if (fault === null) this.byPartition.set(summary.partition, { summary, asOf: now - summary.ageMs });
     else this.faults.set(fault, (this.faults.get(fault) ?? 0) + 1);
     return fault;
   }
 
-  private isOlder({ partition, epoch, sequence }: LoadSummary): SummaryFault | null {
-    const before = this.known.get(partition)?.summary;
+  private outdatedFault({ partition, epoch, sequence }: LoadSummary): SummaryFault | null {
+    const before = this.byPartition.get(partition)?.summary;
     if (!before || epoch > before.epoch) return null;
     if (epoch < before.epoch) return 'old epoch';
     return sequence <= before.sequence ? 'repeated' : null;
@@ -87,17 +87,17 @@
 
   /** A partition's summary, or null if there is none young enough to decide by. */
   fresh(partition: string, now: number): LoadSummary | null {
-    const known = this.known.get(partition);
+    const known = this.byPartition.get(partition);
     return known && now - known.asOf <= this.maxAgeMs ? known.summary : null;
   }
 
   /** All that is known, with its age, for operators. */
   all(now: number): { summary: LoadSummary; ageMs: number }[] {
-    return [...this.known.values()].map(({ summary, asOf }) => ({ summary, ageMs: now - asOf }));
+    return [...this.byPartition.values()].map(({ summary, asOf }) => ({ summary, ageMs: now - asOf }));
   }
 
   /** Dropped summaries by fault. */
-  dropped(): { fault: SummaryFault; count: number }[] {
+  droppedByFault(): { fault: SummaryFault; count: number }[] {
     return [...this.faults].map(([fault, count]) => ({ fault, count }));
   }
 
--- a/packages/load-balancer/src/move-cost.ts
+++ b/packages/load-balancer/src/move-cost.ts
@@ -1,11 +1,11 @@
-import { type JobView, type MachineView, type TaskView } from './partition-view';
+import { type JobSnapshot, type MachineSnapshot, type TaskSnapshot } from './partition-view';
 import { type RuntimeEstimator } from './runtime-estimator';
 
 /** Image fetches are slower than stated by up to a third. */
-const FETCH_MARGIN = 1.33;
+const FETCH_TIME_RATIO = 1.33;
 
 /** What ends with this probability is taken to end. */
-const PROBABLY = 0.5;
+const LIKELY_END_PROBABILITY = 0.5;
 
 /** What a move costs the task that is moved, in seconds by which it ends later. */
 export interface MoveCost {
@@ -25,44 +25,48 @@
 
 /** What the cost of a move depends on besides the task. */
 export interface CostContext {
-  reportS: number;
+  heartbeatIntervalS: number;
   localityWeight: number;
   estimator: RuntimeEstimator;
   /** Seconds until a task that is put back to wait finds room again. */
-  requeueS(job: JobView): number;
+  requeueS(job: JobSnapshot): number;
   /** Seconds of work outstanding on a machine beyond the mean of the partition. */
-  busierS(machine: string): number;
+  excessWorkS(machine: string): number;
 }
 
 /** Seconds until a machine would have an image, sharing its bandwidth with the fetches under way. */
 export function fetchSeconds(
-  { image, imageGb }: Pick<JobView, 'image' | 'imageGb'>,
-  machine: Pick<MachineView, 'fetching' | 'fetchGbPerS' | 'hasImage'>,
+  { image, imageGb }: Pick<JobSnapshot, 'image' | 'imageGb'>,
+  machine: Pick<MachineSnapshot, 'fetching' | 'fetchGbPerS' | 'hasImage'>,
 ): number {
   if (machine.hasImage(image)) return 0;
   if (machine.fetchGbPerS <= 0) return Number.POSITIVE_INFINITY;
-  return (FETCH_MARGIN * imageGb * (machine.fetching + 1)) / machine.fetchGbPerS;
+  return (FETCH_TIME_RATIO * imageGb * (machine.fetching + 1)) / machine.fetchGbPerS;
 }
 
 /** What it costs to move a task to a machine; null: to put it back to wait. */
-export function moveCost(task: TaskView, target: MachineView | null, context: CostContext): MoveCost {
-  const { of, phase, elapsedS } = task;
+export function moveCost(task: TaskSnapshot, target: MachineSnapshot | null, context: CostContext): MoveCost {
+  const { spec, phase, elapsedS } = task;
   const runs = phase === 'running';
-  const saves = runs && of.checkpointS > 0;
+  const saves = runs && spec.checkpointS > 0;
   return {
     // Each side hears of it with its next report, after half an interval on average.
-    messagesS: context.reportS,
-    saveS: saves ? of.saveS : 0,
-    restoreS: saves ? of.saveS : 0,
-    fetchS: target ? fetchSeconds(of, target) : 0,
+    messagesS: context.heartbeatIntervalS,
+    saveS: saves ? spec.saveS : 0,
+    restoreS: saves ? spec.saveS : 0,
+    fetchS: target ? fetchSeconds(spec, target) : 0,
     lostS: runs && !saves ? elapsedS : 0,
-    queuedS: target ? 0 : context.requeueS(of),
-    crowdingS: target ? crowding(of, target, context) : 0,
+    queuedS: target ? 0 : context.requeueS(spec),
+    crowdingS: target ? crowdingSeconds(spec, target, context) : 0,
   };
 }
 
-function crowding({ needs }: JobView, { id, capacity }: MachineView, context: CostContext): number {
-  return Math.max(0, context.busierS(id)) * (needs.cpus / Math.max(1, capacity.cpus));
+function crowdingSeconds(
+  { resources }: JobSnapshot,
+  { id, capacity }: MachineSnapshot,
+  context: CostContext,
+): number {
+  return Math.max(0, context.excessWorkS(id)) * (resources.cpus / Math.max(1, capacity.cpus));
 }
 
 /** One number for a move's cost. Locality against evenness is this sum: fetching is what the weight multiplies. */
@@ -73,13 +77,13 @@
 }
 
 /** A task that has less left than this share of its run time is near its finish and stays. */
-const NEAR_FINISH = 0.1;
+const NEAR_COMPLETION_RATIO = 0.1;
 
 /** Whether a task is near its finish, or will probably have ended by the time at which a move would have it going again, queues aside. */
-export function endsFirst(task: TaskView, cost: MoveCost, estimator: RuntimeEstimator): boolean {
+export function endsBeforeMove(task: TaskSnapshot, cost: MoveCost, estimator: RuntimeEstimator): boolean {
   if (task.phase !== 'running') return false;
   const { messagesS, saveS, restoreS, fetchS, lostS } = cost;
   const movedInS = messagesS + saveS + restoreS + fetchS + lostS;
-  const stays = Math.max(movedInS, NEAR_FINISH * estimator.total(task.of).meanS);
-  return estimator.remainingS(task.of, task.elapsedS, PROBABLY) <= stays;
+  const stays = Math.max(movedInS, NEAR_COMPLETION_RATIO * estimator.total(task.spec).meanS);
+  return estimator.remainingS(task.spec, task.elapsedS, LIKELY_END_PROBABILITY) <= stays;
 }
--- a/packages/load-balancer/src/move-plan.ts
+++ b/packages/load-balancer/src/move-plan.ts
@@ -1,5 +1,5 @@
 import { type MoveCost } from './move-cost';
-import { type TaskView } from './partition-view';
+import { type TaskSnapshot } from './partition-view';
 
 /** Why tasks are moved. */
 export type MoveCause =
@@ -15,7 +15,7 @@
 
 /** One task to be moved. */
 export interface PlannedMove {
-  task: TaskView;
+  task: TaskSnapshot;
   source: string;
   /** Where it goes on at once; null: it waits for room like any other task of its job. */
   target: string | null;
@@ -27,7 +27,7 @@
 export interface MovePlan {
   cause: MoveCause;
   /** The machine that is cleared for a task of the waiting job; null: none is. */
-  cleared: string | null;
+  clearedMachine: string | null;
   moves: PlannedMove[];
   /** Seconds of waiting that they save. */
   gainS: number;
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -1,28 +1,28 @@
-import { endsFirst, moveCost, costSeconds, type CostContext } from './move-cost';
+import { endsBeforeMove, moveCost, costSeconds, type CostContext } from './move-cost';
 import { type MovePlan, type PlannedMove, type Refusal, type RefusalCounter } from './move-plan';
 import { MoveCandidates } from './move-candidates';
 import {
-  taskName,
-  type MachineView,
-  type PartitionView,
-  type TaskView,
-  type WaitingView,
+  taskKey,
+  type MachineSnapshot,
+  type PartitionSnapshot,
+  type TaskSnapshot,
+  type PendingTasks,
 } from './partition-view';
-import { addResources, fitsInto, type Resources } from './resources';
+import { addResources, fits, type Resources } from './resources';
 import { type MoveBudget } from './move-budget';
 import { type BalancerSettings } from './settings';
 
 /** Machines that are looked at closely for one waiting job: those that lack least. */
-const MACHINES_TRIED = 8;
+const MAX_MACHINES_PER_JOB = 8;
 /** Waiting jobs that are looked at in one round, the most urgent first. */
-const JOBS_TRIED = 6;
+const MAX_JOBS_PER_ROUND = 6;
 /** Rooms that are made for one job in a round. */
-const ROOMS_A_JOB = 4;
+const MAX_CLEARED_MACHINES_PER_JOB = 4;
 /** No move is worth more than this, however long the wait would be. */
-const LONGEST_GAIN_S = 300;
+const MAX_GAIN_S = 300;
 
 /** Natural ends are taken at this quantile of what is left. */
-const EARLY = 0.35;
+const EARLY_END_PROBABILITY = 0.35;
 
 /** What planning depends on besides the partition. */
 export interface PlanContext extends CostContext {
@@ -33,12 +33,12 @@
   /** Tasks that are being moved. */
   isMoving(task: string): boolean;
   /** Jobs for which moves are under way. */
-  isServed(job: string): boolean;
+  hasMovesInProgress(job: string): boolean;
 }
 
 /** A machine that could be cleared for a waiting task. */
 interface Clearing {
-  machine: MachineView;
+  machine: MachineSnapshot;
   moves: PlannedMove[];
   costS: number;
   clearedInS: number;
@@ -50,25 +50,25 @@
  */
 export class MovePlanner {
   private readonly candidates: MoveCandidates;
-  private left: number;
+  private movesLeft: number;
 
   constructor(
-    private readonly view: PartitionView,
+    private readonly partition: PartitionSnapshot,
     private readonly context: PlanContext,
     movesLeft: number,
   ) {
-    this.candidates = new MoveCandidates(view);
-    this.left = movesLeft;
+    this.candidates = new MoveCandidates(partition);
+    this.movesLeft = movesLeft;
   }
 
   /** The moves of one round. */
   plan(): MovePlan[] {
     const plans: MovePlan[] = [];
-    const waiting = [...this.view.waiting()].sort((a, b) => a.of.priority - b.of.priority);
-    for (const wait of waiting.slice(0, JOBS_TRIED)) {
-      if (wait.tasks === 0 || this.context.isServed(wait.of.job)) continue;
-      for (let rooms = 0; rooms < Math.min(ROOMS_A_JOB, wait.tasks); rooms++) {
-        const plan = this.makeRoom(wait);
+    const pendingJobs = [...this.partition.pendingTasks()].sort((a, b) => a.spec.priority - b.spec.priority);
+    for (const pending of pendingJobs.slice(0, MAX_JOBS_PER_ROUND)) {
+      if (pending.tasks === 0 || this.context.hasMovesInProgress(pending.spec.job)) continue;
+      for (let rooms = 0; rooms < Math.min(MAX_CLEARED_MACHINES_PER_JOB, pending.tasks); rooms++) {
+        const plan = this.planClearing(pending);
         if (!plan) break;
         plans.push(plan);
       }
@@ -77,92 +77,98 @@
   }
 
   /** Moves tasks off one machine so that a task of this job fits there; null: not worth it, or not needed. */
-  private makeRoom(wait: WaitingView): MovePlan | null {
-    const { of } = wait;
-    const suitable = this.candidates.suiting(of);
-    if (suitable.some((machine) => fitsInto(this.candidates.free(machine.id), of.needs))) return null;
-    if (this.left <= 0) return this.refuse('too many moves');
+  private planClearing(pending: PendingTasks): MovePlan | null {
+    const { spec } = pending;
+    const suitable = this.candidates.suitableMachines(spec);
+    if (suitable.some((machine) => fits(this.candidates.free(machine.id), spec.resources))) return null;
+    if (this.movesLeft <= 0) return this.refuse('too many moves');
     const tried = suitable
       .sort((a, b) => this.candidates.free(b.id).cpus - this.candidates.free(a.id).cpus)
-      .slice(0, MACHINES_TRIED);
-    const waitS = Math.min(LONGEST_GAIN_S, ...tried.map((machine) => this.naturalWaitS(machine, of.needs)));
+      .slice(0, MAX_MACHINES_PER_JOB);
+    const waitS = Math.min(MAX_GAIN_S, ...tried.map((machine) => this.naturalWaitS(machine, spec.resources)));
     let best: Clearing | null = null;
     for (const machine of tried) {
-      const clearing = this.clear(machine, wait);
+      const clearing = this.clear(machine, pending);
       if (clearing && clearing.costS + clearing.clearedInS < (best ? best.costS + best.clearedInS : Infinity))
         best = clearing;
     }
-    return best && this.accept(best, wait, waitS);
+    return best && this.accept(best, pending, waitS);
   }
 
-  private accept(clearing: Clearing, wait: WaitingView, waitS: number): MovePlan | null {
+  private accept(clearing: Clearing, pending: PendingTasks, waitS: number): MovePlan | null {
     const { settings, refusals } = this.context;
-    const gainS = Math.max(0, waitS - clearing.clearedInS) * this.weightOf(clearing, wait);
+    const gainS = Math.max(0, waitS - clearing.clearedInS) * this.priorityWeight(clearing, pending);
     if (gainS <= settings.hysteresis * clearing.costS + settings.min_gain_s) {
       refusals.count('costs more than it gains');
       return null;
     }
     for (const { task, source, target } of clearing.moves) {
-      if (target !== null) this.candidates.take(target, task.of.needs);
-      this.candidates.leave(source, task);
+      if (target !== null) this.candidates.reserve(target, task.spec.resources);
+      this.candidates.removeTask(source, task);
     }
     // What is cleared is for this job: no other plan of the round counts on it.
-    this.candidates.take(clearing.machine.id, wait.of.needs);
-    this.left -= clearing.moves.length;
-    const cause = { kind: 'make-room' as const, job: wait.of.job };
-    return { cause, cleared: clearing.machine.id, moves: clearing.moves, gainS, costS: clearing.costS };
+    this.candidates.reserve(clearing.machine.id, pending.spec.resources);
+    this.movesLeft -= clearing.moves.length;
+    const cause = { kind: 'make-room' as const, job: pending.spec.job };
+    return {
+      cause,
+      clearedMachine: clearing.machine.id,
+      moves: clearing.moves,
+      gainS,
+      costS: clearing.costS,
+    };
   }
 
   /** A second of waiting counts more the more urgent who waits is than those that make room. */
-  private weightOf({ moves }: Clearing, { of }: WaitingView): number {
-    const lowest = Math.min(...moves.map(({ task }) => task.of.priority));
-    return this.context.settings.priority_weight ** Math.max(0, lowest - of.priority);
+  private priorityWeight({ moves }: Clearing, { spec }: PendingTasks): number {
+    const lowest = Math.min(...moves.map(({ task }) => task.spec.priority));
+    return this.context.settings.priority_weight ** Math.max(0, lowest - spec.priority);
   }
 
   /** Seconds until a task of this shape fits on a machine without any move. */
-  private naturalWaitS(machine: MachineView, needs: Resources): number {
+  private naturalWaitS(machine: MachineSnapshot, needs: Resources): number {
     let free = this.candidates.free(machine.id);
     const ends = this.candidates
       .tasksOn(machine.id)
       .map((task) => ({ task, endS: this.earliestEndS(task) }))
       .sort((a, b) => a.endS - b.endS);
     for (const { task, endS } of ends) {
-      free = addResources(free, task.of.needs, 1);
-      if (fitsInto(free, needs)) return endS;
+      free = addResources(free, task.spec.resources, 1);
+      if (fits(free, needs)) return endS;
     }
     return Number.POSITIVE_INFINITY;
   }
 
   /** Rather early than late: a wait that may end by itself is worth less. */
-  private earliestEndS(task: TaskView): number {
+  private earliestEndS(task: TaskSnapshot): number {
     const elapsedS = task.phase === 'running' ? task.elapsedS : 0;
-    return this.context.estimator.remainingS(task.of, elapsedS, EARLY);
+    return this.context.estimator.remainingS(task.spec, elapsedS, EARLY_END_PROBABILITY);
   }
 
   /** The cheapest moves that clear a machine for a task; null: they are not possible. */
-  private clear(machine: MachineView, wait: WaitingView): Clearing | null {
-    const taken = new Map<string, Resources>();
+  private clear(machine: MachineSnapshot, pending: PendingTasks): Clearing | null {
+    const reserved = new Map<string, Resources>();
     const options = this.candidates
       .tasksOn(machine.id)
-      .map((task) => this.cheapestMove(task, machine, wait, taken))
+      .map((task) => this.cheapestMove(task, machine, pending, reserved))
       .filter((move) => move !== null)
-      .sort((a, b) => a.costS / a.task.of.needs.cpus - b.costS / b.task.of.needs.cpus);
+      .sort((a, b) => a.costS / a.task.spec.resources.cpus - b.costS / b.task.spec.resources.cpus);
     let free = this.candidates.free(machine.id);
     const moves: PlannedMove[] = [];
     for (const option of options) {
-      if (fitsInto(free, wait.of.needs)) break;
+      if (fits(free, pending.spec.resources)) break;
       // The room that looked cheapest may have gone to another task of this plan.
-      const move = this.cheapestMove(option.task, machine, wait, taken);
+      const move = this.cheapestMove(option.task, machine, pending, reserved);
       if (!move) continue;
       moves.push(move);
-      free = addResources(free, move.task.of.needs, 1);
+      free = addResources(free, move.task.spec.resources, 1);
       if (move.target === null) continue;
-      const before = taken.get(move.target) ?? { cpus: 0, accelerators: 0, memoryGb: 0 };
-      taken.set(move.target, addResources(before, move.task.of.needs, 1));
+      const before = reserved.get(move.target) ?? { cpus: 0, accelerators: 0, memoryGb: 0 };
+      reserved.set(move.target, addResources(before, move.task.spec.resources, 1));
     }
-    if (!fitsInto(free, wait.of.needs)) return null;
-    const needed = withoutSuperfluous(moves, free, wait.of.needs);
-    if (needed.length > this.left) {
+    if (!fits(free, pending.spec.resources)) return null;
+    const needed = withoutUnneededMoves(moves, free, pending.spec.resources);
+    if (needed.length > this.movesLeft) {
       this.context.refusals.count('too many moves');
       return null;
     }
@@ -175,52 +181,56 @@
   }
 
   private cheapestMove(
-    task: TaskView,
-    source: MachineView,
-    wait: WaitingView,
-    taken: ReadonlyMap<string, Resources>,
+    task: TaskSnapshot,
+    source: MachineSnapshot,
+    pending: PendingTasks,
+    reserved: ReadonlyMap<string, Resources>,
   ): PlannedMove | null {
-    const refusal = this.whyStays(task, wait);
+    const refusal = this.refusalFor(task, pending);
     if (refusal !== null) return this.refuse(refusal);
     const { context } = this;
-    let best = this.backToQueue(task, source, wait);
-    for (const target of this.candidates.targetsFor(task, source.id, taken)) {
+    let best = this.moveToQueue(task, source, pending);
+    for (const target of this.candidates.targetsFor(task, source.id, reserved)) {
       const cost = moveCost(task, target, context);
       const costS = costSeconds(cost, context.localityWeight);
       if (costS < (best?.costS ?? Infinity))
         best = { task, source: source.id, target: target.id, cost, costS };
     }
     if (!best) return this.refuse('no room elsewhere');
-    return endsFirst(task, best.cost, context.estimator) ? this.refuse('ends first') : best;
+    return endsBeforeMove(task, best.cost, context.estimator) ? this.refuse('ends first') : best;
   }
 
   /** Lower priority may also be put back to wait; so may nothing that runs for a guarantee, or that has not begun. */
-  private backToQueue(task: TaskView, source: MachineView, wait: WaitingView): PlannedMove | null {
-    if (wait.of.priority >= task.of.priority) return null;
+  private moveToQueue(
+    task: TaskSnapshot,
+    source: MachineSnapshot,
+    pending: PendingTasks,
+  ): PlannedMove | null {
+    if (pending.spec.priority >= task.spec.priority) return null;
     const cost = moveCost(task, null, this.context);
     const costS = costSeconds(cost, this.context.localityWeight);
     return { task, source: source.id, target: null, cost, costS };
   }
 
   /** Why a task is not to be moved for a waiting job, whatever it costs; null: it may be. */
-  private whyStays(task: TaskView, wait: WaitingView): Refusal | null {
+  private refusalFor(task: TaskSnapshot, pending: PendingTasks): Refusal | null {
     const { budget, settings, now } = this.context;
-    const name = taskName(task);
+    const name = taskKey(task);
     if (task.pinned !== null || this.context.isMoving(name)) return 'pinned';
-    if (budget.movedFor(name, { kind: 'make-room', job: wait.of.job })) return 'moved for this before';
+    if (budget.movedFor(name, { kind: 'make-room', job: pending.spec.job })) return 'moved for this before';
     const residenceMs = settings.min_residence_s * 1000;
     if (budget.sinceMovedMs(name, now) < residenceMs) return 'too short on its machine';
     if (task.phase === 'fetching') return null;
     if (task.elapsedS * 1000 < residenceMs) return 'too short on its machine';
-    return this.mayStop(task, wait) ? null : 'not allowed to stop it';
+    return this.mayStop(task, pending) ? null : 'not allowed to stop it';
   }
 
   /** PROTOCOL, "Preemption": for higher priority, or beyond one's guarantee for another team's guarantee. */
-  private mayStop({ of }: TaskView, wait: WaitingView): boolean {
-    if (wait.of.priority < of.priority) return true;
-    if (of.team === wait.of.team || !wait.withinGuarantee) return false;
-    const { usedCpus, guaranteedCpus } = this.view.team(of.team);
-    return usedCpus - of.needs.cpus >= guaranteedCpus;
+  private mayStop({ spec }: TaskSnapshot, pending: PendingTasks): boolean {
+    if (pending.spec.priority < spec.priority) return true;
+    if (spec.team === pending.spec.team || !pending.withinGuarantee) return false;
+    const { usedCpus, guaranteedCpus } = this.partition.team(spec.team);
+    return usedCpus - spec.resources.cpus >= guaranteedCpus;
   }
 
   private refuse(reason: Refusal): null {
@@ -230,12 +240,12 @@
 }
 
 /** Leaves out moves that are not needed once the others are made, the dearest first. */
-function withoutSuperfluous(moves: PlannedMove[], free: Resources, needs: Resources): PlannedMove[] {
+function withoutUnneededMoves(moves: PlannedMove[], free: Resources, needs: Resources): PlannedMove[] {
   let room = free;
   const kept = new Set(moves);
   for (const move of [...moves].sort((a, b) => b.costS - a.costS)) {
-    const without = addResources(room, move.task.of.needs, -1);
-    if (!fitsInto(without, needs)) continue;
+    const without = addResources(room, move.task.spec.resources, -1);
+    if (!fits(without, needs)) continue;
     kept.delete(move);
     room = without;
   }
--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -49,7 +49,7 @@
 }
 
 /** Whether nothing more happens to a move. */
-export function isOver(state: MoveState): boolean {
+export function isTerminal(state: MoveState): boolean {
   return state === 'completed' || state === 'abandoned';
 }
 
@@ -60,7 +60,7 @@
  */
 export function nextStep(state: MoveState, event: MoveEvent): MoveStep {
   const stays: MoveStep = { state, effects: [] };
-  if (isOver(state)) return stays;
+  if (isTerminal(state)) return stays;
   switch (event.kind) {
     case 'stop-sent':
       return state === 'reserved' ? { state: 'stopping', effects: ['stop-source'] } : stays;
@@ -87,9 +87,9 @@
   }
 }
 
-type Ending = 'finished' | 'source-failed' | 'job-closed' | 'target-lost' | 'target-full' | 'timeout';
+type AbandonCause = 'finished' | 'source-failed' | 'job-closed' | 'target-lost' | 'target-full' | 'timeout';
 
-const REASONS: Record<Ending, string> = {
+const ABANDON_REASONS: Record<AbandonCause, string> = {
   finished: 'the task completed first',
   'source-failed': 'the task failed first',
   'job-closed': 'its job is over',
@@ -98,10 +98,10 @@
   timeout: 'it took too long',
 };
 
-function abandonFor(state: MoveState, ending: Ending): MoveStep {
+function abandonFor(state: MoveState, ending: AbandonCause): MoveStep {
   // A task that was started at its target is the target's: what becomes of it is no part of the move.
   if (state === 'starting' && ending !== 'timeout') return { state: 'completed', effects: [] };
-  return abandon(state, REASONS[ending]);
+  return abandon(state, ABANDON_REASONS[ending]);
 }
 
 function abandon(state: MoveState, reason: string): MoveStep {
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -1,6 +1,6 @@
-import { isOver, nextStep, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
+import { isTerminal, nextStep, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
 import { type MoveCause, type MovePlan, type PlannedMove } from './move-plan';
-import { taskName, type TaskId } from './partition-view';
+import { taskKey, type TaskId } from './partition-view';
 import { type Resources } from './resources';
 
 /** How the service carries out the steps of moves. */
@@ -12,14 +12,14 @@
   stop(machine: string, task: TaskId): void;
   /** Lets nobody but the move start the task, and nobody else use what its team is allowed, until this moment at most. */
   holdTask(task: TaskId, untilMs: number): void;
-  freeTask(task: TaskId): void;
+  releaseHeldTask(task: TaskId): void;
   /** Keeps what comes free on a machine for the next task of a job; its room may not be there yet. */
-  keepRoom(machine: string, job: string): void;
-  endKeeping(machine: string, job: string): void;
+  reserveForJob(machine: string, job: string): void;
+  releaseJobReservation(machine: string, job: string): void;
 }
 
 /** Room that is being made on a machine for a waiting job. */
-export interface KeptRoom {
+export interface JobReservation {
   readonly machine: string;
   readonly job: string;
   dueAt: number;
@@ -51,20 +51,20 @@
 
 /** How long a move may stay in each state before it is given up. */
 export interface MoveTimeouts {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
 /** Reports that may pass before a step that hangs on one is given up. */
-const REPORTS_WAITED = 4;
+const MAX_PENDING_HEARTBEATS = 4;
 /** Decisions that are kept for the log until they are asked for. */
-const MOST_DECISIONS = 200;
+const MAX_BUFFERED_DECISIONS = 200;
 
 /** The moves of one partition under one owner. It ends with the owner's epoch, and nothing of it outlives the process. */
 export class MoveTracker {
   private readonly moves = new Map<string, Move>();
   private readonly decisions: MoveDecision[] = [];
-  private kept: KeptRoom[] = [];
+  private jobReservations: JobReservation[] = [];
   private count = 0;
   readonly counters = { begun: 0, completed: 0, abandoned: 0 };
 
@@ -79,11 +79,11 @@
   }
 
   /** Nothing is moved, and no room is kept. */
-  get idle(): boolean {
-    return this.moves.size === 0 && this.kept.length === 0;
+  get isIdle(): boolean {
+    return this.moves.size === 0 && this.jobReservations.length === 0;
   }
 
-  get running(): readonly Readonly<Move>[] {
+  get movesInProgress(): readonly Readonly<Move>[] {
     return [...this.moves.values()];
   }
 
@@ -92,22 +92,25 @@
   }
 
   /** Whether moves for this job are under way. */
-  serves(job: string): boolean {
-    return this.kept.some((room) => room.job === job) || this.running.some(({ cause }) => cause.job === job);
+  hasMovesFor(job: string): boolean {
+    return (
+      this.jobReservations.some((room) => room.job === job) ||
+      this.movesInProgress.some(({ cause }) => cause.job === job)
+    );
   }
 
   /** Reserves room for all moves of a plan, then has the tasks stopped; false: some room is gone, and nothing was begun. */
   begin(plan: MovePlan, now: number): boolean {
     const reserved: PlannedMove[] = [];
     for (const move of plan.moves) {
-      if (!this.moves.has(taskName(move.task)) && this.reserve(move)) {
+      if (!this.moves.has(taskKey(move.task)) && this.reserve(move)) {
         reserved.push(move);
         continue;
       }
       for (const { target, task } of reserved) if (target !== null) this.executor.release(target, task);
       return false;
     }
-    if (plan.cleared !== null) this.keep(plan.cleared, plan, now);
+    if (plan.clearedMachine !== null) this.reserveForJob(plan.clearedMachine, plan, now);
     for (const planned of reserved) this.track(planned, plan, now);
     return true;
   }
@@ -116,40 +119,45 @@
     return target === null || this.executor.reserve(target, task);
   }
 
-  private keep(machine: string, { cause, moves }: MovePlan, now: number): void {
-    const saveS = Math.max(0, ...moves.map(({ task }) => task.of.saveS));
-    this.kept.push({ machine, job: cause.job, dueAt: now + this.timeoutMs('stopping', saveS) });
-    this.executor.keepRoom(machine, cause.job);
+  private reserveForJob(machine: string, { cause, moves }: MovePlan, now: number): void {
+    const saveS = Math.max(0, ...moves.map(({ task }) => task.spec.saveS));
+    this.jobReservations.push({ machine, job: cause.job, dueAt: now + this.timeoutMs('stopping', saveS) });
+    this.executor.reserveForJob(machine, cause.job);
   }
 
   /** Rooms that are being made on a machine. */
-  keptOn(machine: string): readonly KeptRoom[] {
-    return this.kept.filter((room) => room.machine === machine);
+  jobReservationsOn(machine: string): readonly JobReservation[] {
+    return this.jobReservations.filter((room) => room.machine === machine);
   }
 
   /** A kept room was taken by who it was for, or is needed no more. */
-  endKeeping(isOver: (room: KeptRoom) => boolean): void {
-    const over = this.kept.filter(isOver);
-    this.kept = this.kept.filter((room) => !over.includes(room));
-    for (const { machine, job } of over) this.executor.endKeeping(machine, job);
+  releaseJobReservations(isOver: (room: JobReservation) => boolean): void {
+    const over = this.jobReservations.filter(isOver);
+    this.jobReservations = this.jobReservations.filter((room) => !over.includes(room));
+    for (const { machine, job } of over) this.executor.releaseJobReservation(machine, job);
   }
 
   private track({ task, source, target, costS }: PlannedMove, plan: MovePlan, now: number): void {
-    const { job, index, of } = task;
+    const { job, index, spec } = task;
     const move: Move = {
-      ...{ id: `${this.epoch}-${++this.count}`, epoch: this.epoch, task: { job, index }, needs: of.needs },
+      ...{
+        id: `${this.epoch}-${++this.count}`,
+        epoch: this.epoch,
+        task: { job, index },
+        needs: spec.resources,
+      },
       ...{ source, target, cause: plan.cause, gainS: plan.gainS, costS },
       ...{ state: 'reserved', dueAt: now, reason: null },
     };
-    this.moves.set(taskName(task), move);
+    this.moves.set(taskKey(task), move);
     this.counters.begun++;
-    this.tell(move, 'begun');
-    this.apply(move, { kind: 'stop-sent' }, now, of.saveS);
+    this.recordDecision(move, 'begun');
+    this.apply(move, { kind: 'stop-sent' }, now, spec.saveS);
   }
 
   /** Something happened to a task that may be moving. */
-  on(task: TaskId, event: MoveEvent, now: number): void {
-    const move = this.moves.get(taskName(task));
+  handleEvent(task: TaskId, event: MoveEvent, now: number): void {
+    const move = this.moves.get(taskKey(task));
     if (!move) return;
     const putBack = move.target === null && event.kind === 'source-gone';
     this.apply(move, putBack ? { kind: 'put-back' } : event, now);
@@ -157,16 +165,16 @@
 
   /** A machine takes nothing any more. */
   targetLost(machine: string, now: number): void {
-    this.endKeeping((room) => room.machine === machine);
-    for (const move of this.running)
-      if (move.target === machine) this.on(move.task, { kind: 'target-lost' }, now);
+    this.releaseJobReservations((room) => room.machine === machine);
+    for (const move of this.movesInProgress)
+      if (move.target === machine) this.handleEvent(move.task, { kind: 'target-lost' }, now);
   }
 
   /** All tasks of a job need no place any more. */
   jobClosed(job: string, now: number): void {
-    this.endKeeping((room) => room.job === job);
-    for (const move of this.running)
-      if (move.task.job === job) this.on(move.task, { kind: 'job-closed' }, now);
+    this.releaseJobReservations((room) => room.job === job);
+    for (const move of this.movesInProgress)
+      if (move.task.job === job) this.handleEvent(move.task, { kind: 'job-closed' }, now);
   }
 
   /** Tasks that are to be started on this machine now. */
@@ -178,8 +186,9 @@
   }
 
   tick(now: number): void {
-    this.endKeeping((room) => now >= room.dueAt);
-    for (const move of this.running) if (now >= move.dueAt) this.on(move.task, { kind: 'timeout' }, now);
+    this.releaseJobReservations((room) => now >= room.dueAt);
+    for (const move of this.movesInProgress)
+      if (now >= move.dueAt) this.handleEvent(move.task, { kind: 'timeout' }, now);
   }
 
   /** Decisions since they were last asked for. */
@@ -194,18 +203,18 @@
     move.dueAt = now + this.timeoutMs(state, saveS);
     move.reason = reason ?? null;
     for (const effect of effects) this.carryOut(effect, move);
-    if (!isOver(state)) return;
-    this.moves.delete(taskName(move.task));
+    if (!isTerminal(state)) return;
+    this.moves.delete(taskKey(move.task));
     if (state === 'completed') this.counters.completed++;
     else this.counters.abandoned++;
-    this.tell(move, state === 'completed' ? 'completed' : 'abandoned');
+    this.recordDecision(move, state === 'completed' ? 'completed' : 'abandoned');
   }
 
   private timeoutMs(state: MoveState, saveS: number): number {
-    const { reportMs, leaseMs } = this.timeouts;
+    const { heartbeatIntervalMs, leaseMs } = this.timeouts;
     // A source that falls silent is surely without its tasks after its lease, and not sooner.
-    if (state === 'stopping') return leaseMs + saveS * 1000 + REPORTS_WAITED * reportMs;
-    return state === 'starting' ? leaseMs : REPORTS_WAITED * reportMs;
+    if (state === 'stopping') return leaseMs + saveS * 1000 + MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    return state === 'starting' ? leaseMs : MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
   }
 
   private carryOut(effect: MoveEffect, move: Move): void {
@@ -218,11 +227,11 @@
       case 'hold-task':
         return executor.holdTask(move.task, move.dueAt);
       case 'free-task':
-        return executor.freeTask(move.task);
+        return executor.releaseHeldTask(move.task);
     }
   }
 
-  private tell(move: Move, event: MoveDecision['event']): void {
-    if (this.decisions.length < MOST_DECISIONS) this.decisions.push({ move: { ...move }, event });
+  private recordDecision(move: Move, event: MoveDecision['event']): void {
+    if (this.decisions.length < MAX_BUFFERED_DECISIONS) this.decisions.push({ move: { ...move }, event });
   }
 }
--- a/packages/load-balancer/src/partition-view.ts
+++ b/packages/load-balancer/src/partition-view.ts
@@ -7,19 +7,19 @@
 }
 
 /** A task's id as a key of maps and logs. */
-export function taskName({ job, index }: TaskId): string {
+export function taskKey({ job, index }: TaskId): string {
   return `${job}/${index}`;
 }
 
 /** What the balancer must know of a job. */
-export interface JobView {
+export interface JobSnapshot {
   job: string;
   team: string;
   /** Class of jobs, whose run times resemble each other. */
   workload: string;
   /** 0 is the most urgent. */
   priority: number;
-  needs: Resources;
+  resources: Resources;
   image: string;
   imageGb: number;
   /** The owner's estimate of a task's run time. */
@@ -31,8 +31,8 @@
 }
 
 /** A task that is on a machine, or on its way there. */
-export interface TaskView extends TaskId {
-  of: JobView;
+export interface TaskSnapshot extends TaskId {
+  spec: JobSnapshot;
   phase: 'fetching' | 'running';
   /** Time in this phase. */
   elapsedS: number;
@@ -41,7 +41,7 @@
 }
 
 /** A machine of the partition, as cheap to tell as can be: planning looks at all of them. */
-export interface MachineView {
+export interface MachineSnapshot {
   id: string;
   capacity: Resources;
   /** Room that is neither taken nor reserved. */
@@ -55,29 +55,29 @@
 }
 
 /** Tasks of a job that wait. */
-export interface WaitingView {
-  of: JobView;
+export interface PendingTasks {
+  spec: JobSnapshot;
   /** How many may start now as far as their team's limit and the records go. */
   tasks: number;
-  waitedS: number;
+  pendingS: number;
   /** The job is within its team's guarantee. */
   withinGuarantee: boolean;
 }
 
 /** What a team uses, and what it may use whatever others want. */
-export interface TeamView {
+export interface TeamUsage {
   usedCpus: number;
   guaranteedCpus: number;
 }
 
 /** What the service tells the balancer of a partition that it owns. */
-export interface PartitionView {
+export interface PartitionSnapshot {
   /** Fences earlier owners. */
   readonly epoch: number;
-  waiting(): readonly WaitingView[];
-  machines(): readonly MachineView[];
-  tasksOn(machine: string): readonly TaskView[];
+  pendingTasks(): readonly PendingTasks[];
+  machines(): readonly MachineSnapshot[];
+  tasksOn(machine: string): readonly TaskSnapshot[];
   /** Whether a job allows a machine: its type, zone and way of buying. */
   allows(job: string, machine: string): boolean;
-  team(name: string): TeamView;
+  team(name: string): TeamUsage;
 }
--- a/packages/load-balancer/src/resources.ts
+++ b/packages/load-balancer/src/resources.ts
@@ -8,20 +8,20 @@
 const EPSILON = 1e-9;
 
 /** Whether `need` fits into `free`. */
-export function fitsInto(free: Resources, need: Resources): boolean {
+export function fits(free: Resources, requested: Resources): boolean {
   return (
-    need.cpus <= free.cpus + EPSILON &&
-    need.accelerators <= free.accelerators + EPSILON &&
-    need.memoryGb <= free.memoryGb + EPSILON
+    requested.cpus <= free.cpus + EPSILON &&
+    requested.accelerators <= free.accelerators + EPSILON &&
+    requested.memoryGb <= free.memoryGb + EPSILON
   );
 }
 
 /** How many tasks of a shape fit into `free`. */
-export function placesIn(free: Resources, need: Resources): number {
+export function countFitting(free: Resources, requested: Resources): number {
   const ratios = [
-    need.cpus > 0 ? free.cpus / need.cpus : Infinity,
-    need.accelerators > 0 ? free.accelerators / need.accelerators : Infinity,
-    need.memoryGb > 0 ? free.memoryGb / need.memoryGb : Infinity,
+    requested.cpus > 0 ? free.cpus / requested.cpus : Infinity,
+    requested.accelerators > 0 ? free.accelerators / requested.accelerators : Infinity,
+    requested.memoryGb > 0 ? free.memoryGb / requested.memoryGb : Infinity,
   ];
   return Math.max(0, Math.floor(Math.min(...ratios) + EPSILON));
 }
--- a/packages/load-balancer/src/runtime-estimator.ts
+++ b/packages/load-balancer/src/runtime-estimator.ts
@@ -14,18 +14,18 @@
 }
 
 /** Owners' estimates are often wrong by half. */
-const PRIOR_ERROR = 0.5;
+const PRIOR_ERROR_RATIO = 0.5;
 /** Weight of the owner's estimate against observed tasks, in tasks. */
-const PRIOR_WEIGHT = 4;
+const PRIOR_WEIGHT_TASK_COUNT = 4;
 /** Machines of a type differ by a tenth: no estimate is better than this. */
-const LEAST_ERROR = 0.1;
+const MIN_ERROR_RATIO = 0.1;
 /** A task that has run for longer than was expected goes on for at least this share of the error. */
-const LEAST_LEFT = 0.2;
+const MIN_REMAINING_ERROR_RATIO = 0.2;
 /** Probabilities are kept this far from 0 and 1: beyond, the approximations say nothing. */
-const LEAST_PROBABILITY = 1e-6;
+const MIN_PROBABILITY = 1e-6;
 
 /** Mean and variance of a series, by Welford's method. */
-class Series {
+class RunningStatistics {
   count = 0;
   mean = 0;
   private squares = 0;
@@ -47,14 +47,14 @@
  * job itself. Each is a correction of the estimate below it, the more so the more tasks were seen.
  */
 export class RuntimeEstimator {
-  private readonly byWorkload = new Map<string, Series>();
-  private readonly byJob = new Map<string, Series>();
+  private readonly byWorkload = new Map<string, RunningStatistics>();
+  private readonly byJob = new Map<string, RunningStatistics>();
 
   /** A task of this job has completed after so long, from the image's arrival to its end. */
   learn({ job, workload, expectedS }: EstimatedJob, actualS: number): void {
     if (!(actualS > 0) || !(expectedS > 0)) return;
-    seriesOf(this.byWorkload, workload).add(actualS / expectedS);
-    seriesOf(this.byJob, job).add(actualS);
+    statisticsFor(this.byWorkload, workload).add(actualS / expectedS);
+    statisticsFor(this.byJob, job).add(actualS);
   }
 
   /** The job is over. */
@@ -64,7 +64,7 @@
 
   /** Run time of a whole task. */
   total({ job, workload, expectedS }: EstimatedJob): Estimate {
-    const prior = { meanS: expectedS, errorS: expectedS * PRIOR_ERROR };
+    const prior = { meanS: expectedS, errorS: expectedS * PRIOR_ERROR_RATIO };
     const ratio = this.byWorkload.get(workload);
     const ofClass = ratio ? blend(prior, ratio, expectedS) : prior;
     const own = this.byJob.get(job);
@@ -80,35 +80,35 @@
     const sigma = Math.sqrt(Math.log(1 + (errorS / meanS) ** 2));
     const median = Math.log(meanS) - sigma ** 2 / 2;
     const survived = elapsedS > 0 ? 1 - normalProbability((Math.log(elapsedS) - median) / sigma) : 1;
-    const left = within(survived * (1 - probability));
+    const left = clampProbability(survived * (1 - probability));
     const leftS = Math.exp(median + sigma * normalQuantile(1 - left)) - elapsedS;
-    return Math.max(elapsedS > meanS ? LEAST_LEFT * errorS : 0, leftS);
+    return Math.max(elapsedS > meanS ? MIN_REMAINING_ERROR_RATIO * errorS : 0, leftS);
   }
 }
 
-function within(probability: number): number {
-  return Math.min(1 - LEAST_PROBABILITY, Math.max(LEAST_PROBABILITY, probability));
+function clampProbability(probability: number): number {
+  return Math.min(1 - MIN_PROBABILITY, Math.max(MIN_PROBABILITY, probability));
 }
 
 function normalProbability(z: number): number {
-  return within((1 + errorFunction(z / Math.SQRT2)) / 2);
+  return clampProbability((1 + errorFunction(z / Math.SQRT2)) / 2);
 }
 
 function normalQuantile(probability: number): number {
   return Math.SQRT2 * inverseErrorFunction(2 * probability - 1);
 }
 
-function seriesOf(all: Map<string, Series>, key: string): Series {
-  const known = all.get(key) ?? new Series();
+function statisticsFor(all: Map<string, RunningStatistics>, key: string): RunningStatistics {
+  const known = all.get(key) ?? new RunningStatistics();
   all.set(key, known);
   return known;
 }
 
 /** Weighs an estimate against observations, which are in units of `scale` seconds. */
-function blend(prior: Estimate, seen: Series, scale: number): Estimate {
-  const share = seen.count / (seen.count + PRIOR_WEIGHT);
+function blend(prior: Estimate, seen: RunningStatistics, scale: number): Estimate {
+  const share = seen.count / (seen.count + PRIOR_WEIGHT_TASK_COUNT);
   const meanS = (1 - share) * prior.meanS + share * seen.mean * scale;
-  const observedError = Math.max(Math.sqrt(seen.variance) * scale, LEAST_ERROR * meanS);
+  const observedError = Math.max(Math.sqrt(seen.variance) * scale, MIN_ERROR_RATIO * meanS);
   const errorS = (1 - share) * prior.errorS + share * observedError;
   return { meanS, errorS };
 }
--- a/packages/load-balancer/test/model.ts
+++ b/packages/load-balancer/test/model.ts
@@ -1,17 +1,17 @@
 import {
   PartitionBalancer,
   balancerSettingsSchema,
-  taskName,
+  taskKey,
   type BalancerSettings,
-  type JobView,
-  type MachineView,
+  type JobSnapshot,
+  type MachineSnapshot,
   type MoveExecutor,
-  type PartitionView,
+  type PartitionSnapshot,
   type Resources,
   type TaskId,
-  type TaskView,
-  type TeamView,
-  type WaitingView,
+  type TaskSnapshot,
+  type TeamUsage,
+  type PendingTasks,
 } from '../src/index';
 
 /** A machine of the model, with what is on it. */
@@ -21,17 +21,17 @@
   images: string[];
   accepting?: boolean;
   fetching?: number;
-  tasks: TaskView[];
+  tasks: TaskSnapshot[];
 }
 
 const REPORT_MS = 2000;
 const LEASE_MS = 12_000;
 
 /** A job with everything that a test does not care about. */
-export function job(name: string, change: Partial<JobView> & { cpus?: number } = {}): JobView {
+export function job(name: string, change: Partial<JobSnapshot> & { cpus?: number } = {}): JobSnapshot {
   const { cpus = 1, ...rest } = change;
   return {
-    ...{ job: name, team: 'north', workload: 'w', priority: 3, needs: needs(cpus) },
+    ...{ job: name, team: 'north', workload: 'w', priority: 3, resources: needs(cpus) },
     ...{ image: 'i', imageGb: 1, expectedS: 200, checkpointS: 10, saveS: 1 },
     ...rest,
   };
@@ -42,15 +42,15 @@
 }
 
 /** A task that has run for a minute unless said otherwise. */
-export function task(of: JobView, index: number, change: Partial<TaskView> = {}): TaskView {
-  return { job: of.job, index, of, phase: 'running', elapsedS: 60, pinned: null, ...change };
+export function task(spec: JobSnapshot, index: number, change: Partial<TaskSnapshot> = {}): TaskSnapshot {
+  return { job: spec.job, index, spec, phase: 'running', elapsedS: 60, pinned: null, ...change };
 }
 
 /** A partition whose machines can be set up by hand, and which carries moves out at once or step by step. */
-export class ModelPartition implements PartitionView, MoveExecutor {
+export class ModelPartition implements PartitionSnapshot, MoveExecutor {
   readonly epoch = 7;
-  readonly waits: WaitingView[] = [];
-  readonly teams = new Map<string, TeamView>();
+  readonly waits: PendingTasks[] = [];
+  readonly teams = new Map<string, TeamUsage>();
   readonly reserved = new Map<string, Resources>();
   readonly held = new Set<string>();
   readonly kept = new Set<string>();
@@ -60,11 +60,11 @@
 
   constructor(readonly fleet: ModelMachine[]) {}
 
-  waiting(): WaitingView[] {
+  pendingTasks(): PendingTasks[] {
     return this.waits;
   }
 
-  machines(): MachineView[] {
+  machines(): MachineSnapshot[] {
     return this.fleet.map((machine) => ({
       id: machine.id,
       capacity: needs(machine.cpus),
@@ -78,12 +78,12 @@
 
   private free(machine: ModelMachine): Resources {
     let cpus = machine.cpus;
-    for (const { of } of machine.tasks) cpus -= of.needs.cpus;
+    for (const { spec } of machine.tasks) cpus -= spec.resources.cpus;
     for (const [key, room] of this.reserved) if (key.startsWith(`${machine.id}:`)) cpus -= room.cpus;
     return needs(cpus);
   }
 
-  tasksOn(id: string): TaskView[] {
+  tasksOn(id: string): TaskSnapshot[] {
     return this.machine(id).tasks;
   }
 
@@ -95,56 +95,55 @@
     return true;
   }
 
-  team(name: string): TeamView {
+  team(name: string): TeamUsage {
     return this.teams.get(name) ?? { usedCpus: 100, guaranteedCpus: 0 };
   }
 
-  private find(id: TaskId): TaskView | undefined {
-    return this.fleet.flatMap(({ tasks }) => tasks).find((t) => taskName(t) === taskName(id));
+  private find(id: TaskId): TaskSnapshot | undefined {
+    return this.fleet.flatMap(({ tasks }) => tasks).find((t) => taskKey(t) === taskKey(id));
   }
 
   reserve(machine: string, id: TaskId): boolean {
     const moved = this.find(id);
     if (!moved || this.refuses.has(machine)) return false;
-    this.reserved.set(`${machine}:${taskName(id)}`, moved.of.needs);
+    this.reserved.set(`${machine}:${taskKey(id)}`, moved.spec.resources);
     return true;
   }
 
   release(machine: string, id: TaskId): void {
-    this.reserved.delete(`${machine}:${taskName(id)}`);
+    this.reserved.delete(`${machine}:${taskKey(id)}`);
   }
 
   stop(machine: string, id: TaskId): void {
-    this.stopped.push(taskName(id));
+    this.stopped.push(taskKey(id));
     this.machine(machine).tasks = this.machine(machine).tasks.map((t) =>
-      taskName(t) === taskName(id) ? { ...t, pinned: 'stopping' } : t,
+      taskKey(t) === taskKey(id) ? { ...t, pinned: 'stopping' } : t,
     );
   }
 
   holdTask(id: TaskId): void {
-    this.held.add(taskName(id));
+    this.held.add(taskKey(id));
   }
 
-  freeTask(id: TaskId): void {
-    this.held.delete(taskName(id));
+  releaseHeldTask(id: TaskId): void {
+    this.held.delete(taskKey(id));
   }
 
-  keepRoom(machine: string, name: string): void {
-    const wait = this.waits.find(({ of }) => of.job === name);
+  reserveForJob(machine: string, name: string): void {
+    const wait = this.waits.find(({ spec }) => spec.job === name);
     this.kept.add(`${machine}:${name}`);
-    if (wait) this.reserved.set(`${machine}:${name}/next`, wait.of.needs);
+    if (wait) this.reserved.set(`${machine}:${name}/next`, wait.spec.resources);
   }
 
-  endKeeping(machine: string, name: string): void {
+  releaseJobReservation(machine: string, name: string): void {
     this.kept.delete(`${machine}:${name}`);
     this.reserved.delete(`${machine}:${name}/next`);
   }
 
   /** Takes a task off its machine. */
-  drop(id: TaskId): TaskView | undefined {
+  drop(id: TaskId): TaskSnapshot | undefined {
     const found = this.find(id);
-    for (const machine of this.fleet)
-      machine.tasks = machine.tasks.filter((t) => taskName(t) !== taskName(id));
+    for (const machine of this.fleet) machine.tasks = machine.tasks.filter((t) => taskKey(t) !== taskKey(id));
     return found;
   }
 }
@@ -155,8 +154,8 @@
   change: Partial<BalancerSettings> = {},
 ): PartitionBalancer {
   return new PartitionBalancer({
-    ...{ partition: 'p0', priorities: 4, view: partition, executor: partition },
+    ...{ partition: 'p0', priorities: 4, snapshot: partition, executor: partition },
     settings: balancerSettingsSchema.parse(change),
-    timeouts: { reportMs: REPORT_MS, leaseMs: LEASE_MS },
+    timeouts: { heartbeatIntervalMs: REPORT_MS, leaseMs: LEASE_MS },
   });
 }
--- a/packages/load-balancer/test/moves.test.ts
+++ b/packages/load-balancer/test/moves.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  isOver,
+  isTerminal,
   MoveTracker,
   nextStep,
-  taskName,
+  taskKey,
   type MoveEvent,
   type MoveExecutor,
   type MovePlan,
@@ -43,7 +43,8 @@
   assert.ok(room === 0 || room === 1, `room held ${room} times after ${at}`);
   assert.ok(held === 0 || held === 1, `task held ${held} times after ${at}`);
   assert.ok(stops <= 1, `told to stop ${stops} times after ${at}`);
-  if (isOver(state)) assert.deepEqual({ room, held }, { room: 0, held: 0 }, `something is left after ${at}`);
+  if (isTerminal(state))
+    assert.deepEqual({ room, held }, { room: 0, held: 0 }, `something is left after ${at}`);
   if (depth === 0) return 1;
   let seen = 1;
   for (const kind of EVENTS) {
@@ -78,31 +79,31 @@
 
   reserve(machine: string, id: TaskId): boolean {
     if (this.full.has(machine)) return false;
-    this.rooms.add(`${machine} ${taskName(id)}`);
+    this.rooms.add(`${machine} ${taskKey(id)}`);
     return true;
   }
 
   release(machine: string, id: TaskId): void {
-    this.rooms.delete(`${machine} ${taskName(id)}`);
+    this.rooms.delete(`${machine} ${taskKey(id)}`);
   }
 
   stop(_: string, id: TaskId): void {
-    this.stops.push(taskName(id));
+    this.stops.push(taskKey(id));
   }
 
   holdTask(id: TaskId): void {
-    this.held.add(taskName(id));
+    this.held.add(taskKey(id));
   }
 
-  freeTask(id: TaskId): void {
-    this.held.delete(taskName(id));
+  releaseHeldTask(id: TaskId): void {
+    this.held.delete(taskKey(id));
   }
 
-  keepRoom(machine: string, ref: string): void {
+  reserveForJob(machine: string, ref: string): void {
     this.kept.add(`${machine} ${ref}`);
   }
 
-  endKeeping(machine: string, ref: string): void {
+  releaseJobReservation(machine: string, ref: string): void {
     this.kept.delete(`${machine} ${ref}`);
   }
 
@@ -118,14 +119,14 @@
 function plan(targets: (string | null)[]): MovePlan {
   const tasks = [moved, other].slice(0, targets.length);
   return {
-    ...{ cause: { kind: 'make-room', job: 'w' }, cleared: 'm0', gainS: 50, costS: 4 },
+    ...{ cause: { kind: 'make-room', job: 'w' }, clearedMachine: 'm0', gainS: 50, costS: 4 },
     moves: tasks.map((t, i) => ({ task: t, source: 'm0', target: targets[i] ?? null, cost: COST, costS: 4 })),
   };
 }
 
 function tracker(): { moves: MoveTracker; recorder: Recorder } {
   const recorder = new Recorder();
-  return { recorder, moves: new MoveTracker(7, recorder, { reportMs: 2000, leaseMs: 12_000 }) };
+  return { recorder, moves: new MoveTracker(7, recorder, { heartbeatIntervalMs: 2000, leaseMs: 12_000 }) };
 }
 
 const rows: [string, (moves: MoveTracker, recorder: Recorder) => void][] = [
@@ -134,12 +135,12 @@
     (moves, recorder) => {
       assert.ok(moves.begin(plan(['m1']), 0));
       assert.deepEqual(recorder.stops, ['a/0']);
-      moves.on(moved, { kind: 'source-gone' }, 1000);
+      moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
       assert.deepEqual(moves.startsOn('m1'), [{ job: 'a', index: 0 }]);
-      recorder.freeTask(moved);
-      moves.on(moved, { kind: 'start-sent' }, 2000);
-      moves.on(moved, { kind: 'target-seen' }, 3000);
-      moves.endKeeping(() => true);
+      recorder.releaseHeldTask(moved);
+      moves.handleEvent(moved, { kind: 'start-sent' }, 2000);
+      moves.handleEvent(moved, { kind: 'target-seen' }, 3000);
+      moves.releaseJobReservations(() => true);
       assert.equal(moves.counters.completed, 1);
     },
   ],
@@ -164,9 +165,9 @@
     'a target that is lost frees the task',
     (moves) => {
       moves.begin(plan(['m1']), 0);
-      moves.on(moved, { kind: 'source-gone' }, 1000);
+      moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
       moves.targetLost('m1', 1500);
-      moves.endKeeping(() => true);
+      moves.releaseJobReservations(() => true);
     },
   ],
   [
@@ -174,7 +175,7 @@
     (moves) => {
       moves.begin(plan([null]), 0);
       moves.targetLost('m0', 100);
-      moves.on(moved, { kind: 'source-gone' }, 1000);
+      moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
     },
   ],
   [
@@ -190,9 +191,9 @@
     'what is put back is no more held than any waiting task',
     (moves, recorder) => {
       moves.begin(plan([null]), 0);
-      moves.on(moved, { kind: 'source-gone' }, 1000);
+      moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
       assert.equal(recorder.held.size, 0);
-      moves.endKeeping(() => true);
+      moves.releaseJobReservations(() => true);
       assert.equal(moves.counters.completed, 1);
     },
   ],
--- a/packages/load-balancer/test/planning.test.ts
+++ b/packages/load-balancer/test/planning.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type BalancerSettings, type JobView, type TaskView } from '../src/index';
+import { type BalancerSettings, type JobSnapshot, type TaskSnapshot } from '../src/index';
 import { balancerOf, job, ModelPartition, needs, task, type ModelMachine } from './model';
 
 const idle = job('idle', { priority: 3 });
 const urgent = job('urgent', { priority: 1, cpus: 4, team: 'west', workload: 'u', expectedS: 20 });
 
 /** Four CPUs, of which as many are taken by long tasks as are named here. */
-function machine(id: string, tasks: TaskView[], images = ['i']): ModelMachine {
+function machine(id: string, tasks: TaskSnapshot[], images = ['i']): ModelMachine {
   return { id, cpus: 4, images, tasks };
 }
 
-function halfFull(id: string, of: JobView = idle, change: Partial<TaskView> = {}): ModelMachine {
+function halfFull(id: string, of: JobSnapshot = idle, change: Partial<TaskSnapshot> = {}): ModelMachine {
   const index = Number(id.slice(1)) * 2;
   return machine(id, [task(of, index, change), task(of, index + 1, change)]);
 }
@@ -20,7 +20,7 @@
 interface Row {
   name: string;
   fleet: ModelMachine[];
-  waits?: { of: JobView; withinGuarantee?: boolean; tasks?: number }[];
+  waits?: { of: JobSnapshot; withinGuarantee?: boolean; tasks?: number }[];
   settings?: Partial<BalancerSettings>;
   /** So many tasks of the first machine's job were seen to take what was expected. */
   learned?: number;
@@ -162,8 +162,8 @@
   balancer: ReturnType<typeof balancerOf>;
 } {
   const partition = new ModelPartition(structuredCloneFleet(fleet));
-  for (const { of, withinGuarantee = false, tasks = 1 } of waits)
-    partition.waits.push({ of, tasks, waitedS: 30, withinGuarantee });
+  for (const { of: spec, withinGuarantee = false, tasks = 1 } of waits)
+    partition.waits.push({ spec, tasks, pendingS: 30, withinGuarantee });
   const balancer = balancerOf(partition, settings);
   for (let i = 0; i < learned; i++) balancer.estimator.learn(idle, idle.expectedS);
   balancer.plan(0);
@@ -203,7 +203,7 @@
 
 test('planning: room that is gone at the reservation begins nothing', () => {
   const partition = new ModelPartition(structuredCloneFleet([halfFull('m0'), halfFull('m1')]));
-  partition.waits.push({ of: urgent, tasks: 1, waitedS: 30, withinGuarantee: false });
+  partition.waits.push({ spec: urgent, tasks: 1, pendingS: 30, withinGuarantee: false });
   partition.refuses.add('m0').add('m1');
   const balancer = balancerOf(partition);
   balancer.plan(0);
@@ -228,7 +228,7 @@
     fc.property(someFleet, someWaits, (fleet, waits) => {
       let n = 0;
       const machines = fleet.map((tasks, i): ModelMachine => {
-        const placed: TaskView[] = [];
+        const placed: TaskSnapshot[] = [];
         let left = 4;
         for (const { cpus, priority, elapsedS, expectedS, checkpointS } of tasks) {
           if (cpus > left) continue;
@@ -240,7 +240,7 @@
       const partition = new ModelPartition(machines);
       waits.forEach(({ cpus, priority, tasks }, i) =>
         partition.waits.push({
-          ...{ of: job(`w${i}`, { cpus, priority }), tasks, waitedS: 30, withinGuarantee: false },
+          ...{ spec: job(`w${i}`, { cpus, priority }), tasks, pendingS: 30, withinGuarantee: false },
         }),
       );
       const balancer = balancerOf(partition);
@@ -248,13 +248,13 @@
       for (let now = 0, before = -1; partition.stopped.length !== before; now += 2000) {
         before = partition.stopped.length;
         balancer.plan(now);
-        for (const move of balancer.tracker.running)
+        for (const move of balancer.tracker.movesInProgress)
           assert.ok(move.gainS > move.costS - 1e-9 || move.costS === 0);
         for (const view of partition.machines()) {
           const kept = [...partition.kept].filter((key) => key.startsWith(`${view.id}:`));
           if (kept.length === 0) assert.ok(view.free.cpus >= 0, 'a target is not filled beyond what it has');
           const leaving = partition.tasksOn(view.id).filter((t) => t.pinned === 'stopping');
-          const cleared = leaving.reduce((sum, t) => sum + t.of.needs.cpus, view.free.cpus);
+          const cleared = leaving.reduce((sum, t) => sum + t.spec.resources.cpus, view.free.cpus);
           assert.ok(cleared >= -1e-9, 'what is kept fits once all that was told to has left');
         }
         assert.ok(balancer.tracker.inFlight <= 4, 'no more at once than the settings allow');
@@ -267,7 +267,12 @@
 
 test('planning: needs of nothing and machines of nothing plan nothing', () => {
   const partition = new ModelPartition([{ id: 'm0', cpus: 0, images: [], tasks: [] }]);
-  partition.waits.push({ of: job('w', { needs: needs(0) }), tasks: 1, waitedS: 30, withinGuarantee: false });
+  partition.waits.push({
+    spec: job('w', { resources: needs(0) }),
+    tasks: 1,
+    pendingS: 30,
+    withinGuarantee: false,
+  });
   balancerOf(partition).plan(0);
   assert.deepEqual(partition.stopped, []);
 });
--- a/packages/load-balancer/test/summaries.test.ts
+++ b/packages/load-balancer/test/summaries.test.ts
@@ -5,12 +5,12 @@
   coefficientOfVariation,
   evenAllowance,
   evenLevel,
-  loadPicture,
-  MachineMoveGuard,
-  roomFor,
+  partitionWorkload,
+  MachineTransferGuard,
+  capacityFor,
   RuntimeEstimator,
-  SummaryBoard,
-  sumOf,
+  SummaryStore,
+  totalWork,
   Trend,
   type LoadSummary,
   type SummaryFault,
@@ -43,17 +43,17 @@
 
 for (const [name, change, fault] of faults)
   test(`summaries: ${name}`, () => {
-    const board = new SummaryBoard(6000);
-    assert.equal(board.take(summary(), 0), null);
-    assert.equal(board.take(summary(change), 1000), fault);
-    const counted = board.dropped().map((d) => [d.fault, d.count]);
+    const board = new SummaryStore(6000);
+    assert.equal(board.record(summary(), 0), null);
+    assert.equal(board.record(summary(change), 1000), fault);
+    const counted = board.droppedByFault().map((d) => [d.fault, d.count]);
     assert.deepEqual(counted, fault === null ? [] : [[fault, 1]]);
     if (fault !== null) assert.equal(board.fresh('p0', 1000)?.sequence, 10, 'what is wrong changes nothing');
   });
 
 test('summaries: one past its age decides nothing, its own age included', () => {
-  const board = new SummaryBoard(6000);
-  board.take(summary({ ageMs: 2000 }), 0);
+  const board = new SummaryStore(6000);
+  board.record(summary({ ageMs: 2000 }), 0);
   assert.ok(board.fresh('p0', 4000));
   assert.equal(board.fresh('p0', 4001), null);
   assert.equal(board.fresh('p1', 0), null);
@@ -61,50 +61,50 @@
 
 const move = { machine: 'm', fromPartition: 'p0', toPartition: 'p1', drain: true };
 const busy = summary({ partition: 'p1', waiting: [0, 0, 0, 5000] });
-const guards: [string, (guard: MachineMoveGuard, board: SummaryBoard) => void][] = [
+const guards: [string, (guard: MachineTransferGuard, board: SummaryStore) => void][] = [
   [
     'a machine goes where work would take much longer, and not back at once',
     (guard, board) => {
-      board.take(summary(), 0);
-      board.take(busy, 0);
-      assert.equal(guard.judge(move, 0, 100, 0).allowed, true);
+      board.record(summary(), 0);
+      board.record(busy, 0);
+      assert.equal(guard.review(move, 0, 100, 0).allowed, true);
       const back = { ...move, fromPartition: 'p1', toPartition: 'p0', drain: false };
-      assert.equal(guard.judge(back, 10_000, 100, 0).reason, 'moved back too soon');
-      assert.equal(guard.judge(back, 31_000, 100, 0).allowed, true);
+      assert.equal(guard.review(back, 10_000, 100, 0).reason, 'moved back too soon');
+      assert.equal(guard.review(back, 31_000, 100, 0).allowed, true);
     },
   ],
   [
     'a small difference moves nothing',
     (guard, board) => {
-      board.take(summary(), 0);
-      board.take(summary({ partition: 'p1', waiting: [0, 0, 0, 300] }), 0);
-      assert.equal(guard.judge(move, 0, 100, 0).reason, 'the difference is too small');
+      board.record(summary(), 0);
+      board.record(summary({ partition: 'p1', waiting: [0, 0, 0, 300] }), 0);
+      assert.equal(guard.review(move, 0, 100, 0).reason, 'the difference is too small');
     },
   ],
   [
     'a donor whose load grows keeps its machines',
     (guard, board) => {
-      board.take(summary({ trendPerS: 200 }), 0);
-      board.take(busy, 0);
-      assert.equal(guard.judge(move, 0, 100, 0).allowed, false);
+      board.record(summary({ trendPerS: 200 }), 0);
+      board.record(busy, 0);
+      assert.equal(guard.review(move, 0, 100, 0).allowed, false);
     },
   ],
   [
     'without a fresh summary of both nothing is emptied',
     (guard, board) => {
-      board.take(summary(), 0);
-      assert.equal(guard.judge(move, 0, 100, 0).reason, 'no fresh summary');
-      board.take(busy, 0);
-      assert.equal(guard.judge(move, 7000, 100, 0).reason, 'no fresh summary');
+      board.record(summary(), 0);
+      assert.equal(guard.review(move, 0, 100, 0).reason, 'no fresh summary');
+      board.record(busy, 0);
+      assert.equal(guard.review(move, 7000, 100, 0).reason, 'no fresh summary');
     },
   ],
   [
     'no more are emptied at once, and in a minute, than the settings allow',
     (guard, board) => {
       const at = (now: number, i: number, draining: number): boolean => {
-        board.take(summary({ sequence: 10 + now + i }), now);
-        board.take(summary({ partition: 'p1', waiting: [0, 0, 0, 5000], sequence: 10 + now + i }), now);
-        return guard.judge({ ...move, machine: `m${now}-${i}` }, now, 20, draining).allowed;
+        board.record(summary({ sequence: 10 + now + i }), now);
+        board.record(summary({ partition: 'p1', waiting: [0, 0, 0, 5000], sequence: 10 + now + i }), now);
+        return guard.review({ ...move, machine: `m${now}-${i}` }, now, 20, draining).allowed;
       };
       assert.equal(at(0, 0, 4), false, 'four are under way');
       const allowed = Array.from({ length: 20 }, (_, i) => at(1, i, 0)).filter(Boolean).length;
@@ -117,8 +117,8 @@
 for (const [name, act] of guards)
   test(`machine moves: ${name}`, () => {
     const settings = balancerSettingsSchema.parse({});
-    const board = new SummaryBoard(settings.summary_max_age_s * 1000);
-    act(new MachineMoveGuard(settings, board), board);
+    const board = new SummaryStore(settings.summary_max_age_s * 1000);
+    act(new MachineTransferGuard(settings, board), board);
   });
 
 test('estimates learn from the job first, then from its class, and state their error', () => {
@@ -151,21 +151,21 @@
     },
     { id: 'm1', cpus: 4, images: [], tasks: [task(b, 1)] },
   ]);
-  partition.waits.push({ of: b, tasks: 3, waitedS: 1, withinGuarantee: false });
-  const picture = loadPicture(partition, new RuntimeEstimator(), 4);
+  partition.waits.push({ spec: b, tasks: 3, pendingS: 1, withinGuarantee: false });
+  const picture = partitionWorkload(partition, new RuntimeEstimator(), 4);
   assert.equal(picture.freeCpus, 5);
   assert.ok((picture.total.running[1] ?? 0) > 50);
-  assert.ok(sumOf(picture.byTeam.get('south')?.queued ?? []) > 600);
-  assert.equal(sumOf(picture.byMachine.get('m1')?.queued ?? []), 0);
-  assert.deepEqual(roomFor(needs(4), partition.machines()), { places: 0, placesIfTogether: 1 });
+  assert.ok(totalWork(picture.byTeam.get('south')?.queued ?? []) > 600);
+  assert.equal(totalWork(picture.byMachine.get('m1')?.queued ?? []), 0);
+  assert.deepEqual(capacityFor(needs(4), partition.machines()), { taskCount: 0, defragmentedTaskCount: 1 });
 });
 
 test('a trend follows a load that doubles and then halves', () => {
   const trend = new Trend();
   for (let s = 0; s <= 60; s++) trend.observe(1000 + 50 * s, s * 1000);
-  assert.ok(trend.perS > 40 && trend.perS <= 50);
+  assert.ok(trend.changePerS > 40 && trend.changePerS <= 50);
   for (let s = 61; s <= 120; s++) trend.observe(4000 - 50 * (s - 60), s * 1000);
-  assert.ok(trend.perS < -30);
+  assert.ok(trend.changePerS < -30);
 });
 
 const levels: [string, { cpus: number; used: number }[], number, number][] = [
--- a/src/balance-command.ts
+++ b/src/cli/balance-command.ts
@@ -1,6 +1,6 @@
 import { type LoadSummary } from '@heathbridge/load-balancer';
-import { EXIT, guarded, request, type ClientOptions, type Output } from './client';
-import { URGENCIES } from './protocol/jobs';
+import { EXIT_CODES, withUsageErrors, requestWithRetries, type ClientOptions, type Output } from './client';
+import { PRIORITIES } from '../protocol/jobs';
 
 /** The part of `GET /status` that tells of load. */
 interface BalanceStatus {
@@ -22,29 +22,29 @@
   state: string;
 }
 
-interface StatusAnswer {
+interface StatusResponse {
   member?: string;
   balance?: BalanceStatus;
 }
 
 /** Shows how load is spread, and what is moved and why, as the leader knows it. */
 export function balance({ server, json }: ClientOptions, output: Output): Promise<number> {
-  return guarded(output, async () => {
-    const answer = await request('GET', '/status', undefined, server, output);
-    if (!answer) return EXIT.unreachable;
-    const { member, balance: status } = (answer.body ?? {}) as StatusAnswer;
-    const refusal = whyNot(server, member, status);
+  return withUsageErrors(output, async () => {
+    const response = await requestWithRetries('GET', '/status', undefined, server, output);
+    if (!response) return EXIT_CODES.unreachable;
+    const { member, balance: status } = (response.body ?? {}) as StatusResponse;
+    const refusal = refusalReason(server, member, status);
     if (refusal !== null) {
       output.err(`heathbridge: ${refusal}`);
-      return EXIT.refused;
+      return EXIT_CODES.refused;
     }
     if (json) output.out(JSON.stringify(status));
-    else for (const line of lines(status as BalanceStatus)) output.out(line);
-    return EXIT.ok;
+    else for (const line of statusLines(status as BalanceStatus)) output.out(line);
+    return EXIT_CODES.ok;
   });
 }
 
-function whyNot(
+function refusalReason(
   server: string,
   member: string | undefined,
   status: BalanceStatus | undefined,
@@ -57,38 +57,43 @@
     : `${member} does not lead: ask ${status.leader}`;
 }
 
-function lines({ fleet, moves }: BalanceStatus): string[] {
+function statusLines({ fleet, moves }: BalanceStatus): string[] {
   if (!fleet) return [];
-  const shown = fleet.partitions.flatMap(({ summary, ageMs }) => partitionLines(summary, ageMs));
+  const shownLines = fleet.partitions.flatMap(({ summary, ageMs }) => partitionLines(summary, ageMs));
   const { allowed, refused, refusals } = fleet.machineMoves;
-  shown.push(`machines between partitions: ${allowed} moved, ${refused} refused${reasons(refusals)}`);
-  for (const { fault, count } of fleet.droppedSummaries) shown.push(`summaries dropped: ${count} ${fault}`);
+  shownLines.push(
+    `machines between partitions: ${allowed} moved, ${refused} refused${formatRefusals(refusals)}`,
+  );
+  for (const { fault, count } of fleet.droppedSummaries)
+    shownLines.push(`summaries dropped: ${count} ${fault}`);
   for (const { move, task, source, target, cause, state } of moves)
-    shown.push(`move ${move}: ${task} from ${source} to ${target}, ${state}, for ${cause}`);
-  return shown;
+    shownLines.push(`move ${move}: ${task} from ${source} to ${target}, ${state}, for ${cause}`);
+  return shownLines;
 }
 
 function partitionLines(summary: LoadSummary, ageMs: number): string[] {
   const { partition, cpus, freeCpus, largestFreeCpus, trendPerS, moves, refusals, teams } = summary;
   const trend = `${trendPerS >= 0 ? '+' : ''}${trendPerS.toFixed(1)}`;
-  const first = `${partition}: ${whole(cpus)} CPUs, ${whole(freeCpus)} free, ${whole(largestFreeCpus)} on one machine`;
+  const first = `${partition}: ${formatWhole(cpus)} CPUs, ${formatWhole(freeCpus)} free, ${formatWhole(largestFreeCpus)} on one machine`;
   return [
     `${first}; work ${trend} CPU s/s; told ${(ageMs / 1000).toFixed(1)} s ago`,
-    `  running ${byPriority(summary.running)}; waiting ${byPriority(summary.waiting)} (CPU s)`,
-    ...teams.map((t) => `  team ${t.team}: running ${whole(t.running)}, waiting ${whole(t.waiting)} CPU s`),
+    `  running ${formatByPriority(summary.running)}; waiting ${formatByPriority(summary.waiting)} (CPU s)`,
+    ...teams.map(
+      (t) => `  team ${t.team}: running ${formatWhole(t.running)}, waiting ${formatWhole(t.waiting)} CPU s`,
+    ),
     `  moves: ${moves.planned} planned, ${moves.inFlight} running, ${moves.completed} made, ${moves.abandoned} given up`,
     ...refusals.map(({ reason, count }) => `  not moved: ${count} ${reason}`),
   ];
 }
 
-function byPriority(work: readonly number[]): string {
-  return work.map((cpuSeconds, i) => `${URGENCIES[i] ?? i} ${whole(cpuSeconds)}`).join(', ');
+function formatByPriority(work: readonly number[]): string {
+  return work.map((cpuSeconds, i) => `${PRIORITIES[i] ?? i} ${formatWhole(cpuSeconds)}`).join(', ');
 }
 
-function whole(amount: number): string {
+function formatWhole(amount: number): string {
   return amount.toFixed(0);
 }
 
-function reasons(refusals: readonly { reason: string; count: number }[]): string {
+function formatRefusals(refusals: readonly { reason: string; count: number }[]): string {
   return refusals.length === 0 ? '' : ` (${refusals.map((r) => `${r.count} ${r.reason}`).join(', ')})`;
 }
--- /dev/null
+++ b/src/cli/client.ts
@@ -0,0 +1,135 @@
+import { readFileSync } from 'node:fs';
+import { type HttpResponse, HttpClient } from '../transport/http-client';
+import { JOB_REF_PATTERN } from '../protocol/jobs';
+
+/** How the commands for people end. */
+export const EXIT_CODES = { ok: 0, refused: 1, usage: 2, unreachable: 3 } as const;
+
+export interface ClientOptions {
+  server: string;
+  json: boolean;
+}
+
+/** Where a command for people writes. */
+export interface Output {
+  out: (line: string) => void;
+  err: (line: string) => void;
+}
+
+const RESPONSE_TIMEOUT_MS = 6000;
+const MAX_ATTEMPT_COUNT = 5;
+const RETRY_DELAY_MS = 1000;
+
+class UsageError extends Error {}
+
+interface JobResponse {
+  ref?: string;
+  status?: string;
+  done?: number;
+  running?: number;
+  error?: string;
+  pipeline?: { ref: string; state: string; because: string | null; failed: boolean };
+}
+
+/** Submits a job that a file describes (`-`: standard input). Safe to repeat: a job is known by its ref. */
+export function submit(file: string, options: ClientOptions, output: Output): Promise<number> {
+  return withUsageErrors(output, async () => {
+    let job: unknown;
+    try {
+      job = JSON.parse(readFileSync(file === '-' ? 0 : file, 'utf8'));
+    } catch (error) {
+      throw new UsageError(`${file}: ${(error as Error).message}`);
+    }
+    return requestJob('POST', '/v2/runs', job, options, output);
+  });
+}
+
+export function status(ref: string, options: ClientOptions, output: Output): Promise<number> {
+  return withUsageErrors(output, () =>
+    requestJob('GET', `/v2/runs/${requireJobRef(ref)}`, undefined, options, output),
+  );
+}
+
+export function cancel(ref: string, options: ClientOptions, output: Output): Promise<number> {
+  return withUsageErrors(output, () =>
+    requestJob('POST', `/v2/runs/${requireJobRef(ref)}/cancel`, {}, options, output),
+  );
+}
+
+function requireJobRef(ref: string): string {
+  if (!JOB_REF_PATTERN.test(ref)) throw new UsageError(`${ref}: a job's ref looks like job-000412`);
+  return ref;
+}
+
+/** Runs a command; words that are wrong end it with the code for that. */
+export async function withUsageErrors(output: Output, act: () => Promise<number>): Promise<number> {
+  try {
+    return await act();
+  } catch (error) {
+    if (!(error instanceof UsageError)) throw error;
+    output.err(`heathbridge: ${error.message}`);
+    return EXIT_CODES.usage;
+  }
+}
+
+/**
+ * Asks until there is an answer that will not change by asking again. Null: there was none, which has been said on standard
+ * error.
+ */
+export async function requestWithRetries(
+  method: string,
+  path: string,
+  body: unknown,
+  server: string,
+  { err }: Output,
+): Promise<HttpResponse | null> {
+  if (!/^[0-9.]+:[0-9]+$/.test(server))
+    throw new UsageError(`--server ${server}: must be an IPv4 address and a port`);
+  const client = new HttpClient(server, 1);
+  let response: HttpResponse | null = null;
+  try {
+    for (let attempt = 0; attempt < MAX_ATTEMPT_COUNT; attempt++) {
+      if (attempt > 0) await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS));
+      response = await client.call(method, path, body, RESPONSE_TIMEOUT_MS);
+      if (response && response.status < 500 && response.status !== 429) break;
+    }
+  } finally {
+    client.close();
+  }
+  if (!response || response.status >= 500 || response.status === 429) {
+    const serverError = (response?.body as JobResponse | undefined)?.error;
+    err(
+      `heathbridge: ${server}: ${response ? `${response.status} ${serverError ?? ''}`.trim() : 'no answer'}; try again later`,
+    );
+    return null;
+  }
+  return response;
+}
+
+async function requestJob(
+  method: string,
+  path: string,
+  body: unknown,
+  { server, json }: ClientOptions,
+  output: Output,
+): Promise<number> {
+  const response = await requestWithRetries(method, path, body, server, output);
+  if (!response) return EXIT_CODES.unreachable;
+  const { out, err } = output;
+  const content = (response.body ?? {}) as JobResponse;
+  if (json) out(JSON.stringify(content));
+  if (response.status >= 400) {
+    err(`heathbridge: ${content.error ?? `refused with ${response.status}`}`);
+    return EXIT_CODES.refused;
+  }
+  if (!json) out(describeJob(content));
+  return EXIT_CODES.ok;
+}
+
+function describeJob({ ref, status: state, done, running, pipeline }: JobResponse): string {
+  const counts = done === undefined ? '' : `, ${done} tasks done, ${running ?? 0} running`;
+  if (!pipeline) return `${ref}: ${state}${counts}`;
+  const because = pipeline.because === null ? '' : ` (${pipeline.because})`;
+  const failed = pipeline.failed ? ', the pipeline has failed' : '';
+  return `${ref}: ${state}${counts}; in ${pipeline.ref}: ${pipeline.state}${because}${failed}`;
+}
--- /dev/null
+++ b/src/coordination/controller/api-server.ts
@@ -0,0 +1,99 @@
+import type { Server } from 'node:http';
+import { type Clock } from '../../transport/clock';
+import { MAX_PENDING_CONNECTIONS, servePlainRequests } from '../../transport/request-server';
+import { HttpClient } from '../../transport/http-client';
+import { type Log } from '../../transport/log';
+import { ProcessHealth } from '../../transport/process-health';
+import { listenForPeers, PeerLink } from '../../transport/peer-link';
+import { type Policy } from '../../protocol/policy';
+import { type Settings } from '../../protocol/settings';
+import { type Balancing } from '../balancing/balancing';
+import { Controller } from './controller';
+import type { ApiDependencies } from '../requests/express-app';
+import { plainRoutes } from '../requests/plain-routes';
+import { MAX_BODY_BYTES } from '../requests/heartbeat-gateway';
+
+const STORE_CONNECTION_COUNT = 12;
+const WATCH_CONNECTION_COUNT = 2;
+const CLOUD_CONNECTION_COUNT = 6;
+const HEALTH_WATCH_DELAY_MS = 20_000;
+const KEEP_ALIVE_TIMEOUT_MS = 120_000;
+const RANDOM_SUFFIX_RANGE = 2 ** 40;
+
+/** Puts a controller on the network. */
+export function serve(
+  settings: Settings,
+  policy: Policy,
+  clock: Clock,
+  log: Log,
+  balancing: Balancing | null,
+): void {
+  const peerLinks = new Map<string, PeerLink>();
+  const controller = new Controller(settings, policy, clock, log, {
+    storeTransport: new HttpClient(settings.stateStoreAddress, STORE_CONNECTION_COUNT),
+    watchTransport: new HttpClient(settings.stateStoreAddress, WATCH_CONNECTION_COUNT),
+    cloudTransport: new HttpClient(settings.cloudAddress, CLOUD_CONNECTION_COUNT),
+    sendToPeer: (member, bytes) => peerLinks.get(member)?.send(bytes),
+    processIncarnation: createProcessIncarnation(settings.member, clock),
+    balancing,
+  });
+  const health = new ProcessHealth();
+  clock.schedule(HEALTH_WATCH_DELAY_MS, () => health.watch(clock));
+  const dependencies: ApiDependencies = {
+    jobService: controller.jobService,
+    receiveHeartbeat: (report, reply) => controller.receiveHeartbeat(report, reply),
+    ready: () => controller.ready(),
+    status: () => ({ ...controller.status(), process: health.summary() }),
+    log,
+  };
+  const plainServer = servePlainRequests({
+    route: plainRoutes(dependencies),
+    generalServer: memoize(() => loadExpressServer(dependencies)),
+    maxBodyBytes: MAX_BODY_BYTES,
+  });
+  plainServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
+  const apiAddress = parseAddress(settings.listen);
+  plainServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
+  const peerAddress = parseAddress(settings.peerListen);
+  listenForPeers(
+    peerAddress.host,
+    peerAddress.port,
+    (bytes, answer) => controller.receiveFrame(bytes, answer),
+    (error) => log.error({ error }, 'cannot listen for peers'),
+  );
+  for (const { member, address } of settings.peers) {
+    peerLinks.set(
+      member,
+      new PeerLink(address, clock, (bytes) => controller.receiveFrame(bytes, () => undefined)),
+    );
+  }
+  controller.start();
+}
+
+/** Express and the HTTP server below it: loaded when the first request comes that is not plain, for that takes a while. */
+async function loadExpressServer(dependencies: ApiDependencies): Promise<Server> {
+  const [{ createServer }, { createExpressApp }] = await Promise.all([
+    import('node:http'),
+    import('../requests/express-app'),
+  ]);
+  const server = createServer(createExpressApp(dependencies));
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
+  server.requestTimeout = 0;
+  return server;
+}
+
+function memoize<T>(make: () => Promise<T>): () => Promise<T> {
+  let result: Promise<T> | null = null;
+  return () => (result ??= make());
+}
+
+/** A name that no other life of any controller has: by the time of day, and chance should two begin in the same moment. */
+function createProcessIncarnation(member: string, clock: Clock): string {
+  const randomSuffix = Math.floor(Math.random() * RANDOM_SUFFIX_RANGE).toString(36);
+  return `${member}-${clock.wallClock().getTime().toString(36)}${randomSuffix}`;
+}
+
+function parseAddress(address: string): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
--- a/src/coordination/staleness.ts
+++ b/src/coordination/membership/staleness-bound.ts
@@ -1,12 +1,12 @@
-import { DRIFT } from '../transport/clock';
+import { MAX_CLOCK_DRIFT_RATIO } from '../../transport/clock';
 
 /** What a stop takes once its owner knows: the worker's steps, answers on their way, timers that fire late. */
-const STOP_MS = 1500;
+const TASK_STOP_MS = 1500;
 /** If the settings leave no time at all, an owner must at least have heard of the store a moment ago. */
-const LEAST_MS = 1000;
+const MIN_STALENESS_MS = 1000;
 /** How often an owner asks anew, as a share of how long it may go without. */
-const ASKS = 8;
-const SELDOM_MS = 2000;
+const REFRESHES_PER_STALENESS_BOUND_COUNT = 8;
+const MAX_REFRESH_INTERVAL_MS = 2000;
 
 /**
  * How long an owner may go on answering workers without knowing which jobs were cancelled. A cancellation that was
@@ -19,10 +19,13 @@
  * session lease, an extended lease, an election and a new owner, for all of them answer workers through `Member.mayRenewLeases`.
  */
 export function maxStalenessMs(leaseMs: number, cancelMs: number): number {
-  return Math.max(LEAST_MS, cancelMs * (1 - 2 * DRIFT) - leaseMs * (1 + 2 * DRIFT) - STOP_MS);
+  return Math.max(
+    MIN_STALENESS_MS,
+    cancelMs * (1 - 2 * MAX_CLOCK_DRIFT_RATIO) - leaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) - TASK_STOP_MS,
+  );
 }
 
 /** An owner asks the store what is new at least this often, so that an outage finds it with nearly all of that time. */
 export function refreshIntervalMs(maxStalenessMs: number): number {
-  return Math.min(SELDOM_MS, maxStalenessMs / ASKS);
+  return Math.min(MAX_REFRESH_INTERVAL_MS, maxStalenessMs / REFRESHES_PER_STALENESS_BOUND_COUNT);
 }
--- a/src/coordination/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -1,7 +1,7 @@
-import { type MachineType } from '../protocol/cloud';
-import { type JobSpec } from '../protocol/jobs';
+import { type MachineType } from '../../protocol/cloud';
+import { type JobSpec } from '../../protocol/jobs';
 
-export interface Free {
+export interface Resources {
   cpus: number;
   accelerators: number;
   memoryGb: number;
@@ -10,7 +10,7 @@
 const EPSILON = 1e-9;
 
 /** How many tasks of this shape fit into what is free. */
-export function fits(free: Free, need: Free): number {
+export function countFitting(free: Resources, need: Resources): number {
   let n = Number.POSITIVE_INFINITY;
   if (need.cpus > 0) n = Math.min(n, Math.floor(free.cpus / need.cpus + EPSILON));
   if (need.accelerators > 0) n = Math.min(n, Math.floor(free.accelerators / need.accelerators + EPSILON));
@@ -18,32 +18,35 @@
   return Math.max(0, n);
 }
 
-interface Kind {
+interface MachineKind {
   type: string;
   zone: string;
   spot: boolean;
 }
 
 /** Whether a type, bought in this way, is allowed, wherever it is. */
-export function allowsKind(job: { types: string[] | null; spot: boolean }, machine: Kind): boolean {
-  if (job.types && !job.types.includes(machine.type)) return false;
+export function allowsMachineType(
+  job: { machineTypes: string[] | null; spot: boolean },
+  machine: MachineKind,
+): boolean {
+  if (job.machineTypes && !job.machineTypes.includes(machine.type)) return false;
   return job.spot || !machine.spot;
 }
 
 /** Whether a job allows a kind of machine at all. */
-export function allows(
-  job: { types: string[] | null; zone: string | null; spot: boolean },
-  machine: Kind,
+export function allowsMachine(
+  job: { machineTypes: string[] | null; zone: string | null; spot: boolean },
+  machine: MachineKind,
 ): boolean {
-  return (job.zone === null || job.zone === machine.zone) && allowsKind(job, machine);
+  return (job.zone === null || job.zone === machine.zone) && allowsMachineType(job, machine);
 }
 
 /** How many more tasks of a job a zone may take, given where its tasks are in flight to be now. */
-export function zoneRoom(spec: JobSpec, zone: string, placed: ReadonlyMap<string, number>): number {
-  if (spec.together) {
+export function remainingInZone(spec: JobSpec, zone: string, placed: ReadonlyMap<string, number>): number {
+  if (spec.singleZone) {
     for (const [other, count] of placed) if (other !== zone && count > 0) return 0;
   }
-  if (spec.apart) return Math.max(0, Math.ceil(spec.tasks / 2) - (placed.get(zone) ?? 0));
+  if (spec.spreadZones) return Math.max(0, Math.ceil(spec.tasks / 2) - (placed.get(zone) ?? 0));
   return Number.POSITIVE_INFINITY;
 }
 
@@ -51,18 +54,18 @@
  * The zones in which more tasks of a job may start, given where they are in flight to be now; null: all. Room elsewhere is
  * none for it, and machines rented there would leave it waiting for ever.
  */
-export function openZones(
+export function eligibleZones(
   spec: JobSpec,
   zones: Iterable<string>,
   placed: ReadonlyMap<string, number>,
 ): string[] | null {
   if (spec.zone !== null) return [spec.zone];
-  if (placed.size === 0 || !(spec.together || spec.apart)) return null;
-  return [...zones].filter((zone) => zoneRoom(spec, zone, placed) > 0);
+  if (placed.size === 0 || !(spec.singleZone || spec.spreadZones)) return null;
+  return [...zones].filter((zone) => remainingInZone(spec, zone, placed) > 0);
 }
 
 /** Why a job can never run, or null. */
-export function impossible(
+export function infeasibleReason(
   spec: JobSpec,
   catalog: readonly MachineType[],
   limit: { cpus: number; accelerators: number },
@@ -72,9 +75,9 @@
   }
   const fitting = catalog.filter(
     (t) =>
-      (!spec.types || spec.types.includes(t.name)) &&
+      (!spec.machineTypes || spec.machineTypes.includes(t.name)) &&
       (spec.zone === null || t.zones.includes(spec.zone)) &&
-      fits(t, spec) >= 1,
+      countFitting(t, spec) >= 1,
   );
   if (fitting.length === 0) return 'a task fits no allowed machine type';
   return null;
--- a/src/coordination/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -1,5 +1,5 @@
-import { URGENCIES, type JobSpec } from '../protocol/jobs';
-import { type Objective } from '../protocol/settings';
+import { PRIORITIES, type JobSpec } from '../../protocol/jobs';
+import { type Objective } from '../../protocol/settings';
 
 /** The times, in seconds from its submission, by which a job is expected to be done; earliest first. */
 export function deadlinesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
@@ -18,76 +18,82 @@
  * can be in time no more goes behind those that can. One that has been late for as long again as its last due
  * goes before them: nobody is forgotten for good.
  */
-export function lateness(deadlines: readonly number[], ageS: number, runS: number): number {
+export function missedDeadlineCount(deadlines: readonly number[], ageS: number, remainingS: number): number {
   const last = deadlines[deadlines.length - 1];
   if (last === undefined || ageS > 2 * last) return 0;
-  return deadlines.filter((due) => ageS + runS > due).length;
+  return deadlines.filter((deadlineS) => ageS + remainingS > deadlineS).length;
 }
 
 /**
  * The urgency that a job is placed with: one step up once half of the time to its first due is gone while it can
  * still be met. Waiting behind everything more urgent until it is too late helps nobody.
  */
-export function effectivePriority(
+export function deadlinePriority(
   spec: JobSpec,
   deadlines: readonly number[],
   ageS: number,
-  runS: number,
+  remainingS: number,
 ): number {
-  const due = deadlines[0];
-  if (due === undefined || spec.rank < URGENCIES.length - 1) return spec.rank;
-  return ageS > due / 2 && ageS + runS <= due ? spec.rank - 1 : spec.rank;
+  const deadlineS = deadlines[0];
+  if (deadlineS === undefined || spec.priority < PRIORITIES.length - 1) return spec.priority;
+  return ageS > deadlineS / 2 && ageS + remainingS <= deadlineS ? spec.priority - 1 : spec.priority;
 }
 
 /** The urgency that a job goes up to of which nothing has begun for too long: nothing but `prod` goes before it. */
-const RAISED = 1;
+const AGED_PRIORITY = 1;
 /** The urgency that work goes up to which its team is owed: it waits behind urgent work, not behind normal one. */
-const RAISED_OWED = 2;
+const AGED_GUARANTEED_PRIORITY = 2;
 /** A job of which nothing has begun for so long goes first, however large, late or idle it is. */
-export const BEGIN_WITHIN_S = 150;
+export const MAX_WAIT_TO_START_S = 150;
 /** Nor is a single task of hundreds a beginning: a large job with one was passed over for four minutes. */
-const HALF_WITHIN_S = 210;
+const MAX_WAIT_TO_HALF_STARTED_S = 210;
 /** Work within its team's guarantee goes up once this share of the time in which it is to begin is over. */
-const GUARANTEE_SHARE = 0.3;
-const GUARANTEE_S = 60;
+const GUARANTEE_WAIT_RATIO = 0.3;
+const DEFAULT_GUARANTEE_S = 60;
 
-export interface Waited {
+export interface WaitState {
   ageS: number;
   /** How much of what its team's limit allows at once has begun. */
-  begun: number;
+  startedRatio: number;
   /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee: boolean;
 }
 
 /** Whether a job has waited so long that it goes up: nobody starves, and a guarantee counts for more than urgency. */
-export function raisedPriority(rank: number, waited: Waited, objectives: readonly Objective[]): number {
-  const within = objectives.find((o) => o.kind === 'guarantee')?.withinS ?? GUARANTEE_S;
-  const owed = waited.withinGuarantee && waited.ageS > GUARANTEE_SHARE * within;
-  if (starves(waited)) return Math.min(rank, RAISED);
-  return owed ? Math.min(rank, RAISED_OWED) : rank;
+export function agedPriority(
+  priority: number,
+  waitState: WaitState,
+  objectives: readonly Objective[],
+): number {
+  const within = objectives.find((o) => o.kind === 'guarantee')?.withinS ?? DEFAULT_GUARANTEE_S;
+  const guaranteeDue = waitState.withinGuarantee && waitState.ageS > GUARANTEE_WAIT_RATIO * within;
+  if (exceedsMaxWait(waitState)) return Math.min(priority, AGED_PRIORITY);
+  return guaranteeDue ? Math.min(priority, AGED_GUARANTEED_PRIORITY) : priority;
 }
 
-export function starves({ ageS, begun }: Waited): boolean {
-  return begun === 0 ? ageS > BEGIN_WITHIN_S : begun < 0.5 && ageS > HALF_WITHIN_S;
+export function exceedsMaxWait({ ageS, startedRatio }: WaitState): boolean {
+  return startedRatio === 0
+    ? ageS > MAX_WAIT_TO_START_S
+    : startedRatio < 0.5 && ageS > MAX_WAIT_TO_HALF_STARTED_S;
 }
 
-const ENOUGH = 10;
+const MIN_SAMPLE_COUNT = 10;
 
 /** Corrects the owners' estimates of a class by what its tasks really took. */
-export class Estimates {
-  private readonly seen = new Map<string, { expected: number; actual: number; tasks: number }>();
+export class RuntimeEstimates {
+  private readonly samplesByWorkload = new Map<string, { expected: number; actual: number; tasks: number }>();
 
-  learn(workload: string, expectedS: number, actualS: number): void {
-    const known = this.seen.get(workload) ?? { expected: 0, actual: 0, tasks: 0 };
+  addSample(workload: string, expectedS: number, actualS: number): void {
+    const known = this.samplesByWorkload.get(workload) ?? { expected: 0, actual: 0, tasks: 0 };
     known.expected += expectedS;
     known.actual += actualS;
     known.tasks++;
-    this.seen.set(workload, known);
+    this.samplesByWorkload.set(workload, known);
   }
 
-  expect(spec: JobSpec): number {
-    const known = this.seen.get(spec.workload);
-    if (!known || known.tasks < ENOUGH || known.expected <= 0) return spec.expectedS;
+  expectedSeconds(spec: JobSpec): number {
+    const known = this.samplesByWorkload.get(spec.workload);
+    if (!known || known.tasks < MIN_SAMPLE_COUNT || known.expected <= 0) return spec.expectedS;
     return spec.expectedS * Math.min(2.5, Math.max(0.4, known.actual / known.expected));
   }
 }
--- /dev/null
+++ b/src/coordination/partition/scheduling-order.ts
@@ -0,0 +1,70 @@
+import { type Objective, type Team } from '../../protocol/settings';
+import { type PartitionJob } from './job';
+import {
+  deadlinePriority,
+  missedDeadlineCount,
+  agedPriority,
+  exceedsMaxWait,
+  type RuntimeEstimates,
+} from './priority';
+
+const SIZE_PENALTY_RATIO = 4;
+const MAX_SIZE_PENALTY_S = 90;
+/** Estimates err by half: a job is given up on for a due only if this share of it would be too long. */
+const MIN_RUNTIME_RATIO = 0.6;
+
+export interface SchedulingContext {
+  /** Of all the partition's machines. */
+  cpus: number;
+  estimates: RuntimeEstimates;
+  teams: ReadonlyMap<string, Team>;
+  objectives: readonly Objective[];
+  /** Time of day, in milliseconds. */
+  wallClockMs: number;
+}
+
+/** A partition's open jobs in the order in which they get room; notes with each the urgency that it is placed with. */
+export function schedulingOrder(jobs: readonly PartitionJob[], context: SchedulingContext): PartitionJob[] {
+  const guaranteed = jobsWithinGuarantee(jobs, context.teams);
+  const sortKeys = new Map<PartitionJob, { late: number; turn: number }>();
+  for (const job of jobs) {
+    const { spec, deadlines, acceptedAt } = job;
+    const ageS = (context.wallClockMs - acceptedAt) / 1000;
+    const expectedS = context.estimates.expectedSeconds(spec);
+    const startedRatio = job.startedRatio(context.teams.get(spec.team)?.limit.cpus ?? 0);
+    const waitState = { ageS, startedRatio, withinGuarantee: guaranteed.has(job) };
+    const priority = deadlinePriority(spec, deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
+    job.effectivePriority = agedPriority(priority, waitState, context.objectives);
+    const late = exceedsMaxWait(waitState)
+      ? -1
+      : missedDeadlineCount(deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
+    // Arrival order, but a job steps back by a few times what it would take all our machines: one large job
+    // ahead of twenty small ones makes twenty users wait for one. The step is bounded, so none starves.
+    const sizePenaltyS = (SIZE_PENALTY_RATIO * spec.tasks * spec.cpus * expectedS) / context.cpus;
+    sortKeys.set(job, { late, turn: acceptedAt + 1000 * Math.min(sizePenaltyS, MAX_SIZE_PENALTY_S) });
+  }
+  const of = (job: PartitionJob): { late: number; turn: number } => sortKeys.get(job) ?? { late: 0, turn: 0 };
+  return [...jobs].sort(
+    (a, b) =>
+      a.effectivePriority - b.effectivePriority ||
+      of(a).late - of(b).late ||
+      of(a).turn - of(b).turn ||
+      (a.ref < b.ref ? -1 : 1),
+  );
+}
+
+/** Jobs that fit into their team's guarantee together with the team's earlier unfinished ones. */
+export function jobsWithinGuarantee(
+  jobs: readonly PartitionJob[],
+  teams: ReadonlyMap<string, Team>,
+): Set<PartitionJob> {
+  const within = new Set<PartitionJob>();
+  const taken = new Map<string, number>();
+  for (const job of [...jobs].sort((a, b) => a.acceptedAt - b.acceptedAt)) {
+    const { team, tasks, cpus } = job.spec;
+    const sum = (taken.get(team) ?? 0) + (tasks - job.doneCount) * cpus;
+    taken.set(team, sum);
+    if (sum <= (teams.get(team)?.guaranteed.cpus ?? 0)) within.add(job);
+  }
+  return within;
+}
--- a/src/coordination/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -1,10 +1,10 @@
-import { type JobProgress } from '../protocol/records';
-import { type PartitionCore } from './partition';
+import { type JobProgress } from '../../protocol/records';
+import { type PartitionCore } from './partition-core';
 
 /** Start watermarks are raised ahead of what can start now by this share of the partition's machines. */
-const WATERMARK_AHEAD = 0.5;
+const WATERMARK_AHEAD_RATIO = 0.5;
 /** A task counts for at least so many CPUs. */
-const LEAST_CPUS = 0.01;
+const MIN_TASK_CPUS = 0.01;
 
 /** Progress of open jobs as it is to be written. */
 export interface ProgressToWrite {
@@ -17,37 +17,40 @@
 export function progressToWrite(partition: PartitionCore, now: number): ProgressToWrite {
   const jobs = new Map<string, JobProgress>();
   let watermarksRaised = false;
-  let room = roomAhead(partition, now);
+  let room = startableCpus(partition, now);
   const teams = new Map<string, number>();
-  const settled = partition.unconfirmed === 0;
-  for (const job of partition.sorted()) {
+  const allConfirmed = partition.unconfirmedCount === 0;
+  for (const job of partition.jobsInSchedulingOrder()) {
     if (job.state !== 'open' || job.finished) continue;
-    const waiting = Math.min(job.waitingNow(settled), job.mostOut(now));
+    const waiting = Math.min(job.startableCount(allConfirmed), job.maxInFlight(now));
     const { team, cpus } = job.spec;
     // What its team's limit holds back takes no room ahead: it once kept those behind from ever being marked.
     const ofTeam =
-      teams.get(team) ?? partition.room(team).cpus + WATERMARK_AHEAD * partition.quota.usedBy(team).cpus;
-    const able = Math.floor(Math.min(room, ofTeam) / Math.max(cpus, LEAST_CPUS));
-    const wants = job.held ? 0 : Math.max(0, Math.min(waiting, able));
+      teams.get(team) ??
+      partition.remainingQuota(team).cpus + WATERMARK_AHEAD_RATIO * partition.quota.usageOf(team).cpus;
+    const able = Math.floor(Math.min(room, ofTeam) / Math.max(cpus, MIN_TASK_CPUS));
+    const wants = job.heldByPipeline ? 0 : Math.max(0, Math.min(waiting, able));
     room -= wants * cpus;
     teams.set(team, ofTeam - wants * cpus);
     const startWatermark =
-      wants > 0 ? Math.max(job.startWatermark, job.watermarkFor(wants, settled)) : job.startWatermark;
+      wants > 0
+        ? Math.max(job.startWatermark, job.watermarkToStart(wants, allConfirmed))
+        : job.startWatermark;
     if (startWatermark > job.startWatermark) watermarksRaised = true;
     else if (!job.hasProgress) continue;
-    jobs.set(job.ref, { ...job.progress(partition.rangeBytes), startWatermark });
+    jobs.set(job.ref, { ...job.progress(partition.maxRangeBytes), startWatermark });
   }
   return { jobs, watermarksRaised };
 }
 
 /** CPUs that could be given out until start watermarks are raised the next time. */
-function roomAhead(partition: PartitionCore, now: number): number {
+function startableCpus(partition: PartitionCore, now: number): number {
   let room = 0;
   for (const machine of partition.machines.values()) {
-    const has = partition.capacity(machine);
+    const has = partition.capacityOf(machine);
     if (!has) continue;
-    room += WATERMARK_AHEAD * has.cpus;
-    if (!partition.takesNothing(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
+    room += WATERMARK_AHEAD_RATIO * has.cpus;
+    if (!partition.isUnschedulable(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
   }
   return room;
 }
--- a/src/coordination/unconfirmed-machines.ts
+++ b/src/coordination/partition/unconfirmed-machines.ts
@@ -1,5 +1,5 @@
-import { type Quantity } from '../protocol/settings';
-import { type Free } from './placement';
+import { type ResourceQuota } from '../../protocol/settings';
+import { type Resources } from './placement';
 
 /**
  * What may be on the machines that have not spoken since a partition was taken over. Kept up to date by differences: a
@@ -8,22 +8,22 @@
  */
 export class UnconfirmedMachines {
   /** What each of them has free for tasks that nobody has told of; null: unknown. */
-  private readonly shares = new Map<string, Quantity | null>();
-  private unknown = 0;
-  private readonly sum: Quantity = { cpus: 0, accelerators: 0 };
+  private readonly shares = new Map<string, ResourceQuota | null>();
+  private unknownCount = 0;
+  private readonly sum: ResourceQuota = { cpus: 0, accelerators: 0 };
 
   get count(): number {
     return this.shares.size;
   }
 
-  first(count: number): string[] {
+  firstIds(count: number): string[] {
     return [...this.shares.keys()].slice(0, count);
   }
 
   /** Notes how a machine that has not spoken stands; `has` is null while its type or its tasks are not known. */
-  put(id: string, has: Free | null): void {
+  set(id: string, free: Resources | null): void {
     this.remove(id);
-    const share = has && { cpus: Math.max(0, has.cpus), accelerators: Math.max(0, has.accelerators) };
+    const share = free && { cpus: Math.max(0, free.cpus), accelerators: Math.max(0, free.accelerators) };
     this.shares.set(id, share);
     this.add(share, 1);
   }
@@ -38,13 +38,13 @@
   }
 
   /** All that may be on them. */
-  get most(): Quantity {
+  get upperBound(): ResourceQuota {
     if (this.shares.size === 0) return { cpus: 0, accelerators: 0 };
-    return this.unknown > 0 ? { cpus: Infinity, accelerators: Infinity } : this.sum;
+    return this.unknownCount > 0 ? { cpus: Infinity, accelerators: Infinity } : this.sum;
   }
 
-  private add(share: Quantity | null, sign: number): void {
-    if (!share) this.unknown += sign;
+  private add(share: ResourceQuota | null, sign: number): void {
+    if (!share) this.unknownCount += sign;
     this.sum.cpus += sign * (share?.cpus ?? 0);
     this.sum.accelerators += sign * (share?.accelerators ?? 0);
   }
--- a/src/coordination/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -1,5 +1,5 @@
-import { type JobSpec, type PipelineStanding } from '../protocol/jobs';
-import { type FinalState, type JobState } from '../protocol/records';
+import { type JobSpec, type PipelineJobStatus } from '../../protocol/jobs';
+import { type TerminalState, type JobState } from '../../protocol/records';
 import {
   failJob,
   mayBegin,
@@ -7,22 +7,22 @@
   type Edge,
   type PipelineNode,
   type RecoveryResult,
-} from './recovery';
+} from './recovery-pass';
 
 /** A job of a pipeline, as far as its pipeline cares. */
-export interface Member {
+export interface PipelineMember {
   spec: JobSpec;
   state: JobState;
   /** Order of acceptance; the earliest is walked first. */
   order: number;
 }
 
-export interface PipelineView {
+export interface PipelineSnapshot {
   /** Jobs that may begin now. */
   ready: Set<string>;
   /** Jobs that are over for the pipeline's sake and have not been written down as that. */
-  decided: Map<string, FinalState>;
-  standing: Map<string, PipelineStanding>;
+  terminalStates: Map<string, TerminalState>;
+  standing: Map<string, PipelineJobStatus>;
 }
 
 /**
@@ -30,7 +30,10 @@
  * go on. Pure, and from scratch each time: nothing but what the store holds decides, so every owner and every
  * controller comes to the same view, whatever was lost between.
  */
-export function pipelineView(members: readonly Member[], interrupted: ReadonlySet<string>): PipelineView {
+export function evaluatePipeline(
+  members: readonly PipelineMember[],
+  interrupted: ReadonlySet<string>,
+): PipelineSnapshot {
   const jobs = [...members].sort((a, b) => a.order - b.order || (a.spec.ref < b.spec.ref ? -1 : 1));
   const index = new Map(jobs.map((j, i) => [j.spec.ref, i]));
   const edges = edgesOf(jobs, index);
@@ -41,44 +44,45 @@
     alternates: jobs.flatMap((j, i) => (j.spec.pipeline?.alternateFor === spec.ref ? [i] : [])),
   }));
   // Failures that are on record are passed on again: their effects may not all have been written.
-  const over = new Map<number, FinalState>();
+  const terminated = new Map<number, TerminalState>();
   const released = new Set<number>();
   let failed = false;
-  const take = (result: RecoveryResult): void => {
-    for (const i of result.fail) over.set(i, 'failed');
-    for (const i of result.cancel) over.set(i, 'dropped');
+  const applyResult = (result: RecoveryResult): void => {
+    for (const i of result.fail) terminated.set(i, 'failed');
+    for (const i of result.cancel) terminated.set(i, 'dropped');
     for (const i of result.release) released.add(i);
     failed ||= result.pipelineFailed;
-    for (const [i, end] of over) if (nodes[i]) nodes[i].state = end === 'failed' ? 'failed' : 'cancelled';
+    for (const [i, end] of terminated)
+      if (nodes[i]) nodes[i].state = end === 'failed' ? 'failed' : 'cancelled';
   };
   jobs.forEach(({ state }, i) => {
-    if (state !== 'open' && state !== 'done') take(failJob(nodes, edges, i));
+    if (state !== 'open' && state !== 'done') applyResult(failJob(nodes, edges, i));
   });
   // What stands in for a failed job begins once the failure is on record: a later owner could not tell it again.
   const begun = new Set(released);
-  take(recoveryPass(nodes, edges, [...nodes.keys()]));
+  applyResult(recoveryPass(nodes, edges, [...nodes.keys()]));
   const ready = new Set<string>();
-  const decided = new Map<string, FinalState>();
-  const standing = new Map<string, PipelineStanding>();
-  const mended = (i: number): boolean =>
+  const terminalStates = new Map<string, TerminalState>();
+  const standing = new Map<string, PipelineJobStatus>();
+  const hasFallback = (i: number): boolean =>
     edges.some((e) => e.from === i && e.kind === 'force_begin_on_abort') ||
     (nodes[i]?.alternates.length ?? 0) > 0;
   // A failure that a fallback or alternate answers is not the pipeline's; one that nothing answers is.
   const hasFailed = (state: JobState, i: number): boolean =>
-    state === 'open' ? over.get(i) === 'failed' : state === 'failed' || state === 'cancelled';
-  failed ||= jobs.some(({ state }, i) => hasFailed(state, i) && !mended(i));
+    state === 'open' ? terminated.get(i) === 'failed' : state === 'failed' || state === 'cancelled';
+  failed ||= jobs.some(({ state }, i) => hasFailed(state, i) && !hasFallback(i));
   jobs.forEach(({ spec, state }, i) => {
-    const end = state === 'open' ? over.get(i) : undefined;
-    if (end) decided.set(spec.ref, end);
+    const end = state === 'open' ? terminated.get(i) : undefined;
+    if (end) terminalStates.set(spec.ref, end);
     const may = state === 'open' && !end && mayBegin(nodes, edges, i, begun);
     if (may) ready.add(spec.ref);
     standing.set(spec.ref, {
       state: end ?? (state === 'open' ? (may ? 'ready' : idleState(i, jobs, nodes, edges, released)) : state),
-      because: may || state === 'done' ? null : causeOf(i, jobs, nodes, edges),
+      because: may || state === 'done' ? null : blockingJob(i, jobs, nodes, edges),
       failed,
     });
   });
-  return { ready, decided, standing };
+  return { ready, terminalStates, standing };
 }
 
 const nodeState = {
@@ -89,7 +93,7 @@
   cancelled: 'cancelled',
 } as const;
 
-function edgesOf(jobs: readonly Member[], index: ReadonlyMap<string, number>): Edge[] {
+function edgesOf(jobs: readonly PipelineMember[], index: ReadonlyMap<string, number>): Edge[] {
   const edges: Edge[] = [];
   jobs.forEach(({ spec }, to) => {
     for (const { job, kind } of spec.pipeline?.after ?? []) {
@@ -103,7 +107,7 @@
 /** A fallback or alternate whose job is done will never be asked for. */
 function idleState(
   i: number,
-  jobs: readonly Member[],
+  jobs: readonly PipelineMember[],
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
   released: ReadonlySet<number>,
@@ -117,9 +121,9 @@
 }
 
 /** The earlier job that holds this one back or has ended it. */
-function causeOf(
+function blockingJob(
   i: number,
-  jobs: readonly Member[],
+  jobs: readonly PipelineMember[],
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
 ): string | null {
@@ -130,35 +134,35 @@
 
 /** The pipelines of a partition, and which of their jobs were interrupted and cannot go on. */
 export class PartitionPipelines {
-  private readonly members = new Map<string, Map<string, Member>>();
+  private readonly members = new Map<string, Map<string, PipelineMember>>();
   private readonly pipelineOf = new Map<string, string>();
   private readonly interrupted = new Set<string>();
 
-  put(spec: JobSpec, state: JobState, order: number): void {
+  setMember(spec: JobSpec, state: JobState, order: number): void {
     if (!spec.pipeline) return;
-    const members = this.members.get(spec.pipeline.ref) ?? new Map<string, Member>();
+    const members = this.members.get(spec.pipeline.ref) ?? new Map<string, PipelineMember>();
     members.set(spec.ref, { spec, state, order });
     this.members.set(spec.pipeline.ref, members);
     this.pipelineOf.set(spec.ref, spec.pipeline.ref);
   }
 
   /** False if the job stands alone. */
-  closed(ref: string, state: JobState): boolean {
+  markClosed(ref: string, state: JobState): boolean {
     const member = this.members.get(this.pipelineOf.get(ref) ?? '')?.get(ref);
     if (member) member.state = state;
     return member !== undefined;
   }
 
   /** True if that is new. */
-  interrupt(ref: string): boolean {
+  markInterrupted(ref: string): boolean {
     if (this.interrupted.has(ref)) return false;
     this.interrupted.add(ref);
     return true;
   }
 
   /** How the pipeline of a job stands; null if it stands alone. */
-  viewOf(ref: string): PipelineView | null {
+  snapshotOf(ref: string): PipelineSnapshot | null {
     const members = this.members.get(this.pipelineOf.get(ref) ?? '');
-    return members ? pipelineView([...members.values()], this.interrupted) : null;
+    return members ? evaluatePipeline([...members.values()], this.interrupted) : null;
   }
 }
--- a/src/coordination/recovery.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -1,4 +1,4 @@
-import { type EdgeKind } from '../protocol/jobs';
+import { type EdgeKind } from '../../protocol/jobs';
 
 /**
  * The recovery pass of the paper (Ray, Xin, Zhu, section 5, phase 3) and the typed edges of section 3, on
@@ -53,7 +53,7 @@
     } else {
       state[i] = 'failed';
       result.fail.push(i);
-      passFailure(i, nodes, edges, state, result);
+      propagateFailure(i, nodes, edges, state, result);
     }
   }
   return result;
@@ -74,11 +74,11 @@
   };
   const state = nodes.map((n) => n.state);
   state[failed] = 'failed';
-  passFailure(failed, nodes, edges, state, result);
+  propagateFailure(failed, nodes, edges, state, result);
   return result;
 }
 
-function passFailure(
+function propagateFailure(
   first: number,
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,23 +1,25 @@
-import { startService, type ServiceOptions } from './service';
+import { startService, type ServiceOptions } from './startup/service';
 
 /** The build loads the program once without running it, to keep its compiled code. */
-const WARM_UP = '--warm-up';
+const WARM_UP_OPTION = '--warm-up';
 
 /**
  * The platform starts the service with nothing but its settings, and a file of features perhaps: then what reads command lines
  * is not loaded.
  */
-function plainStart(words: readonly string[]): ServiceOptions | null {
-  const [option, value, ...rest] = words;
+function parseServeArguments(commandLineWords: readonly string[]): ServiceOptions | null {
+  const [option, value, ...rest] = commandLineWords;
   if (option === '--features' && value !== undefined) {
-    const start = plainStart(rest);
-    return start?.features === undefined && start ? { ...start, features: value } : null;
+    const options = parseServeArguments(rest);
+    return options?.features === undefined && options ? { ...options, features: value } : null;
   }
-  return words.length === 2 && option === '--config' && value !== undefined ? { config: value } : null;
+  return commandLineWords.length === 2 && option === '--config' && value !== undefined
+    ? { config: value }
+    : null;
 }
 
-const words = process.argv.slice(2);
-const start = plainStart(words);
-if (start !== null) startService(start);
-else if (!words.includes(WARM_UP))
-  void import('./command-line').then(({ runCommandLine }) => runCommandLine());
+const commandLineWords = process.argv.slice(2);
+const serviceOptions = parseServeArguments(commandLineWords);
+if (serviceOptions !== null) startService(serviceOptions);
+else if (!commandLineWords.includes(WARM_UP_OPTION))
+  void import('./cli/command-line').then(({ runCommandLine }) => runCommandLine());
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -13,7 +13,7 @@
   zones: string[];
 }
 
-const typeSchema = z.object({
+const machineTypeSchema = z.object({
   label: z.string(),
   cpus: z.number(),
   accelerators: z.number().default(0),
@@ -27,7 +27,7 @@
 });
 
 export function parseCatalog(body: unknown): MachineType[] | null {
-  const read = z.object({ models: z.array(typeSchema) }).safeParse(body);
+  const read = z.object({ models: z.array(machineTypeSchema) }).safeParse(body);
   if (!read.success) return null;
   return read.data.models.map((m) => ({
     name: m.label,
@@ -53,7 +53,7 @@
   ageS: number;
 }
 
-const listSchema = z.object({
+const machineListSchema = z.object({
   velodromes: z.array(
     z.object({
       ref: z.string(),
@@ -68,7 +68,7 @@
 });
 
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
-  const read = listSchema.safeParse(body);
+  const read = machineListSchema.safeParse(body);
   if (!read.success) return null;
   return {
     machines: read.data.velodromes.map((m) => ({
@@ -83,33 +83,33 @@
   };
 }
 
-export function listPath(after: string): string {
+export function machineListPath(after: string): string {
   return `/rentals?limit=500${after ? `&from=${encodeURIComponent(after)}` : ''}`;
 }
 
 /** An order for machines of one kind. */
-export interface RentalOrder {
+export interface MachineRequest {
   type: string;
   zone: string;
   spot: boolean;
   count: number;
 }
 
-export function rentalBody(request: string, order: RentalOrder): object {
+export function provisionBody(requestId: string, request: MachineRequest): object {
   return {
-    hire_order: request,
-    model: order.type,
-    yard: order.zone,
-    loaners: order.spot,
-    how_many: order.count,
+    hire_order: requestId,
+    model: request.type,
+    yard: request.zone,
+    loaners: request.spot,
+    how_many: request.count,
   };
 }
 
-export function parseRental(body: unknown): string[] | null {
+export function parseProvisioned(body: unknown): string[] | null {
   const read = z.object({ velodromes: z.array(z.string()) }).safeParse(body);
   return read.success ? read.data.velodromes : null;
 }
 
-export function returnBody(machines: string[]): object {
+export function deprovisionBody(machines: string[]): object {
   return { velodromes: machines };
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 
 /** Urgencies from the most to the least pressing; the index is the rank. */
-export const URGENCIES = ['prod', 'urgent', 'normal', 'idle'] as const;
+export const PRIORITIES = ['prod', 'urgent', 'normal', 'idle'] as const;
 
 export const EDGE_KINDS = ['begin_on_commit', 'abort', 'force_begin_on_abort'] as const;
 export type EdgeKind = (typeof EDGE_KINDS)[number];
@@ -22,7 +22,7 @@
   workload: string;
   team: string;
   /** Index into URGENCIES. */
-  rank: number;
+  priority: number;
   tasks: number;
   cpus: number;
   accelerators: number;
@@ -30,30 +30,30 @@
   image: string;
   imageGb: number;
   /** Allowed machine types; null: any. */
-  types: string[] | null;
+  machineTypes: string[] | null;
   zone: string | null;
-  together: boolean;
-  apart: boolean;
+  singleZone: boolean;
+  spreadZones: boolean;
   spot: boolean;
   expectedS: number;
-  checkpointS: number;
-  saveS: number;
+  checkpointIntervalS: number;
+  checkpointDurationS: number;
   deadlineS: number | null;
   /** Null: it stands alone. */
   pipeline: PipelineLink | null;
 }
 
-export const JOB_REF = /^job-[0-9]{1,18}$/;
+export const JOB_REF_PATTERN = /^job-[0-9]{1,18}$/;
 
 const amount = z.number().nonnegative();
 const name = z.string().min(1).max(200);
-const jobRef = z.string().regex(JOB_REF, 'must look like job-000412');
+const jobRef = z.string().regex(JOB_REF_PATTERN, 'must look like job-000412');
 const submission = z.object({
   ref: jobRef,
   workload: name,
   crew: name,
   shape: z.literal('sweep'),
-  urgency: z.enum(URGENCIES),
+  urgency: z.enum(PRIORITIES),
   pieces: z.number().int().min(1).max(100_000),
   cpus: amount,
   accelerators: amount,
@@ -82,10 +82,10 @@
     .nullish(),
 });
 
-export type Submission = { ok: true; spec: JobSpec } | { ok: false; reason: string };
+export type SubmissionResult = { ok: true; spec: JobSpec } | { ok: false; reason: string };
 
 /** Checks a submission field by field; the reason names the first bad one on one line. */
-export function parseSubmission(body: unknown): Submission {
+export function parseSubmission(body: unknown): SubmissionResult {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return { ok: false, reason: 'not a JSON object' };
   }
@@ -101,21 +101,21 @@
       ref: s.ref,
       workload: s.workload,
       team: s.crew,
-      rank: URGENCIES.indexOf(s.urgency),
+      priority: PRIORITIES.indexOf(s.urgency),
       tasks: s.pieces,
       cpus: s.cpus,
       accelerators: s.accelerators,
       memoryGb: s.memory_gb,
       image: s.build,
       imageGb: s.image_gb,
-      types: s.models ?? null,
+      machineTypes: s.models ?? null,
       zone: s.yard ?? null,
-      together: s.together,
-      apart: s.apart,
+      singleZone: s.together,
+      spreadZones: s.apart,
       spot: s.loaners,
       expectedS: s.expected_s,
-      checkpointS: s.snapshot_every_s,
-      saveS: s.snapshot_s,
+      checkpointIntervalS: s.snapshot_every_s,
+      checkpointDurationS: s.snapshot_s,
       deadlineS: s.due_s ?? null,
       pipeline: s.pipeline
         ? {
@@ -132,7 +132,7 @@
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** How a job of a pipeline stands there; `because` names what it waits for or what decided over it. */
-export interface PipelineStanding {
+export interface PipelineJobStatus {
   state: 'ready' | 'waiting' | 'not_needed' | 'done' | 'failed' | 'dropped' | 'cancelled';
   because: string | null;
   /** The pipeline as a whole has failed: something in it did, and nothing that stands in for it may mend that. */
@@ -140,12 +140,12 @@
 }
 
 /** The answer to a user's question about a job. */
-export function jobAnswer(
+export function jobStatusBody(
   ref: string,
   status: JobStatus,
   done: number,
   running: number,
-  pipeline?: { ref: string } & PipelineStanding,
+  pipeline?: { ref: string } & PipelineJobStatus,
 ): object {
   const shown = status === 'cancelled' ? 'aborted' : status;
   return { ref, status: shown, done, running, ...(pipeline ? { pipeline } : {}) };
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -7,15 +7,15 @@
   cpus: number;
   accelerators: number;
   memoryGb: number;
-  types: string[] | null;
+  machineTypes: string[] | null;
   /** Where a task of it may start now, null: anywhere. */
   zones: string[] | null;
   spot: boolean;
-  rank: number;
+  priority: number;
   /** How many tasks of this shape wait and may run within their team's limit. */
   tasks: number;
   /** How long one of them is expected to run. */
-  seconds: number;
+  expectedS: number;
 }
 
 /** How a partition's owner sees one of its machines. */
@@ -27,31 +27,31 @@
   freeAccelerators: number;
   idleMs: number;
   /** Time since the last report; -1: it has never reported to this owner. */
-  silentMs: number;
-  faulty: boolean;
-  noticed: boolean;
+  sinceHeartbeatMs: number;
+  quarantined: boolean;
+  preemptionNotice: boolean;
   /** The partition that gets it once it is empty, LEAVES_FLEET if the cloud does, or null. */
-  leavingTo: string | null;
+  transferTarget: string | null;
   /** Seconds until its last task is expected to end. */
   emptyInS: number;
 }
 
 /** Stands for a partition where an emptied machine is to go back to the cloud. */
-export const LEAVES_FLEET = '';
+export const DRAIN_TO_CLOUD = '';
 
 export interface PartitionLoad {
   partition: string;
-  version: number;
+  epoch: number;
   demands: Demand[];
   machines: MachineLoad[];
   /** Machines that have not spoken since it was taken over. */
   unconfirmed: number;
   /** CPU seconds that the tasks now out are expected to take still, by urgency. */
-  workLeft: number[];
+  remainingWork: number[];
   /** CPU seconds that wait, also beyond what the teams' limits allow now, by urgency. */
   backlog: number[];
   /** Seconds since a job last came. */
-  quietS: number;
+  sinceLastJobS: number;
 }
 
 /** How many machines of a partition came to a controller that does not own it. */
@@ -64,13 +64,13 @@
   | {
       kind: 'status';
       member: string;
-      seq: number;
+      sequence: number;
       storeOk: boolean;
-      incarnation: number;
+      memberIncarnation: number;
       partitions: PartitionLoad[];
       misrouted: MisroutedCount[];
       /** Time since the sender last heard any machine, -1: never. */
-      heardMs: number;
+      sinceHeartbeatMs: number;
       /** The sender's replica holds everything up to this revision of the store. */
       revision: number;
     }
@@ -81,19 +81,19 @@
   | {
       kind: 'pong';
       member: string;
-      seq: number;
+      sequence: number;
       storeOk: boolean;
       extended: boolean;
       page: number;
       pages: number;
-      cancelled: { job: string; version: number }[];
+      cancelled: { job: string; revision: number }[];
     }
   /**
    * `drain`: the machine may be in use; nothing new is to be put on it, and it moves once it is empty. Naming
    * the partition where it is takes that back.
    */
   | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
-  | { kind: 'retire'; machine: string; why: string; force: boolean }
+  | { kind: 'retire'; machine: string; reason: string; force: boolean }
   | { kind: 'handover'; partition: string; to: string }
   /** How the load of a partition stands, where load is balanced. Controllers of earlier versions drop it. */
   | { kind: 'balance'; summary: LoadSummary };
@@ -107,89 +107,109 @@
 }
 
 const listOf = (items: unknown): object => ({ type: 'array', items });
-const text = 'string';
-const amount = 'double';
+const textType = 'string';
+const amountType = 'double';
 
 const demandType = record('Demand', {
-  workload: text,
+  workload: textType,
   ...{
-    cpus: amount,
-    accelerators: amount,
-    memoryGb: amount,
-    types: ['null', listOf(text)],
-    zones: ['null', listOf(text)],
+    cpus: amountType,
+    accelerators: amountType,
+    memoryGb: amountType,
+    machineTypes: ['null', listOf(textType)],
+    zones: ['null', listOf(textType)],
   },
   ...{
     spot: 'boolean',
-    rank: 'int',
+    priority: 'int',
     tasks: 'int',
-    seconds: amount,
+    expectedS: amountType,
   },
 });
-const machineType = record('MachineLoad', {
-  ...{ machine: text, tasks: 'int', freeCpus: amount, freeMemoryGb: amount, freeAccelerators: amount },
-  ...{ idleMs: amount, silentMs: amount, faulty: 'boolean', noticed: 'boolean', leavingTo: ['null', text] },
-  emptyInS: amount,
+const machineLoadType = record('MachineLoad', {
+  ...{
+    machine: textType,
+    tasks: 'int',
+    freeCpus: amountType,
+    freeMemoryGb: amountType,
+    freeAccelerators: amountType,
+  },
+  ...{
+    idleMs: amountType,
+    sinceHeartbeatMs: amountType,
+    quarantined: 'boolean',
+    preemptionNotice: 'boolean',
+    transferTarget: ['null', textType],
+  },
+  emptyInS: amountType,
 });
-const partitionType = record('PartitionLoad', {
+const partitionLoadType = record('PartitionLoad', {
   ...{
-    partition: text,
-    version: 'long',
-    workLeft: listOf(amount),
-    backlog: listOf(amount),
-    quietS: amount,
+    partition: textType,
+    epoch: 'long',
+    remainingWork: listOf(amountType),
+    backlog: listOf(amountType),
+    sinceLastJobS: amountType,
     unconfirmed: 'int',
   },
-  ...{ demands: listOf(demandType), machines: listOf(machineType) },
+  ...{ demands: listOf(demandType), machines: listOf(machineLoadType) },
 });
-const misroutedType = record('MisroutedCount', { partition: text, machines: 'int' });
-const countOf = (name: string, what: string): object => listOf(record(name, { [what]: text, count: 'long' }));
-const summaryType = record('LoadSummary', {
-  ...{ partition: text, epoch: 'long', sequence: 'long', ageMs: amount },
-  ...{ cpus: amount, freeCpus: amount, largestFreeCpus: amount },
-  ...{ running: listOf(amount), waiting: listOf(amount), trendPerS: amount },
-  teams: listOf(record('TeamLoad', { team: text, running: amount, waiting: amount })),
+const misroutedCountType = record('MisroutedCount', { partition: textType, machines: 'int' });
+const countOf = (name: string, what: string): object =>
+  listOf(record(name, { [what]: textType, count: 'long' }));
+const loadSummaryType = record('LoadSummary', {
+  ...{ partition: textType, epoch: 'long', sequence: 'long', ageMs: amountType },
+  ...{ cpus: amountType, freeCpus: amountType, largestFreeCpus: amountType },
+  ...{ running: listOf(amountType), waiting: listOf(amountType), trendPerS: amountType },
+  teams: listOf(record('TeamLoad', { team: textType, running: amountType, waiting: amountType })),
   moves: record('MoveCounts', {
     ...{ planned: 'long', begun: 'long', completed: 'long', abandoned: 'long', inFlight: 'long' },
   }),
   refusals: countOf('RefusalCount', 'reason'),
 });
-const messages: Record<PeerMessage['kind'], Record<string, unknown>> = {
+const messageFields: Record<PeerMessage['kind'], Record<string, unknown>> = {
   status: {
     ...{
-      member: text,
-      seq: 'long',
+      member: textType,
+      sequence: 'long',
       storeOk: 'boolean',
-      incarnation: 'long',
-      partitions: listOf(partitionType),
+      memberIncarnation: 'long',
+      partitions: listOf(partitionLoadType),
     },
-    ...{ misrouted: listOf(misroutedType), heardMs: amount, revision: 'long' },
+    ...{ misrouted: listOf(misroutedCountType), sinceHeartbeatMs: amountType, revision: 'long' },
   },
   // New fields come last: a frame of an earlier version is then cut short for us, and ours too long for it.
   pong: {
-    ...{ member: text, seq: 'long', storeOk: 'boolean', extended: 'boolean', page: 'int', pages: 'int' },
-    cancelled: listOf(record('Cancellation', { job: text, version: 'long' })),
+    ...{
+      member: textType,
+      sequence: 'long',
+      storeOk: 'boolean',
+      extended: 'boolean',
+      page: 'int',
+      pages: 'int',
+    },
+    cancelled: listOf(record('Cancellation', { job: textType, revision: 'long' })),
   },
-  move: { machine: text, toPartition: text, drain: 'boolean' },
-  retire: { machine: text, why: text, force: 'boolean' },
-  handover: { partition: text, to: text },
+  move: { machine: textType, toPartition: textType, drain: 'boolean' },
+  retire: { machine: textType, reason: textType, force: 'boolean' },
+  handover: { partition: textType, to: textType },
   // New kinds come last: the kinds before keep their numbers on the wire.
-  balance: { summary: summaryType },
+  balance: { summary: loadSummaryType },
 };
-const type = avro.Type.forSchema(
-  Object.entries(messages).map(([kind, fields]) => record(kind, fields)) as unknown as avro.Schema,
+const peerMessageType = avro.Type.forSchema(
+  Object.entries(messageFields).map(([kind, fields]) => record(kind, fields)) as unknown as avro.Schema,
   { wrapUnions: 'auto' } as never,
 );
 
-export function encodePeer(message: PeerMessage): Buffer {
+export function encodePeerMessage(message: PeerMessage): Buffer {
   const { kind, ...fields } = message;
-  return type.toBuffer({ [kind]: fields });
+  return peerMessageType.toBuffer({ [kind]: fields });
 }
 
 /** Reads a frame of a peer; null if it is malformed. */
-export function decodePeer(bytes: Buffer): PeerMessage | null {
+export function decodePeerMessage(bytes: Buffer): PeerMessage | null {
   try {
-    const branch = type.fromBuffer(bytes) as Record<string, object>;
+    const branch = peerMessageType.fromBuffer(bytes) as Record<string, object>;
     const kind = Object.keys(branch)[0];
     return kind ? ({ kind, ...branch[kind] } as PeerMessage) : null;
   } catch {
--- a/src/protocol/policy.ts
+++ b/src/protocol/policy.ts
@@ -4,7 +4,7 @@
 /** What operators may set beyond the platform's file. No knob can weaken a rule. */
 export interface Policy {
   /** How often the progress of open jobs is written. */
-  progressS: number;
+  progressIntervalS: number;
   /** Machines are rented for this many times the work that waits. */
   headroom: number;
   /** How each class of jobs weighs price against time. */
@@ -16,22 +16,22 @@
   price: 'cheap' | 'balanced' | 'fast';
 }
 
-export const DEFAULT_POLICY: Policy = { progressS: 2, headroom: 1, classes: {} };
+export const DEFAULT_POLICY: Policy = { progressIntervalS: 2, headroom: 1, classes: {} };
 
 export class PolicyError extends Error {}
 
-const schema = z.strictObject({
-  progress_interval_s: z.number().min(0.5).max(10).default(DEFAULT_POLICY.progressS),
+const policySchema = z.strictObject({
+  progress_interval_s: z.number().min(0.5).max(10).default(DEFAULT_POLICY.progressIntervalS),
   headroom: z.number().min(0.5).max(2).default(DEFAULT_POLICY.headroom),
   classes: z.record(z.string(), z.strictObject({ price: z.enum(['cheap', 'balanced', 'fast']) })).default({}),
 });
 
 /** More than any sensible policy needs, and over in a fraction of a second. */
-const MOST_STEPS = 200_000;
-const MOST_BYTES = 64 * 1024 * 1024;
-const CHECK_EVERY = 10;
+const MAX_SCRIPT_STEPS = 200_000;
+const MAX_SCRIPT_BYTES = 64 * 1024 * 1024;
+const LIMIT_CHECK_INTERVAL_STEPS = 10;
 
-function memoryUsed(): number {
+function memoryUsedBytes(): number {
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
 }
@@ -49,22 +49,22 @@
 
 export function parsePolicy(path: string, text: string): Policy {
   const value = runScript(path, text);
-  const read = schema.safeParse(value);
+  const read = policySchema.safeParse(value);
   if (!read.success) {
     const issue = read.error.issues[0];
     const unknown = issue?.code === 'unrecognized_keys' ? issue.keys : [];
-    const knob = [...(issue?.path.map(String) ?? []), ...unknown];
+    const field = [...(issue?.path.map(String) ?? []), ...unknown];
     const why = unknown.length > 0 ? 'no such knob' : (issue?.message ?? 'invalid');
-    throw new PolicyError(`${path}:${lineOf(text, knob)}: ${knob.join('.') || 'policy'}: ${why}`);
+    throw new PolicyError(`${path}:${lineOf(text, field)}: ${field.join('.') || 'policy'}: ${why}`);
   }
   const { progress_interval_s, headroom, classes } = read.data;
-  return { progressS: progress_interval_s, headroom, classes };
+  return { progressIntervalS: progress_interval_s, headroom, classes };
 }
 
 /** The line on which the innermost part of a knob's name that the script spells out stands; 1 if none does. */
-function lineOf(text: string, knob: readonly string[]): number {
+function lineOf(text: string, field: readonly string[]): number {
   const lines = text.split('\n');
-  for (const name of [...knob].reverse()) {
+  for (const name of [...field].reverse()) {
     const at = lines.findIndex((line) => line.replace(/--.*$/, '').includes(name));
     if (at >= 0) return at + 1;
   }
@@ -84,7 +84,7 @@
  * What a script may do: compute. No way leads to files, the network or other code; nor to functions that work for long
  * inside one step, where nobody counts, nor to those that would catch the error that ends a script.
  */
-const FORBIDDEN = [
+const FORBIDDEN_GLOBALS = [
   ...['dofile', 'loadfile', 'load', 'require', 'print', 'collectgarbage', 'pcall', 'xpcall'],
   ...['getmetatable', 'setmetatable'],
 ];
@@ -102,21 +102,21 @@
   };
   open('_G', lualib['luaopen_base']);
   open('math', lualib['luaopen_math']);
-  for (const name of FORBIDDEN) {
+  for (const name of FORBIDDEN_GLOBALS) {
     call('lua_pushnil', L);
     call('lua_setglobal', L, to_luastring(name));
   }
   let steps = 0;
-  const before = memoryUsed();
+  const before = memoryUsedBytes();
   const count = (): void => {
-    steps += CHECK_EVERY;
-    if (steps <= MOST_STEPS && memoryUsed() - before < MOST_BYTES) return;
+    steps += LIMIT_CHECK_INTERVAL_STEPS;
+    if (steps <= MAX_SCRIPT_STEPS && memoryUsedBytes() - before < MAX_SCRIPT_BYTES) return;
     lauxlib['luaL_where']?.(L, 0);
     call('lua_pushstring', L, to_luastring('the script takes too long or too much memory'));
     call('lua_concat', L, 2);
     call('lua_error', L);
   };
-  call('lua_sethook', L, count, lua['LUA_MASKCOUNT'], CHECK_EVERY);
+  call('lua_sethook', L, count, lua['LUA_MASKCOUNT'], LIMIT_CHECK_INTERVAL_STEPS);
   const source = to_luastring(text);
   const failed =
     lauxlib['luaL_loadbuffer']?.(L, source, source.length, to_luastring(`@${path}`)) !== lua['LUA_OK'] ||
@@ -125,14 +125,14 @@
     const message = call('lua_tostring', L, -1) as Uint8Array | null;
     throw new PolicyError(message ? to_jsstring(message) : `${path}: failed`);
   }
-  return valueAt(L, -1, 0, { lua, lauxlib, lualib, to_luastring, to_jsstring });
+  return readLuaValue(L, -1, 0, { lua, lauxlib, lualib, to_luastring, to_jsstring });
 }
 
-const DEEPEST = 4;
-const MOST_ENTRIES = 1000;
+const MAX_TABLE_DEPTH = 4;
+const MAX_TABLE_ENTRIES = 1000;
 
 /** A Lua value as JavaScript has it; what a policy has no use for becomes null. */
-function valueAt(L: unknown, index: number, depth: number, machine: Lua): unknown {
+function readLuaValue(L: unknown, index: number, depth: number, machine: Lua): unknown {
   const { lua, to_jsstring } = machine;
   const call = (name: string, ...args: unknown[]): unknown =>
     (lua[name] as (...a: unknown[]) => unknown)(...args);
@@ -145,14 +145,19 @@
     case lua['LUA_TSTRING']:
       return to_jsstring(call('lua_tostring', L, at) as Uint8Array);
     case lua['LUA_TTABLE']: {
-      if (depth >= DEEPEST) return null;
+      if (depth >= MAX_TABLE_DEPTH) return null;
       const table: Record<string, unknown> = {};
       let entries = 0;
       call('lua_pushnil', L);
       while (call('lua_next', L, at)) {
         // Only text keys: asking a number for its text would change it in the middle of the walk.
-        if (call('lua_type', L, -2) === lua['LUA_TSTRING'] && entries++ < MOST_ENTRIES) {
-          table[to_jsstring(call('lua_tostring', L, -2) as Uint8Array)] = valueAt(L, -1, depth + 1, machine);
+        if (call('lua_type', L, -2) === lua['LUA_TSTRING'] && entries++ < MAX_TABLE_ENTRIES) {
+          table[to_jsstring(call('lua_tostring', L, -2) as Uint8Array)] = readLuaValue(
+            L,
+            -1,
+            depth + 1,
+            machine,
+          );
         }
         call('lua_settop', L, -2);
       }
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -6,26 +6,26 @@
  * controller the whole picture in the order of the changes. Changes are what the state service has least of:
  * wherever many things change together they share a value.
  */
-export const PREFIX = 'hb/';
+export const KEY_PREFIX = 'hb/';
 export const keys = {
-  member: (member: string): string => `${PREFIX}member/${member}`,
-  leader: `${PREFIX}leader`,
-  catalog: `${PREFIX}catalog`,
-  partition: (partition: string): string => `${PREFIX}part/${partition}`,
+  member: (member: string): string => `${KEY_PREFIX}member/${member}`,
+  leader: `${KEY_PREFIX}leader`,
+  catalog: `${KEY_PREFIX}catalog`,
+  partition: (partition: string): string => `${KEY_PREFIX}part/${partition}`,
   /** Jobs accepted together; written once, never changed. */
-  batch: (name: string): string => `${PREFIX}batch/${name}`,
+  batch: (name: string): string => `${KEY_PREFIX}batch/${name}`,
   /** Present once the job's user has cancelled it; written once. */
-  cancel: (ref: string): string => `${PREFIX}cancel/${ref}`,
+  cancel: (ref: string): string => `${KEY_PREFIX}cancel/${ref}`,
   /** How jobs of a partition ended; filled one after the other. */
-  final: (partition: string, n: number): string => `${PREFIX}final/${partition}/${n}`,
+  terminalStates: (partition: string, n: number): string => `${KEY_PREFIX}final/${partition}/${n}`,
   /** Progress of a partition's open jobs. */
-  progress: (partition: string, n: number): string => `${PREFIX}progress/${partition}/${n}`,
+  progress: (partition: string, n: number): string => `${KEY_PREFIX}progress/${partition}/${n}`,
   /** Machines of a partition that tasks may have been started on: told before the first start. */
-  assigned: (partition: string, n: number): string => `${PREFIX}opened/${partition}/${n}`,
+  assignedMachines: (partition: string, n: number): string => `${KEY_PREFIX}opened/${partition}/${n}`,
   /** Machines of a partition. */
-  fleet: (partition: string, name: string): string => `${PREFIX}fleet/${partition}/${name}`,
+  fleet: (partition: string, name: string): string => `${KEY_PREFIX}fleet/${partition}/${name}`,
   /** Never written: asking for it tells the store's revision. */
-  nothing: `${PREFIX}nothing`,
+  neverWritten: `${KEY_PREFIX}nothing`,
 };
 
 /** The kinds of keys that hold a partition's name, and that name. */
@@ -34,14 +34,14 @@
 }
 
 /** The name of a value that a leader first writes machines to. */
-export function firstRecordName(leaderVersion: number, n: number): string {
-  return `${leaderVersion}-${n}`;
+export function initialFleetValueName(leaderTerm: number, n: number): string {
+  return `${leaderTerm}-${n}`;
 }
 
 /** Which leader, by its version, first wrote the value of this key; null: an owner did, by moving machines. */
-export function firstRecordLeader(key: string): number | null {
-  const version = /^(\d+)-\d+$/.exec(key.split('/')[3] ?? '')?.[1];
-  return version === undefined ? null : Number(version);
+export function leaderTermOfFleetKey(key: string): number | null {
+  const term = /^(\d+)-\d+$/.exec(key.split('/')[3] ?? '')?.[1];
+  return term === undefined ? null : Number(term);
 }
 
 /** Present while a controller's session lease lives; its version is the controller's incarnation. */
@@ -56,50 +56,56 @@
   incarnation: number;
 }
 
-/** `returning`: nothing new is started on it and the leader gives it back to the cloud. */
+/** `deprovisioning`: nothing new is started on the machine and the leader returns it to the cloud. */
+export type MachinePhase = 'active' | 'deprovisioning';
+
+/** The stored words for the phases. */
+const STORED_PHASES = { active: 'kept', deprovisioning: 'returning' } as const;
+
+/** A machine as stored in its partition's fleet value. */
 export interface MachineRecord {
   partition: string;
-  phase: 'kept' | 'returning';
+  phase: MachinePhase;
   type: string;
   zone: string;
   spot: boolean;
   /** Why it is returned, for the log. */
-  why?: string;
+  reason?: string;
 }
 
 /** A machine as its partition's value has it. */
 export interface FleetEntry {
   record: MachineRecord;
   /** Revision at which it came to stand as it does. */
-  version: number;
+  revision: number;
 }
 
 /** `failed` and `dropped` (what it abort-depends on failed) are for jobs of pipelines alone. */
 export type JobState = 'open' | 'done' | 'cancelled' | 'failed' | 'dropped';
-const FINAL_STATES = ['done', 'failed', 'dropped'] as const;
+const TERMINAL_STATES = ['done', 'failed', 'dropped'] as const;
 /** How a job ended, other than by its user's will. */
-export type FinalState = (typeof FINAL_STATES)[number];
+export type TerminalState = (typeof TERMINAL_STATES)[number];
 
 /** What a batch says of a job. */
 export interface AcceptedJob {
   spec: JobSpec;
   /** Time of day of the acceptance (ISO), which gives the arrival order. */
-  accepted: string;
+  acceptedAt: string;
 }
 
 /** How far an open job is, as last written. */
 export interface JobProgress {
   /** Tasks known to be done, as ranges ("0-3,7"). May lag behind; a task run again ends at once. */
-  done: string;
+  doneRanges: string;
   /** How many tasks were done and running then, for display. */
   doneCount: number;
-  running: number;
+  runningCount: number;
   /** Tasks from this number on have never been started by anyone. */
   startWatermark: number;
 }
 
 /** Tasks that may be started before the first progress of their job is written. */
-export const FIRST_WATERMARK = 8;
+export const INITIAL_START_WATERMARK = 8;
 
 // A batch: one array a job, in the order of the fields of JobSpec, for names would be half of the value.
 const batchSchema = z.array(
@@ -123,47 +129,61 @@
   ]),
 );
 
-const TOGETHER = 1;
-const APART = 2;
-const SPOT = 4;
+const SINGLE_ZONE_FLAG = 1;
+const SPREAD_ZONES_FLAG = 2;
+const SPOT_FLAG = 4;
 
-export function encodeAccepted({ spec, accepted }: AcceptedJob): unknown {
-  const flags = (spec.together ? TOGETHER : 0) + (spec.apart ? APART : 0) + (spec.spot ? SPOT : 0);
+export function encodeAccepted({ spec, acceptedAt }: AcceptedJob): unknown {
+  const flags =
+    (spec.singleZone ? SINGLE_ZONE_FLAG : 0) +
+    (spec.spreadZones ? SPREAD_ZONES_FLAG : 0) +
+    (spec.spot ? SPOT_FLAG : 0);
   const short = {
-    ...{ w: spec.workload, t: spec.team, r: spec.rank, n: spec.tasks, c: spec.cpus, a: spec.accelerators },
-    ...{ m: spec.memoryGb, i: spec.image, g: spec.imageGb, y: spec.types, z: spec.zone, b: flags },
-    ...{ e: spec.expectedS, k: spec.checkpointS, s: spec.saveS, d: spec.deadlineS },
+    ...{
+      w: spec.workload,
+      t: spec.team,
+      r: spec.priority,
+      n: spec.tasks,
+      c: spec.cpus,
+      a: spec.accelerators,
+    },
+    ...{ m: spec.memoryGb, i: spec.image, g: spec.imageGb, y: spec.machineTypes, z: spec.zone, b: flags },
+    ...{ e: spec.expectedS, k: spec.checkpointIntervalS, s: spec.checkpointDurationS, d: spec.deadlineS },
     ...(spec.pipeline ? { p: spec.pipeline } : {}),
   };
-  return [spec.ref, short, accepted];
+  return [spec.ref, short, acceptedAt];
 }
 
 /** Null if it is malformed. */
 export function decodeBatch(value: unknown): AcceptedJob[] | null {
   const read = batchSchema.safeParse(value);
   if (!read.success) return null;
-  return read.data.map(([ref, j, accepted]) => ({
-    accepted,
+  return read.data.map(([ref, j, acceptedAt]) => ({
+    acceptedAt,
     spec: {
-      ...{ ref, workload: j.w, team: j.t, rank: j.r, tasks: j.n, cpus: j.c, accelerators: j.a },
-      ...{ memoryGb: j.m, image: j.i, imageGb: j.g, types: j.y, zone: j.z, expectedS: j.e },
-      ...{ together: (j.b & TOGETHER) > 0, apart: (j.b & APART) > 0, spot: (j.b & SPOT) > 0 },
-      ...{ checkpointS: j.k, saveS: j.s, deadlineS: j.d, pipeline: j.p ?? null },
+      ...{ ref, workload: j.w, team: j.t, priority: j.r, tasks: j.n, cpus: j.c, accelerators: j.a },
+      ...{ memoryGb: j.m, image: j.i, imageGb: j.g, machineTypes: j.y, zone: j.z, expectedS: j.e },
+      ...{
+        singleZone: (j.b & SINGLE_ZONE_FLAG) > 0,
+        spreadZones: (j.b & SPREAD_ZONES_FLAG) > 0,
+        spot: (j.b & SPOT_FLAG) > 0,
+      },
+      ...{ checkpointIntervalS: j.k, checkpointDurationS: j.s, deadlineS: j.d, pipeline: j.p ?? null },
     },
   }));
 }
 
-const finalSchema = z.record(z.string(), z.enum(FINAL_STATES));
+const terminalStatesSchema = z.record(z.string(), z.enum(TERMINAL_STATES));
 
-export function decodeFinal(value: unknown): Record<string, FinalState> | null {
-  const read = finalSchema.safeParse(value);
+export function decodeTerminalStates(value: unknown): Record<string, TerminalState> | null {
+  const read = terminalStatesSchema.safeParse(value);
   return read.success ? read.data : null;
 }
 
-const assignedSchema = z.array(z.string());
+const assignedMachinesSchema = z.array(z.string());
 
-export function decodeAssigned(value: unknown): string[] | null {
-  const read = assignedSchema.safeParse(value);
+export function decodeAssignedMachines(value: unknown): string[] | null {
+  const read = assignedMachinesSchema.safeParse(value);
   return read.success ? read.data : null;
 }
 
@@ -171,7 +191,7 @@
 
 export function encodeProgress(jobs: ReadonlyMap<string, JobProgress>): object {
   return Object.fromEntries(
-    [...jobs].map(([ref, p]) => [ref, [p.done, p.doneCount, p.running, p.startWatermark]]),
+    [...jobs].map(([ref, p]) => [ref, [p.doneRanges, p.doneCount, p.runningCount, p.startWatermark]]),
   );
 }
 
@@ -179,9 +199,9 @@
   const read = progressSchema.safeParse(value);
   if (!read.success) return null;
   return new Map(
-    Object.entries(read.data).map(([ref, [done, doneCount, running, startWatermark]]) => [
+    Object.entries(read.data).map(([ref, [doneRanges, doneCount, runningCount, startWatermark]]) => [
       ref,
-      { done, doneCount, running, startWatermark },
+      { doneRanges, doneCount, runningCount, startWatermark },
     ]),
   );
 }
@@ -199,19 +219,19 @@
 
 /** Machines of a partition, those that are alike in one group. `version` null: changed by this write. */
 export function encodeFleet(
-  machines: Iterable<readonly [string, { record: MachineRecord; version: number | null }]>,
+  machines: Iterable<readonly [string, { record: MachineRecord; revision: number | null }]>,
 ): FleetGroup[] {
   const groups = new Map<string, FleetGroup>();
-  for (const [id, { record, version }] of machines) {
-    const { type, zone, spot, phase, why } = record;
-    const kind = JSON.stringify([version, type, zone, spot, phase, why]);
-    const group = groups.get(kind);
+  for (const [id, { record, revision }] of machines) {
+    const { type, zone, spot, phase, reason } = record;
+    const groupKey = JSON.stringify([revision, type, zone, spot, phase, reason]);
+    const group = groups.get(groupKey);
     if (group) group.ids.push(id);
     else {
-      groups.set(kind, {
-        ...(version === null ? {} : { since: version }),
-        ...{ type, zone, spot, phase, ids: [id] },
-        ...(why === undefined ? {} : { why }),
+      groups.set(groupKey, {
+        ...(revision === null ? {} : { since: revision }),
+        ...{ type, zone, spot, phase: STORED_PHASES[phase], ids: [id] },
+        ...(reason === undefined ? {} : { why: reason }),
       });
     }
   }
@@ -221,21 +241,21 @@
 export function decodeFleet(
   partition: string,
   value: unknown,
-  version: number,
+  revision: number,
 ): Map<string, FleetEntry> | null {
   const read = fleetSchema.safeParse(value);
   if (!read.success) return null;
   const machines = new Map<string, FleetEntry>();
-  for (const { since, type, zone, spot, phase, why, ids } of read.data) {
+  for (const { since, type, zone, spot, phase, why: reason, ids } of read.data) {
     const record: MachineRecord = {
       partition,
-      phase,
+      phase: phase === STORED_PHASES.active ? 'active' : 'deprovisioning',
       type,
       zone,
       spot,
-      ...(why === undefined ? {} : { why }),
+      ...(reason === undefined ? {} : { reason }),
     };
-    for (const id of ids) machines.set(id, { record, version: since ?? version });
+    for (const id of ids) machines.set(id, { record, revision: since ?? revision });
   }
   return machines;
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -3,7 +3,7 @@
 const address = z.string().regex(/^[0-9.]+:[0-9]+$/, 'must be an IPv4 address and a port');
 const amount = z.number().nonnegative();
 
-const schema = z.object({
+const settingsSchema = z.object({
   member: z.string().min(1),
   site: z.string(),
   serve_on: address,
@@ -48,16 +48,16 @@
 });
 
 /** A value that fills its limit to the last byte was once refused as too large. */
-const VALUE_SPARE_BYTES = 64;
+const VALUE_MARGIN_BYTES = 64;
 
 export interface Team {
   name: string;
-  guaranteed: Quantity;
-  limit: Quantity;
+  guaranteed: ResourceQuota;
+  limit: ResourceQuota;
 }
 
 /** What the platform's teams share out. */
-export interface Quantity {
+export interface ResourceQuota {
   cpus: number;
   accelerators: number;
 }
@@ -74,24 +74,24 @@
   listen: string;
   peerListen: string;
   peers: { member: string; address: string }[];
-  cloud: string;
-  state: string;
+  cloudAddress: string;
+  stateStoreAddress: string;
   teams: Team[];
   objectives: Objective[];
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   /** After its user was told, a cancelled job's tasks must be gone within this time. */
   cancelMs: number;
-  store: { requestRate: number; writeRate: number; valueBytes: number; txnOps: number };
-  cloudRate: number;
-  listLagMs: number;
+  stateStore: { requestRate: number; writeRate: number; valueBytes: number; txnOps: number };
+  cloudRequestRate: number;
+  cloudListLagMs: number;
 }
 
 /**
  * A guest team comes with zeros alone: it is guaranteed nothing, and nothing limits it but what others leave unused. A
  * team with a limit of CPUs and none of accelerators may have no accelerators.
  */
-function limitOf(cpus: number, accelerators: number): Quantity {
+function limitOf(cpus: number, accelerators: number): ResourceQuota {
   return cpus === 0 ? { cpus: Infinity, accelerators: accelerators || Infinity } : { cpus, accelerators };
 }
 
@@ -105,7 +105,7 @@
   } catch (error) {
     throw new SettingsError(`not JSON: ${(error as Error).message}`);
   }
-  const read = schema.safeParse(json);
+  const read = settingsSchema.safeParse(json);
   if (!read.success) {
     const issue = read.error.issues[0];
     throw new SettingsError(`${issue?.path.join('.') || 'settings'}: ${issue?.message ?? 'invalid'}`);
@@ -116,8 +116,8 @@
     listen: s.serve_on,
     peerListen: s.cluster_listen,
     peers: s.peers.map((p) => ({ member: p.member, address: p.addr })),
-    cloud: s.external.cloud,
-    state: s.external.state,
+    cloudAddress: s.external.cloud,
+    stateStoreAddress: s.external.state,
     teams: s.facts.teams.map((t) => ({
       name: t.name,
       guaranteed: { cpus: t.cpus, accelerators: t.gpus },
@@ -133,16 +133,16 @@
       }
       return [];
     }),
-    reportMs: s.facts.workers.report_s * 1000,
+    heartbeatIntervalMs: s.facts.workers.report_s * 1000,
     leaseMs: s.facts.workers.lease_s * 1000,
     cancelMs: s.facts.workers.cancel_s * 1000,
-    store: {
+    stateStore: {
       requestRate: s.facts.state.rps,
       writeRate: s.facts.state.write_rps,
-      valueBytes: s.facts.state.value_kb * 1024 - VALUE_SPARE_BYTES,
+      valueBytes: s.facts.state.value_kb * 1024 - VALUE_MARGIN_BYTES,
       txnOps: s.facts.state.txn_ops,
     },
-    cloudRate: s.facts.cloud.rps,
-    listLagMs: s.facts.cloud.list_lag_s * 1000,
+    cloudRequestRate: s.facts.cloud.rps,
+    cloudListLagMs: s.facts.cloud.list_lag_s * 1000,
   };
 }
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -4,20 +4,20 @@
 export interface Entry {
   key: string;
   value: unknown;
-  version: number;
-  lease: number | null;
+  revision: number;
+  leaseId: number | null;
 }
 
 export type Change =
-  { key: string; value: unknown; version: number } | { key: string; deleted: true; version: number };
+  { key: string; value: unknown; revision: number } | { key: string; deleted: true; revision: number };
 
 export interface Condition {
   key: string;
   /** 0: the key does not exist. */
-  version: number;
+  revision: number;
 }
 
-export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
+export type Write = { put: string; value: unknown; leaseId?: number } | { remove: string };
 
 const entrySchema = z.object({
   path: z.string(),
@@ -44,7 +44,7 @@
 });
 
 function toEntry(e: z.infer<typeof entrySchema>): Entry {
-  return { key: e.path, value: e.v, version: e.stamp, lease: e.permit ?? null };
+  return { key: e.path, value: e.v, revision: e.stamp, leaseId: e.permit ?? null };
 }
 
 export function parseEntry(body: unknown): Entry | null {
@@ -67,8 +67,8 @@
   if (!read.success) return null;
   const changes: Change[] = [];
   for (const n of read.data.news) {
-    if (typeof n.set === 'string') changes.push({ key: n.set, value: n.v, version: n.stamp });
-    else if (typeof n.delete === 'string') changes.push({ key: n.delete, deleted: true, version: n.stamp });
+    if (typeof n.set === 'string') changes.push({ key: n.set, value: n.v, revision: n.stamp });
+    else if (typeof n.delete === 'string') changes.push({ key: n.delete, deleted: true, revision: n.stamp });
     else return null;
   }
   return { changes, revision: read.data.ledger_rev };
@@ -79,7 +79,7 @@
   return read.success ? read.data.ledger_rev : null;
 }
 
-export function parseFailed(body: unknown): string[] | null {
+export function parseFailedKeys(body: unknown): string[] | null {
   const read = z.object({ failed: z.array(z.string()) }).safeParse(body);
   return read.success ? read.data.failed : null;
 }
@@ -89,12 +89,12 @@
   return read.success ? read.data.permit : null;
 }
 
-export function txnBody(conditions: Condition[], writes: Write[]): object {
+export function transactionBody(conditions: Condition[], writes: Write[]): object {
   return {
-    if: conditions.map((c) => ({ path: c.key, stamp: c.version })),
+    if: conditions.map((c) => ({ path: c.key, stamp: c.revision })),
     apply: writes.map((w) =>
       'put' in w
-        ? { set: w.put, v: w.value, ...(w.lease === undefined ? {} : { permit: w.lease }) }
+        ? { set: w.put, v: w.value, ...(w.leaseId === undefined ? {} : { permit: w.leaseId }) }
         : { delete: w.remove },
     ),
   };
@@ -104,9 +104,9 @@
   entry: (key: string): string => `/store/${key}`,
   scan: (prefix: string, after: string): string =>
     `/store?prefix=${encodeURIComponent(prefix)}&limit=1000${after ? `&from=${encodeURIComponent(after)}` : ''}`,
-  txn: '/multi',
+  transaction: '/multi',
   leases: '/grants',
-  touch: (lease: number): string => `/grants/${lease}/touch`,
+  renewLease: (lease: number): string => `/grants/${lease}/touch`,
   lease: (lease: number): string => `/grants/${lease}`,
   watch: (prefix: string, after: number, holdMs: number): string =>
     `/watch?prefix=${encodeURIComponent(prefix)}&from=${after}&hold_ms=${holdMs}`,
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,7 +1,7 @@
-export type TaskPhase = 'fetching' | 'running' | 'saving' | 'exited';
+export type TaskPhase = 'fetching' | 'running' | 'checkpointing' | 'exited';
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'other';
 
-export interface ReportedTask {
+export interface HeartbeatTask {
   ref: string;
   index: number;
   attempt: number;
@@ -10,34 +10,34 @@
 }
 
 /** A worker's report. The larger (session, seq) is the newer one. */
-export interface Report {
+export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  sequence: number;
   token: number;
-  noticeS: number | null;
-  tasks: ReportedTask[];
+  preemptionNoticeS: number | null;
+  tasks: HeartbeatTask[];
 }
 
 export type Command =
   | { op: 'start'; ref: string; index: number; attempt: number }
-  | { op: 'stop'; ref: string; index: number; attempt: number; graceS: number }
+  | { op: 'stop'; ref: string; index: number; attempt: number; gracePeriodS: number }
   | { op: 'forget'; ref: string; index: number; attempt: number };
 
-const phases = new Map<string, TaskPhase>(
+const TASK_PHASES = new Map<string, TaskPhase>(
   Object.entries({
     pulling: 'fetching',
     waiting: 'fetching',
     running: 'running',
-    flushing: 'saving',
+    flushing: 'checkpointing',
     ended: 'exited',
   }),
 );
-const exits = new Map<string, ExitReason>(
+const EXIT_REASONS = new Map<string, ExitReason>(
   Object.entries({
     done: 'done',
     stopped: 'stopped',
@@ -55,7 +55,7 @@
   exit_reason?: string | null;
 }
 
-interface WireReport {
+interface WireHeartbeat {
   velodrome: string;
   address: string;
   model: string;
@@ -68,7 +68,7 @@
   pieces?: unknown[] | null;
 }
 
-const LONGEST_NAME = 100;
+const MAX_NAME_LENGTH = 100;
 
 function isText(value: unknown): value is string {
   return typeof value === 'string';
@@ -82,14 +82,14 @@
   return value === undefined || value === null;
 }
 
-function isReport(body: unknown): body is WireReport {
+function isWireHeartbeat(body: unknown): body is WireHeartbeat {
   if (typeof body !== 'object' || body === null) return false;
   const r = body as Record<string, unknown>;
   const name = r['velodrome'];
   return (
     isText(name) &&
     name.length > 0 &&
-    name.length <= LONGEST_NAME &&
+    name.length <= MAX_NAME_LENGTH &&
     isText(r['address']) &&
     isText(r['model']) &&
     isText(r['yard']) &&
@@ -102,7 +102,7 @@
   );
 }
 
-function isPiece(value: unknown): value is WirePiece {
+function isWirePiece(value: unknown): value is WirePiece {
   if (typeof value !== 'object' || value === null) return false;
   const p = value as Record<string, unknown>;
   return (
@@ -117,21 +117,21 @@
  * Reads a report; null if it is not one. Checked by hand: hundreds come a second, and a general schema took a third of
  * what a report costs, most of it in the seconds after a start when every first answer counts.
  */
-export function parseReport(body: unknown): Report | null {
-  if (!isReport(body)) return null;
-  const tasks: ReportedTask[] = [];
+export function parseHeartbeat(body: unknown): Heartbeat | null {
+  if (!isWireHeartbeat(body)) return null;
+  const tasks: HeartbeatTask[] = [];
   for (const piece of body.pieces ?? []) {
-    if (!isPiece(piece)) return null;
+    if (!isWirePiece(piece)) return null;
     const slash = piece.piece.lastIndexOf('/');
     const index = Number(piece.piece.slice(slash + 1));
-    const phase = phases.get(piece.status);
+    const phase = TASK_PHASES.get(piece.status);
     if (slash <= 0 || !isCount(index) || !phase) return null;
     tasks.push({
       ref: piece.piece.slice(0, slash),
       index,
       attempt: piece.try,
       phase,
-      exit: phase === 'exited' ? (exits.get(piece.exit_reason ?? '') ?? 'other') : null,
+      exit: phase === 'exited' ? (EXIT_REASONS.get(piece.exit_reason ?? '') ?? 'other') : null,
     });
   }
   return {
@@ -140,28 +140,28 @@
     type: body.model,
     zone: body.yard,
     spot: body.loaners,
-    session: body.shift,
-    seq: body.tick,
+    agentEpoch: body.shift,
+    sequence: body.tick,
     token: body.baton,
-    noticeS: body.recall_s ?? null,
+    preemptionNoticeS: body.recall_s ?? null,
     tasks,
   };
 }
 
 /** The body of an accepted report's answer. */
-export function reportAnswer(token: number, commands: Command[]): object {
+export function heartbeatResponse(token: number, commands: Command[]): object {
   return {
     baton: token,
     orders: commands.map((c) => {
-      const order = { order: wireOp[c.op], piece: `${c.ref}/${c.index}`, try: c.attempt };
-      return c.op === 'stop' ? { ...order, wind_down_s: c.graceS } : order;
+      const order = { order: WIRE_ORDERS[c.op], piece: `${c.ref}/${c.index}`, try: c.attempt };
+      return c.op === 'stop' ? { ...order, wind_down_s: c.gracePeriodS } : order;
     }),
   };
 }
 
-const wireOp = { start: 'start', stop: 'kill', forget: 'reap' } as const;
+const WIRE_ORDERS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
 
 /** Sends a worker to the controller that owns its machine, or on to the next one if that is not known. */
-export function redirectAnswer(owner: string | null): object {
+export function redirectResponse(owner: string | null): object {
   return owner === null ? {} : { dispatcher: owner };
 }
--- a/src/optional-features.ts
+++ b/src/startup/optional-features.ts
@@ -1,8 +1,8 @@
 import { readSettingsFile } from './settings-files';
-import { loadFeatures } from './protocol/features';
-import { type Clock } from './transport/clock';
-import { type Balancing } from './coordination/balancing';
-import { loadBalancing } from './coordination/load-balancing';
+import { loadFeatures } from '../protocol/features';
+import { type Clock } from '../transport/clock';
+import { type Balancing } from '../coordination/balancing/balancing';
+import { loadBalancing } from '../coordination/balancing/load-balancing';
 
 /** What a file of features switches on. */
 export interface OptionalFeatures {
@@ -10,7 +10,7 @@
 }
 
 /** Reads a file of features and makes what it switches on; the first thing that is wrong with it ends the program. */
-export function optionalFeatures(path: string, clock: Clock): OptionalFeatures {
+export function loadOptionalFeatures(path: string, clock: Clock): OptionalFeatures {
   const { load_balancer: settings } = readSettingsFile(() => loadFeatures(path));
   return { balancing: settings?.enabled ? loadBalancing(settings, clock) : null };
 }
--- a/src/service.ts
+++ b/src/startup/service.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from 'node:fs';
-import { systemClock } from './transport/clock';
-import { openLog } from './transport/log';
-import { DEFAULT_POLICY, loadPolicy, type Policy } from './protocol/policy';
-import { parseSettings, type Settings } from './protocol/settings';
-import { serve } from './coordination/server';
+import { systemClock } from '../transport/clock';
+import { openLog } from '../transport/log';
+import { DEFAULT_POLICY, loadPolicy, type Policy } from '../protocol/policy';
+import { parseSettings, type Settings } from '../protocol/settings';
+import { serve } from '../coordination/controller/api-server';
 import { type OptionalFeatures } from './optional-features';
-import { readSettingsFile, refuse } from './settings-files';
+import { readSettingsFile, exitWithError } from './settings-files';
 
 export const VERSION = '0.2.0';
 
@@ -23,7 +23,7 @@
   try {
     settings = parseSettings(readFileSync(config, 'utf8'));
   } catch (error) {
-    return refuse(`${config}: ${(error as Error).message}`);
+    return exitWithError(`${config}: ${(error as Error).message}`);
   }
   return {
     settings,
@@ -34,22 +34,22 @@
 /** What implements features is loaded only where a file switches some on. */
 export async function readFeatures(path: string | undefined): Promise<OptionalFeatures> {
   if (path === undefined) return NO_FEATURES;
-  const { optionalFeatures } = await import('./optional-features');
-  return optionalFeatures(path, systemClock);
+  const { loadOptionalFeatures } = await import('./optional-features');
+  return loadOptionalFeatures(path, systemClock);
 }
 
 /** Runs a controller for as long as the process lives. */
 export function startService(options: ServiceOptions): void {
   const { settings, policy } = readSettings(options);
-  if (options.features === undefined) run(settings, policy, NO_FEATURES);
-  else void readFeatures(options.features).then((features) => run(settings, policy, features));
+  if (options.features === undefined) runController(settings, policy, NO_FEATURES);
+  else void readFeatures(options.features).then((features) => runController(settings, policy, features));
 }
 
-function run(settings: Settings, policy: Policy, features: OptionalFeatures): void {
+function runController(settings: Settings, policy: Policy, features: OptionalFeatures): void {
   const log = openLog(settings.member);
   // What gets here is a defect; the process goes on, for its partition would stand still without it.
-  process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught'));
-  process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled'));
+  process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
+  process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
   const teams = settings.teams.map((t) => `${t.name} ${t.guaranteed.cpus}/${t.limit.cpus}`).join(', ');
   log.info({ version: VERSION, teams }, 'starting');
   serve(settings, policy, systemClock, log, features.balancing);
--- a/src/settings-files.ts
+++ b/src/startup/settings-files.ts
@@ -1,9 +1,9 @@
-const BAD_SETTINGS = 2;
+const BAD_SETTINGS_EXIT_CODE = 2;
 
 /** Ends the program with the code for bad settings and one line that says why. */
-export function refuse(reason: string): never {
+export function exitWithError(reason: string): never {
   process.stderr.write(`heathbridge: ${reason}\n`);
-  process.exit(BAD_SETTINGS);
+  process.exit(BAD_SETTINGS_EXIT_CODE);
 }
 
 /** Reads a file that is needed to go on; what is wrong with it ends the program. */
@@ -11,6 +11,6 @@
   try {
     return read();
   } catch (error) {
-    return refuse((error as Error).message);
+    return exitWithError((error as Error).message);
   }
 }
--- a/src/storage/assigned-machines.ts
+++ b/src/storage/assigned-machines.ts
@@ -13,16 +13,16 @@
  * Adds machines to what the store says of a partition's opened ones, with one change. Machines that are gone make room for
  * them, so the list stays as long as the fleet is large.
  */
-export function recordAssigned(
+export function planAssignedEdit(
   replica: ReplicaView,
   partition: string,
   machines: readonly string[],
-  lives: (id: string) => boolean,
+  exists: (id: string) => boolean,
   valueBytes: number,
 ): AssignedEdit {
   for (let n = 0; ; n++) {
-    const key = keys.assigned(partition, n);
-    const value = replica.assignedIn(key).filter(lives);
+    const key = keys.assignedMachines(partition, n);
+    const value = replica.assignedInKey(key).filter(exists);
     const ids: string[] = [];
     let bytes = JSON.stringify(value).length;
     for (const id of machines) {
@@ -31,7 +31,7 @@
       ids.push(id);
     }
     if (ids.length === 0) continue;
-    const condition = { key, version: replica.ledger.version(key) };
+    const condition = { key, revision: replica.stateStore.revisionOf(key) };
     return { ids, condition, write: { put: key, value: [...new Set([...value, ...ids])] } };
   }
 }
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -2,13 +2,13 @@
 import { type Log } from '../transport/log';
 import {
   decodeBatch,
-  decodeFinal,
+  decodeTerminalStates,
   decodeFleet,
-  decodeAssigned,
+  decodeAssignedMachines,
   decodeProgress,
   keys,
   partitionOfKey,
-  PREFIX,
+  KEY_PREFIX,
   type FleetEntry,
   type JobProgress,
   type JobState,
@@ -18,27 +18,27 @@
 import { type JobSpec } from '../protocol/jobs';
 import { type MachineType } from '../protocol/cloud';
 import { type Change } from '../protocol/store';
-import { type Ledger } from './ledger';
+import { type StateStoreClient } from './state-store-client';
 
 export interface StoredJob {
   readonly spec: JobSpec;
   /** Time of day of the acceptance, in milliseconds. */
   readonly acceptedAt: number;
   /** Revision of its acceptance. */
-  readonly version: number;
+  readonly revision: number;
   state: JobState;
 }
 
 export interface StoredPartition {
   id: string;
   record: PartitionRecord;
-  version: number;
+  epoch: number;
 }
 
 export interface Cancellation {
   job: string;
   /** Revision at which its user's word was written down. */
-  version: number;
+  revision: number;
 }
 
 export type ReplicaEvent =
@@ -71,26 +71,26 @@
   readonly partitions = new Map<string, StoredPartition>();
   /** Controllers whose session leases live, with their incarnations. */
   readonly members = new Map<string, number>();
-  leader: { member: string; version: number } | null = null;
-  types: ReadonlyMap<string, MachineType> = new Map();
-  private readonly ended = new Map<string, JobState>();
+  leader: { member: string; term: number } | null = null;
+  machineTypes: ReadonlyMap<string, MachineType> = new Map();
+  private readonly terminalStates = new Map<string, JobState>();
   /** Jobs that their users cancelled, with the revision of that. */
   private readonly cancelled = new Map<string, number>();
   private readonly progress = new Map<string, StoredProgress>();
   /** Machines that a partition may have started tasks on, by key. */
   private readonly assigned = new Map<string, readonly string[]>();
   /** Machines that left the value in which they stood, until the replica is whole again. */
-  private readonly vanished = new Map<string, { key: string; partition: string }>();
+  private readonly unplacedMachines = new Map<string, { key: string; partition: string }>();
   /** Values of machines that hold none any more. */
   readonly emptyFleetKeys = new Set<string>();
   private readonly fleets = new Map<string, Map<string, FleetEntry>>();
 
   constructor(
-    readonly ledger: Ledger,
+    readonly stateStore: StateStoreClient,
     private readonly log: Log,
   ) {
-    ledger.changes.subscribe((change) => this.take(change));
-    ledger.batches.subscribe(() => this.tellVanished());
+    stateStore.changes.subscribe((change) => this.applyChange(change));
+    stateStore.batches.subscribe(() => this.publishRemovals());
   }
 
   progressOf(ref: string): StoredProgress | null {
@@ -105,27 +105,27 @@
   }
 
   /** The number of the value that how jobs end is written to now, 0 at first. */
-  lastFinal(partition: string): number {
+  lastTerminalStatesIndex(partition: string): number {
     let n = 0;
-    while (this.ledger.entries.has(keys.final(partition, n + 1))) n++;
+    while (this.stateStore.entries.has(keys.terminalStates(partition, n + 1))) n++;
     return n;
   }
 
   /** The keys that hold a partition's machines. */
-  fleetOf(partition: string): [string, ReadonlyMap<string, FleetEntry>][] {
+  fleetValuesOf(partition: string): [string, ReadonlyMap<string, FleetEntry>][] {
     return [...this.fleets].filter(([key]) => partitionOfKey(key) === partition);
   }
 
-  fleet(key: string): ReadonlyMap<string, FleetEntry> {
+  fleetInKey(key: string): ReadonlyMap<string, FleetEntry> {
     return this.fleets.get(key) ?? new Map<string, FleetEntry>();
   }
 
-  assignedIn(key: string): readonly string[] {
+  assignedInKey(key: string): readonly string[] {
     return this.assigned.get(key) ?? [];
   }
 
   /** The machines that owners of this partition may have started tasks on. */
-  assignedBy(partition: string): Set<string> {
+  assignedInPartition(partition: string): Set<string> {
     return new Set(
       [...this.assigned].flatMap(([key, ids]) => (partitionOfKey(key) === partition ? ids : [])),
     );
@@ -135,61 +135,61 @@
    * A job is surely cancelled in the store, whether the replica shows it yet or not: our own write was answered, or
    * another controller says so.
    */
-  learnCancelled(ref: string, version: number): void {
+  recordCancellation(ref: string, revision: number): void {
     if (this.cancelled.has(ref)) return;
-    this.cancelled.set(ref, version);
-    this.end(ref, 'cancelled');
+    this.cancelled.set(ref, revision);
+    this.closeJob(ref, 'cancelled');
   }
 
   /** What was cancelled after a revision, as far as we know. */
-  cancelledSince(revision: number): Cancellation[] {
+  cancelledSince(sinceRevision: number): Cancellation[] {
     const found: Cancellation[] = [];
-    for (const [job, version] of this.cancelled) if (version > revision) found.push({ job, version });
+    for (const [job, revision] of this.cancelled) if (revision > sinceRevision) found.push({ job, revision });
     return found;
   }
 
-  private take(change: Change): void {
-    const kind = change.key.slice(PREFIX.length).split('/')[0];
+  private applyChange(change: Change): void {
+    const kind = change.key.slice(KEY_PREFIX.length).split('/')[0];
     const value = 'deleted' in change ? null : change.value;
     switch (kind) {
       case 'batch':
-        return this.takeBatch(change.key, value, change.version);
+        return this.applyBatch(change.key, value, change.revision);
       case 'cancel':
-        return this.learnCancelled(change.key.slice(keys.cancel('').length), change.version);
+        return this.recordCancellation(change.key.slice(keys.cancel('').length), change.revision);
       case 'final': {
-        const found = value === null ? {} : decodeFinal(value);
-        if (!found) return this.malformed(change.key);
-        for (const [ref, state] of Object.entries(found)) this.end(ref, state);
+        const found = value === null ? {} : decodeTerminalStates(value);
+        if (!found) return this.logMalformed(change.key);
+        for (const [ref, state] of Object.entries(found)) this.closeJob(ref, state);
         return;
       }
       case 'progress':
-        return this.takeProgress(change.key, value);
+        return this.applyProgress(change.key, value);
       case 'opened': {
-        const ids = value === null ? [] : decodeAssigned(value);
-        if (!ids) return this.malformed(change.key);
+        const ids = value === null ? [] : decodeAssignedMachines(value);
+        if (!ids) return this.logMalformed(change.key);
         this.assigned.set(change.key, ids);
         return;
       }
       case 'fleet':
-        return this.takeFleet(change.key, value, change.version);
+        return this.applyFleet(change.key, value, change.revision);
       case 'part': {
         const id = partitionOfKey(change.key);
         if (value === null) this.partitions.delete(id);
-        else this.partitions.set(id, { id, record: value as PartitionRecord, version: change.version });
+        else this.partitions.set(id, { id, record: value as PartitionRecord, epoch: change.revision });
         return;
       }
       case 'member': {
         const member = change.key.slice(keys.member('').length);
         if (value === null) this.members.delete(member);
-        else this.members.set(member, change.version);
+        else this.members.set(member, change.revision);
         return this.events.next({ kind: 'members' });
       }
       case 'leader':
         this.leader =
-          value === null ? null : { member: (value as MemberRecord).member, version: change.version };
+          value === null ? null : { member: (value as MemberRecord).member, term: change.revision };
         return this.events.next({ kind: 'members' });
       case 'catalog':
-        if (value !== null) this.types = new Map((value as MachineType[]).map((t) => [t.name, t]));
+        if (value !== null) this.machineTypes = new Map((value as MachineType[]).map((t) => [t.name, t]));
         return;
       default:
         // Keys of a later version, or none of ours.
@@ -201,14 +201,14 @@
    * A job may stand in two batches: its user asked a second controller before the first one's answer, or a batch
    * was applied late. The earlier one counts, for every controller alike.
    */
-  private takeBatch(key: string, value: unknown, version: number): void {
+  private applyBatch(key: string, value: unknown, revision: number): void {
     const batch = value === null ? [] : decodeBatch(value);
-    if (!batch) return this.malformed(key);
-    for (const { spec, accepted } of batch) {
+    if (!batch) return this.logMalformed(key);
+    for (const { spec, acceptedAt } of batch) {
       const known = this.jobs.get(spec.ref);
-      if (known && known.version <= version) continue;
-      const state = known?.state ?? this.ended.get(spec.ref) ?? 'open';
-      const job = { spec, acceptedAt: new Date(accepted).getTime(), version, state };
+      if (known && known.revision <= revision) continue;
+      const state = known?.state ?? this.terminalStates.get(spec.ref) ?? 'open';
+      const job = { spec, acceptedAt: new Date(acceptedAt).getTime(), revision, state };
       this.jobs.set(spec.ref, job);
       if (spec.pipeline) {
         const others = (this.pipelines.get(spec.pipeline.ref) ?? []).filter((j) => j.spec.ref !== spec.ref);
@@ -218,11 +218,11 @@
     }
   }
 
-  private end(ref: string, state: JobState): void {
-    const before = this.ended.get(ref);
+  private closeJob(ref: string, state: JobState): void {
+    const before = this.terminalStates.get(ref);
     // A job that failed for its pipeline's sake may still be cancelled by its user, and then stays so.
     if (before === state || before === 'done' || before === 'cancelled') return;
-    this.ended.set(ref, state);
+    this.terminalStates.set(ref, state);
     this.progress.delete(ref);
     const job = this.jobs.get(ref);
     if (!job) return;
@@ -230,18 +230,18 @@
     this.events.next({ kind: 'closed', job });
   }
 
-  private takeProgress(key: string, value: unknown): void {
+  private applyProgress(key: string, value: unknown): void {
     const jobs = value === null ? new Map<string, JobProgress>() : decodeProgress(value);
-    if (!jobs) return this.malformed(key);
+    if (!jobs) return this.logMalformed(key);
     const slot = Number(key.split('/')[3]);
     for (const [ref, progress] of jobs)
-      if (!this.ended.has(ref)) this.progress.set(ref, { ...progress, slot });
+      if (!this.terminalStates.has(ref)) this.progress.set(ref, { ...progress, slot });
   }
 
-  private takeFleet(key: string, value: unknown, version: number): void {
+  private applyFleet(key: string, value: unknown, revision: number): void {
     const partition = partitionOfKey(key);
-    const now = value === null ? new Map<string, FleetEntry>() : decodeFleet(partition, value, version);
-    if (!now) return this.malformed(key);
+    const now = value === null ? new Map<string, FleetEntry>() : decodeFleet(partition, value, revision);
+    if (!now) return this.logMalformed(key);
     const before = this.fleets.get(key);
     if (now.size > 0) this.fleets.set(key, now);
     else this.fleets.delete(key);
@@ -249,13 +249,14 @@
     else this.emptyFleetKeys.delete(key);
     for (const [id, entry] of now) {
       const known = this.machines.get(id);
-      if (known && known.version > entry.version) continue;
+      if (known && known.revision > entry.revision) continue;
       this.machines.set(id, { ...entry, key });
       // A value that was only written anew is no news of the machines in it.
-      if (known?.version !== entry.version) this.events.next({ kind: 'machine', id, entry });
+      if (known?.revision !== entry.revision) this.events.next({ kind: 'machine', id, entry });
     }
     for (const id of before?.keys() ?? [])
-      if (!now.has(id) && this.machines.get(id)?.key === key) this.vanished.set(id, { key, partition });
+      if (!now.has(id) && this.machines.get(id)?.key === key)
+        this.unplacedMachines.set(id, { key, partition });
   }
 
   /**
@@ -263,17 +264,17 @@
    * changes, and a replica that is read anew meets them in the order of their keys: a machine that merely stands
    * elsewhere now was taken for gone, and its tasks were started a second time.
    */
-  private tellVanished(): void {
-    for (const [id, { key, partition }] of this.vanished) {
+  private publishRemovals(): void {
+    for (const [id, { key, partition }] of this.unplacedMachines) {
       if (this.machines.get(id)?.key !== key || this.fleets.get(key)?.has(id)) continue;
       this.machines.delete(id);
       this.events.next({ kind: 'gone', id, partition });
     }
-    this.vanished.clear();
+    this.unplacedMachines.clear();
   }
 
   /** Nobody but we writes here, but one bad value must not end the process, nor pass unseen. */
-  private malformed(key: string): void {
-    this.log.error({ key }, 'malformed value in the state service');
+  private logMalformed(key: string): void {
+    this.log.error({ key }, 'malformed value in the state store');
   }
 }
--- a/src/transport/actor.ts
+++ b/src/transport/actor.ts
@@ -6,25 +6,25 @@
  */
 export abstract class Actor<M> {
   private readonly mailbox = new Subject<M>();
-  private readonly waiting: M[] = [];
-  private busy = false;
+  private readonly pending: M[] = [];
+  private draining = false;
 
   protected constructor(private readonly onFailure: (error: unknown) => void) {
     this.mailbox.subscribe((message) => {
-      this.waiting.push(message);
-      if (!this.busy) this.drain();
+      this.pending.push(message);
+      if (!this.draining) this.drain();
     });
   }
 
-  tell(message: M): void {
+  send(message: M): void {
     this.mailbox.next(message);
   }
 
   protected abstract receive(message: M): void;
 
   private drain(): void {
-    this.busy = true;
-    for (let next = this.waiting.shift(); next !== undefined; next = this.waiting.shift()) {
+    this.draining = true;
+    for (let next = this.pending.shift(); next !== undefined; next = this.pending.shift()) {
       try {
         this.receive(next);
       } catch (error) {
@@ -32,6 +32,6 @@
         this.onFailure(error);
       }
     }
-    this.busy = false;
+    this.draining = false;
   }
 }
--- a/src/transport/fair-queue.ts
+++ b/src/transport/fair-queue.ts
@@ -1,9 +1,9 @@
 /** How long reports are answered at a stretch before the sockets are looked at again. */
-const SLICE_MS = 5;
+const WORK_SLICE_MS = 5;
 /** So many connections are taken in a row before the next stretch: about as much work, so neither waits for the other. */
-const MOST_AT_ONCE = 16;
-interface Waiting {
-  alive: () => boolean;
+const MAX_ACCEPTS_PER_ROUND = 16;
+interface PendingRequest {
+  isAlive: () => boolean;
   run: () => void;
 }
 
@@ -17,53 +17,53 @@
  */
 export class NewestFirstQueue {
   /** The first requests of their connections, and others. */
-  private readonly firsts: Waiting[] = [];
-  private readonly others: Waiting[] = [];
+  private readonly firstRequests: PendingRequest[] = [];
+  private readonly laterRequests: PendingRequest[] = [];
   private scheduled = false;
-  private connected = false;
-  private inARow = 0;
+  private connectionAccepted = false;
+  private acceptsInARow = 0;
 
   constructor(
     private readonly now: () => number,
-    private readonly soon: (action: () => void) => void,
+    private readonly defer: (action: () => void) => void,
   ) {}
 
   /** A connection was taken: more may wait behind it. */
-  arrived(): void {
-    this.connected = true;
-    this.schedule();
+  onConnectionAccepted(): void {
+    this.connectionAccepted = true;
+    this.scheduleRound();
   }
 
   /** `first`: nothing was answered on this connection yet. Its sender has waited longest, whatever it has sent since. */
-  add(alive: () => boolean, run: () => void, first = false): void {
-    (first ? this.firsts : this.others).push({ alive, run });
-    this.schedule();
+  add(isAlive: () => boolean, run: () => void, first = false): void {
+    (first ? this.firstRequests : this.laterRequests).push({ isAlive, run });
+    this.scheduleRound();
   }
 
-  private schedule(): void {
+  private scheduleRound(): void {
     if (this.scheduled) return;
     this.scheduled = true;
-    this.soon(() => this.work());
+    this.defer(() => this.runRound());
   }
 
-  private work(): void {
+  private runRound(): void {
     this.scheduled = false;
-    if (this.connected && ++this.inARow < MOST_AT_ONCE) {
-      this.connected = false;
-      return this.schedule();
+    if (this.connectionAccepted && ++this.acceptsInARow < MAX_ACCEPTS_PER_ROUND) {
+      this.connectionAccepted = false;
+      return this.scheduleRound();
     }
-    this.connected = false;
-    this.inARow = 0;
-    const until = this.now() + SLICE_MS;
+    this.connectionAccepted = false;
+    this.acceptsInARow = 0;
+    const until = this.now() + WORK_SLICE_MS;
     for (let next = this.next(); next; next = this.next()) {
-      if (!next.alive()) continue;
+      if (!next.isAlive()) continue;
       next.run();
       if (this.now() >= until) break;
     }
-    if (this.firsts.length + this.others.length > 0) this.schedule();
+    if (this.firstRequests.length + this.laterRequests.length > 0) this.scheduleRound();
   }
 
-  private next(): Waiting | undefined {
-    return this.firsts.pop() ?? this.others.pop();
+  private next(): PendingRequest | undefined {
+    return this.firstRequests.pop() ?? this.laterRequests.pop();
   }
 }
