--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,19 +1,19 @@
 import { createConnection, type Socket } from 'node:net';
 import { ResponseReader } from './http-response';
 
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   /** The parsed body, or undefined if it was not JSON. */
   body: unknown;
 }
 
 /** What a path may hold as it stands: anything else would end the request line early. */
-const PLAIN_PATH = /^[\x21-\x7e]+$/;
+const SAFE_PATH_PATTERN = /^[\x21-\x7e]+$/;
 
 /** A request that waits for a connection or for its answer. */
-interface Call {
+interface PendingCall {
   text: string;
-  finish: (answer: HttpAnswer | null) => void;
+  finish: (answer: HttpResponse | null) => void;
   finished: boolean;
 }
 
@@ -26,13 +26,13 @@
   private readonly host: string;
   private readonly port: number;
   /** The one used last comes first, so that those not needed any more can time out. */
-  private readonly idle: Connection[] = [];
-  private readonly open = new Set<Connection>();
-  private readonly waiting: Call[] = [];
+  private readonly idleConnections: Connection[] = [];
+  private readonly openConnections = new Set<Connection>();
+  private readonly pendingCalls: PendingCall[] = [];
 
   constructor(
     private readonly address: string,
-    private readonly connections: number,
+    private readonly maxConnections: number,
   ) {
     const colon = address.lastIndexOf(':');
     this.host = address.slice(0, colon);
@@ -41,27 +41,27 @@
 
   /** Lets the process end: kept connections would hold it. */
   close(): void {
-    for (const connection of this.open) connection.destroy();
+    for (const connection of this.openConnections) connection.destroy();
   }
 
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer | null> {
-    if (!PLAIN_PATH.test(path))
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse | null> {
+    if (!SAFE_PATH_PATTERN.test(path))
       return Promise.reject(new TypeError(`path holds unescaped characters: ${path}`));
     return new Promise((resolve) => {
-      const call: Call = {
+      const call: PendingCall = {
         text: this.requestText(method, path, body),
         finished: false,
         finish: () => undefined,
       };
-      const deadline = setTimeout(() => this.giveUp(call), timeoutMs);
+      const deadline = setTimeout(() => this.timeOut(call), timeoutMs);
       call.finish = (answer): void => {
         if (call.finished) return;
         call.finished = true;
         clearTimeout(deadline);
         resolve(answer);
       };
-      this.waiting.push(call);
-      this.send();
+      this.pendingCalls.push(call);
+      this.dispatchPending();
     });
   }
 
@@ -74,68 +74,68 @@
   }
 
   /** Gives waiting calls to connections that are free, or new ones. */
-  private send(): void {
-    while (this.waiting.length > 0) {
-      const connection = this.idle.pop() ?? this.connect();
+  private dispatchPending(): void {
+    while (this.pendingCalls.length > 0) {
+      const connection = this.idleConnections.pop() ?? this.connect();
       if (!connection) return;
-      connection.start(this.waiting.shift() as Call);
+      connection.start(this.pendingCalls.shift() as PendingCall);
     }
   }
 
   private connect(): Connection | null {
-    if (this.open.size >= this.connections) return null;
+    if (this.openConnections.size >= this.maxConnections) return null;
     const connection = new Connection(createConnection(this.port, this.host), {
       free: () => {
-        this.idle.push(connection);
-        this.send();
+        this.idleConnections.push(connection);
+        this.dispatchPending();
       },
       ended: () => {
-        this.open.delete(connection);
-        const i = this.idle.indexOf(connection);
-        if (i >= 0) this.idle.splice(i, 1);
-        this.send();
+        this.openConnections.delete(connection);
+        const i = this.idleConnections.indexOf(connection);
+        if (i >= 0) this.idleConnections.splice(i, 1);
+        this.dispatchPending();
       },
     });
-    this.open.add(connection);
+    this.openConnections.add(connection);
     return connection;
   }
 
   /** Its time is over. What was sent may still be carried out; the connection would carry a late answer, so it goes. */
-  private giveUp(call: Call): void {
-    const i = this.waiting.indexOf(call);
-    if (i >= 0) this.waiting.splice(i, 1);
+  private timeOut(call: PendingCall): void {
+    const i = this.pendingCalls.indexOf(call);
+    if (i >= 0) this.pendingCalls.splice(i, 1);
     call.finish(null);
-    for (const connection of this.open) connection.abandon(call);
+    for (const connection of this.openConnections) connection.abandon(call);
   }
 }
 
 /** One connection with at most one request under way. */
 class Connection {
-  private call: Call | null = null;
+  private call: PendingCall | null = null;
   private reader = new ResponseReader();
 
   constructor(
     private readonly socket: Socket,
-    private readonly on: { free: () => void; ended: () => void },
+    private readonly listener: { free: () => void; ended: () => void },
   ) {
     socket.setNoDelay(true);
-    socket.on('data', (bytes: Buffer) => this.read(bytes));
-    socket.on('end', () => this.ended());
+    socket.on('data', (bytes: Buffer) => this.onData(bytes));
+    socket.on('end', () => this.onEnd());
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
       this.call?.finish(null);
       this.call = null;
-      on.ended();
+      listener.ended();
     });
   }
 
-  start(call: Call): void {
+  start(call: PendingCall): void {
     this.call = call;
     this.reader = new ResponseReader();
     this.socket.write(call.text);
   }
 
-  abandon(call: Call): void {
+  abandon(call: PendingCall): void {
     if (this.call === call) this.socket.destroy();
   }
 
@@ -143,30 +143,30 @@
     this.socket.destroy();
   }
 
-  private read(bytes: Buffer): void {
+  private onData(bytes: Buffer): void {
     // Nothing was asked on it: whatever this is, the next answer could not be told from it.
     if (!this.call) return this.destroy();
     const progress = this.reader.push(bytes);
     if (progress === 'malformed') this.destroy();
-    if (progress === 'complete') this.answered();
+    if (progress === 'complete') this.complete();
   }
 
-  private ended(): void {
-    if (this.call && this.reader.end() === 'complete') this.answered();
+  private onEnd(): void {
+    if (this.call && this.reader.end() === 'complete') this.complete();
     this.destroy();
   }
 
-  private answered(): void {
+  private complete(): void {
     const { status, body, keepAlive } = this.reader;
     const call = this.call;
     this.call = null;
-    if (keepAlive) this.on.free();
+    if (keepAlive) this.listener.free();
     else this.destroy();
-    call?.finish({ status, body: parse(body) });
+    call?.finish({ status, body: parseJson(body) });
   }
 }
 
-function parse(bytes: Buffer): unknown {
+function parseJson(bytes: Buffer): unknown {
   try {
     return JSON.parse(bytes.toString('utf8')) as unknown;
   } catch {
--- a/src/transport/http-response.ts
+++ b/src/transport/http-response.ts
@@ -1,12 +1,12 @@
 const HEAD_END = Buffer.from('\r\n\r\n');
 const LINE_END = Buffer.from('\r\n');
-const LONGEST_HEAD = 16 * 1024;
-const LONGEST_CHUNK_LINE = 1024;
+const MAX_HEAD_BYTES = 16 * 1024;
+const MAX_CHUNK_LINE_BYTES = 1024;
 /** Far beyond what any server of ours sends: a broken one must not fill the memory. */
-const LONGEST_BODY = 64 * 1024 * 1024;
-const STATUS_LINE = /^HTTP\/1\.([01]) ([1-5][0-9]{2})(?: |$)/;
-const NO_CONTENT = 204;
-const NOT_MODIFIED = 304;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
+const STATUS_LINE_PATTERN = /^HTTP\/1\.([01]) ([1-5][0-9]{2})(?: |$)/;
+const STATUS_NO_CONTENT = 204;
+const STATUS_NOT_MODIFIED = 304;
 
 /** `complete`: `status` and `body` hold the response. `malformed`: the connection is of no use any more. */
 export type ReadProgress = 'more' | 'complete' | 'malformed';
@@ -30,14 +30,14 @@
   /** Whether the connection may carry another request after this response. */
   keepAlive = false;
   /** Bytes that came after the response: nobody asked for them. */
-  surplus = false;
+  hasTrailingBytes = false;
   private head: Head | null = null;
-  private rest: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
   private readonly chunks: Buffer[] = [];
   private chunksLength = 0;
 
   push(bytes: Buffer): ReadProgress {
-    this.rest = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
+    this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
     if (this.head === null) {
       const progress = this.readHead();
       if (progress !== 'complete') return progress;
@@ -48,16 +48,16 @@
   /** The other side has ended the connection. */
   end(): ReadProgress {
     if (this.head?.framing.kind !== 'until-close') return 'malformed';
-    return this.finish(this.rest, this.rest.length);
+    return this.finish(this.buffered, this.buffered.length);
   }
 
   private readHead(): ReadProgress {
     for (;;) {
-      const end = this.rest.indexOf(HEAD_END);
-      if (end < 0) return this.rest.length > LONGEST_HEAD ? 'malformed' : 'more';
-      const head = parseHead(this.rest.toString('latin1', 0, end));
+      const end = this.buffered.indexOf(HEAD_END);
+      if (end < 0) return this.buffered.length > MAX_HEAD_BYTES ? 'malformed' : 'more';
+      const head = parseHead(this.buffered.toString('latin1', 0, end));
       if (head === null) return 'malformed';
-      this.rest = this.rest.subarray(end + HEAD_END.length);
+      this.buffered = this.buffered.subarray(end + HEAD_END.length);
       // Interim responses come before the real one.
       if (head.status < 200) continue;
       this.head = head;
@@ -68,40 +68,42 @@
   private readBody({ framing }: Head): ReadProgress {
     switch (framing.kind) {
       case 'length':
-        return this.rest.length < framing.length ? 'more' : this.finish(this.rest, framing.length);
+        return this.buffered.length < framing.length ? 'more' : this.finish(this.buffered, framing.length);
       case 'chunked':
         return this.readChunks();
       case 'until-close':
-        return this.rest.length > LONGEST_BODY ? 'malformed' : 'more';
+        return this.buffered.length > MAX_BODY_BYTES ? 'malformed' : 'more';
     }
   }
 
   private readChunks(): ReadProgress {
     for (;;) {
-      const lineEnd = this.rest.indexOf(LINE_END);
-      if (lineEnd < 0) return this.rest.length > LONGEST_CHUNK_LINE ? 'malformed' : 'more';
-      const size = /^([0-9a-fA-F]{1,7})[ \t]*(?:;.*)?$/.exec(this.rest.toString('latin1', 0, lineEnd))?.[1];
+      const lineEnd = this.buffered.indexOf(LINE_END);
+      if (lineEnd < 0) return this.buffered.length > MAX_CHUNK_LINE_BYTES ? 'malformed' : 'more';
+      const size = /^([0-9a-fA-F]{1,7})[ \t]*(?:;.*)?$/.exec(
+        this.buffered.toString('latin1', 0, lineEnd),
+      )?.[1];
       if (size === undefined) return 'malformed';
       const length = parseInt(size, 16);
       const start = lineEnd + LINE_END.length;
       if (length === 0) return this.readTrailer(start);
       const next = start + length + LINE_END.length;
-      if (this.rest.length < next) return 'more';
-      if (!this.rest.subarray(next - LINE_END.length, next).equals(LINE_END)) return 'malformed';
-      this.chunks.push(this.rest.subarray(start, start + length));
+      if (this.buffered.length < next) return 'more';
+      if (!this.buffered.subarray(next - LINE_END.length, next).equals(LINE_END)) return 'malformed';
+      this.chunks.push(this.buffered.subarray(start, start + length));
       this.chunksLength += length;
-      if (this.chunksLength > LONGEST_BODY) return 'malformed';
-      this.rest = this.rest.subarray(next);
+      if (this.chunksLength > MAX_BODY_BYTES) return 'malformed';
+      this.buffered = this.buffered.subarray(next);
     }
   }
 
   /** Fields after the last chunk are passed over, up to an empty line. */
   private readTrailer(start: number): ReadProgress {
     for (let from = start; ;) {
-      const lineEnd = this.rest.indexOf(LINE_END, from);
-      if (lineEnd < 0) return this.rest.length - start > LONGEST_HEAD ? 'malformed' : 'more';
+      const lineEnd = this.buffered.indexOf(LINE_END, from);
+      if (lineEnd < 0) return this.buffered.length - start > MAX_HEAD_BYTES ? 'malformed' : 'more';
       if (lineEnd === from) {
-        this.surplus = this.rest.length > lineEnd + LINE_END.length;
+        this.hasTrailingBytes = this.buffered.length > lineEnd + LINE_END.length;
         return this.finish(Buffer.concat(this.chunks), this.chunksLength);
       }
       from = lineEnd + LINE_END.length;
@@ -110,17 +112,17 @@
 
   private finish(bytes: Buffer, length: number): 'complete' {
     const head = this.head as Head;
-    this.surplus ||= bytes.length > length;
+    this.hasTrailingBytes ||= bytes.length > length;
     this.status = head.status;
     this.body = bytes.subarray(0, length);
-    this.keepAlive = head.keepAlive && head.framing.kind !== 'until-close' && !this.surplus;
+    this.keepAlive = head.keepAlive && head.framing.kind !== 'until-close' && !this.hasTrailingBytes;
     return 'complete';
   }
 }
 
 function parseHead(text: string): Head | null {
   const lines = text.split('\r\n');
-  const statusLine = STATUS_LINE.exec(lines[0] ?? '');
+  const statusLine = STATUS_LINE_PATTERN.exec(lines[0] ?? '');
   if (!statusLine) return null;
   const status = Number(statusLine[2]);
   let keepAlive = statusLine[1] === '1';
@@ -144,12 +146,13 @@
         keepAlive = value.toLowerCase() === 'keep-alive' || (keepAlive && value.toLowerCase() !== 'close');
     }
   }
-  if (length !== null && length > LONGEST_BODY) return null;
+  if (length !== null && length > MAX_BODY_BYTES) return null;
   return { status, keepAlive, framing: framingOf(status, length, chunked) };
 }
 
 function framingOf(status: number, length: number | null, chunked: boolean): Framing {
-  if (status < 200 || status === NO_CONTENT || status === NOT_MODIFIED) return { kind: 'length', length: 0 };
+  if (status < 200 || status === STATUS_NO_CONTENT || status === STATUS_NOT_MODIFIED)
+    return { kind: 'length', length: 0 };
   if (chunked) return { kind: 'chunked' };
   return length === null ? { kind: 'until-close' } : { kind: 'length', length };
 }
--- a/src/transport/metrics.ts
+++ b/src/transport/metrics.ts
@@ -1,11 +1,11 @@
 import type { Histogram } from 'hdr-histogram-js';
 
-const US = 1000;
-const LONGEST_US = 60_000 * US;
+const US_PER_MS = 1000;
+const MAX_DURATION_US = 60_000 * US_PER_MS;
 /** What is kept until the histograms are loaded. */
-const MOST_EARLY = 2000;
+const MAX_EARLY_SAMPLES = 2000;
 
-export interface Summary {
+export interface LatencySummary {
   count: number;
   p50Ms: number;
   p95Ms: number;
@@ -19,50 +19,50 @@
  */
 export class Metrics {
   private readonly histograms = new Map<string, Histogram>();
-  private early: [string, number][] | null = [];
+  private earlySamples: [string, number][] | null = [];
 
-  record(what: string, ms: number): void {
-    if (this.early) {
-      if (this.early.length < MOST_EARLY) this.early.push([what, ms]);
+  record(operation: string, ms: number): void {
+    if (this.earlySamples) {
+      if (this.earlySamples.length < MAX_EARLY_SAMPLES) this.earlySamples.push([operation, ms]);
       return;
     }
-    this.histogram(what).recordValue(Math.min(LONGEST_US, Math.max(1, Math.round(ms * US))));
+    this.histogram(operation).recordValue(Math.min(MAX_DURATION_US, Math.max(1, Math.round(ms * US_PER_MS))));
   }
 
   /** From now on values go into histograms; those that came before as well. */
   load(): void {
-    const early = this.early ?? [];
-    this.early = null;
-    for (const [what, ms] of early) this.record(what, ms);
+    const early = this.earlySamples ?? [];
+    this.earlySamples = null;
+    for (const [operation, ms] of early) this.record(operation, ms);
   }
 
-  summary(): Record<string, Summary> {
-    if (this.early) this.load();
-    const all: Record<string, Summary> = {};
-    for (const [what, h] of this.histograms) {
-      const at = (percent: number): number => h.getValueAtPercentile(percent) / US;
-      all[what] = {
+  summary(): Record<string, LatencySummary> {
+    if (this.earlySamples) this.load();
+    const all: Record<string, LatencySummary> = {};
+    for (const [operation, h] of this.histograms) {
+      const at = (percent: number): number => h.getValueAtPercentile(percent) / US_PER_MS;
+      all[operation] = {
         count: h.totalCount,
         p50Ms: at(50),
         p95Ms: at(95),
         p99Ms: at(99),
-        maxMs: h.maxValue / US,
+        maxMs: h.maxValue / US_PER_MS,
       };
     }
     return all;
   }
 
-  private histogram(what: string): Histogram {
-    const known = this.histograms.get(what);
+  private histogram(operation: string): Histogram {
+    const known = this.histograms.get(operation);
     if (known) return known;
     // eslint-disable-next-line @typescript-eslint/no-require-imports
     const { build } = require('hdr-histogram-js') as typeof import('hdr-histogram-js');
     const made = build({
-      highestTrackableValue: LONGEST_US,
+      highestTrackableValue: MAX_DURATION_US,
       numberOfSignificantValueDigits: 2,
       useWebAssembly: false,
     });
-    this.histograms.set(what, made);
+    this.histograms.set(operation, made);
     return made;
   }
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -2,26 +2,26 @@
 import { type Clock } from './clock';
 
 /** Of a frame between controllers, in bytes: the load of some forty thousand machines. */
-export const MAX_FRAME = 4 * 1024 * 1024;
+export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-function onFrames(socket: Socket, frame: (bytes: Buffer) => void): void {
-  let rest: Buffer = Buffer.alloc(0);
+function readFrames(socket: Socket, frame: (bytes: Buffer) => void): void {
+  let buffered: Buffer = Buffer.alloc(0);
   socket.on('data', (chunk: Buffer) => {
-    rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
-    while (rest.length >= 4) {
-      const size = rest.readUInt32BE(0);
-      if (size > MAX_FRAME) {
+    buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
+    while (buffered.length >= 4) {
+      const size = buffered.readUInt32BE(0);
+      if (size > MAX_FRAME_BYTES) {
         socket.destroy();
         return;
       }
-      if (rest.length < 4 + size) return;
-      frame(rest.subarray(4, 4 + size));
-      rest = rest.subarray(4 + size);
+      if (buffered.length < 4 + size) return;
+      frame(buffered.subarray(4, 4 + size));
+      buffered = buffered.subarray(4 + size);
     }
   });
 }
 
-function send(socket: Socket, bytes: Buffer): void {
+function writeFrame(socket: Socket, bytes: Buffer): void {
   const head = Buffer.alloc(4);
   head.writeUInt32BE(bytes.length, 0);
   socket.write(Buffer.concat([head, bytes]));
@@ -31,15 +31,15 @@
 export function listenForPeers(
   host: string,
   port: number,
-  receive: (bytes: Buffer, answer: (bytes: Buffer) => void) => void,
+  receive: (bytes: Buffer, reply: (bytes: Buffer) => void) => void,
   onError: (error: Error) => void,
 ): void {
   const server = createServer((socket) => {
     socket.setNoDelay(true);
     socket.on('error', () => socket.destroy());
-    onFrames(socket, (bytes) =>
+    readFrames(socket, (bytes) =>
       receive(bytes, (reply) => {
-        if (!socket.destroyed) send(socket, reply);
+        if (!socket.destroyed) writeFrame(socket, reply);
       }),
     );
   });
@@ -50,43 +50,44 @@
 /** One outgoing connection to a peer, opened again after it breaks. Frames are dropped while it is down. */
 export class PeerLink {
   private socket: Socket | null = null;
-  private up = false;
-  private lastHeard: number;
+  private connected = false;
+  private lastReceivedAt: number;
 
   constructor(
     private readonly address: string,
     private readonly clock: Clock,
     private readonly receive: (bytes: Buffer) => void,
   ) {
-    this.lastHeard = clock.steady();
+    this.lastReceivedAt = clock.steady();
     this.open();
   }
 
   send(bytes: Buffer): void {
     // A cut is silent: a connection that has answered nothing for a while is opened anew.
-    if (this.clock.steady() - this.lastHeard > 3000) this.socket?.destroy();
+    if (this.clock.steady() - this.lastReceivedAt > 3000) this.socket?.destroy();
     // What a silent peer does not take must not pile up here.
-    if (this.up && this.socket && this.socket.writableLength < 256 * 1024) send(this.socket, bytes);
+    if (this.connected && this.socket && this.socket.writableLength < 256 * 1024)
+      writeFrame(this.socket, bytes);
   }
 
   private open(): void {
     const colon = this.address.lastIndexOf(':');
     const socket = createConnection(Number(this.address.slice(colon + 1)), this.address.slice(0, colon));
     this.socket = socket;
-    this.lastHeard = this.clock.steady();
+    this.lastReceivedAt = this.clock.steady();
     socket.setNoDelay(true);
     socket.on('connect', () => {
-      this.up = true;
-      this.lastHeard = this.clock.steady();
+      this.connected = true;
+      this.lastReceivedAt = this.clock.steady();
     });
-    onFrames(socket, (bytes) => {
-      this.lastHeard = this.clock.steady();
+    readFrames(socket, (bytes) => {
+      this.lastReceivedAt = this.clock.steady();
       this.receive(bytes);
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      this.up = false;
-      this.clock.after(500, () => this.open());
+      this.connected = false;
+      this.clock.schedule(500, () => this.open());
     });
   }
 }
--- a/src/transport/process-health.ts
+++ b/src/transport/process-health.ts
@@ -1,9 +1,9 @@
 import { PerformanceObserver } from 'node:perf_hooks';
-import { every, type Clock } from './clock';
+import { schedulePeriodic, type Clock } from './clock';
 
-const LOOK_MS = 1000;
+const EVENT_LOOP_CHECK_INTERVAL_MS = 1000;
 /** Later than this, a timer was held up: by our own work, or by a processor that we did not get. */
-const HELD_UP_MS = 100;
+const EVENT_LOOP_DELAY_LIMIT_MS = 100;
 const BYTES_PER_MB = 1024 * 1024;
 
 export interface HealthSummary {
@@ -21,27 +21,27 @@
   /** Begins to watch. Not at once at a start, which has better things to do. */
   watch(clock: Clock): void {
     new PerformanceObserver((list) => {
-      for (const { duration } of list.getEntries()) this.collected(duration);
+      for (const { duration } of list.getEntries()) this.recordCollection(duration);
     }).observe({ entryTypes: ['gc'] });
-    let dueAt = clock.steady() + LOOK_MS;
-    every(clock, LOOK_MS, () => {
+    let dueAt = clock.steady() + EVENT_LOOP_CHECK_INTERVAL_MS;
+    schedulePeriodic(clock, EVENT_LOOP_CHECK_INTERVAL_MS, () => {
       const now = clock.steady();
-      this.timerFired(now - dueAt);
-      dueAt = now + LOOK_MS;
+      this.recordTimerDelay(now - dueAt);
+      dueAt = now + EVENT_LOOP_CHECK_INTERVAL_MS;
     });
   }
 
-  collected(ms: number): void {
+  recordCollection(ms: number): void {
     this.collections.count++;
     this.collections.totalMs += ms;
     this.collections.longestMs = Math.max(this.collections.longestMs, ms);
   }
 
-  timerFired(lateMs: number): void {
+  recordTimerDelay(lateMs: number): void {
     const delayMs = Math.max(0, lateMs);
     this.eventLoop.lastDelayMs = delayMs;
     this.eventLoop.longestDelayMs = Math.max(this.eventLoop.longestDelayMs, delayMs);
-    if (delayMs > HELD_UP_MS) this.eventLoop.heldUp++;
+    if (delayMs > EVENT_LOOP_DELAY_LIMIT_MS) this.eventLoop.heldUp++;
   }
 
   summary(): HealthSummary {
--- a/src/transport/work-pacer.ts
+++ b/src/transport/work-pacer.ts
@@ -9,22 +9,22 @@
   constructor(
     private readonly options: {
       /** The work is not repeated sooner than this, however little it costs. */
-      leastMs: number;
+      minIntervalMs: number;
       /** It is repeated after this long at the latest, however much it costs. */
-      mostMs: number;
+      maxIntervalMs: number;
       /** The share of the time that the work may take. */
       share: number;
     },
   ) {}
 
-  due(now: number): boolean {
+  isDue(now: number): boolean {
     return now >= this.nextAt;
   }
 
   /** The work began and ended at these moments of the steady clock. */
-  took(startedAt: number, endedAt: number): void {
-    const { leastMs, mostMs, share } = this.options;
+  record(startedAt: number, endedAt: number): void {
+    const { minIntervalMs, maxIntervalMs, share } = this.options;
     const pauseMs = (endedAt - startedAt) / share;
-    this.nextAt = startedAt + Math.min(mostMs, Math.max(leastMs, pauseMs));
+    this.nextAt = startedAt + Math.min(maxIntervalMs, Math.max(minIntervalMs, pauseMs));
   }
 }
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -6,11 +6,11 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { parseSubmission } from '../src/protocol/jobs';
-import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../src/protocol/peers';
 import { decodeRanges, encodeRanges } from '../src/protocol/records';
-import { parseSettings, type Quantity } from '../src/protocol/settings';
+import { parseSettings, type ResourceQuota } from '../src/protocol/settings';
 import { parseWatch } from '../src/protocol/store';
-import { parseReport, reportAnswer } from '../src/protocol/workers';
+import { parseHeartbeat, heartbeatResponse } from '../src/protocol/workers';
 
 const submission = {
   ...{ ref: 'job-000412', workload: 'train', crew: 'vision', shape: 'sweep', urgency: 'urgent', pieces: 16 },
@@ -61,7 +61,7 @@
       { piece: 'job-000398/1', try: 1, status: 'ended', exit_reason: 'something new' },
     ],
   };
-  const read = parseReport(report);
+  const read = parseHeartbeat(report);
   assert.deepEqual(
     read?.tasks.map((t) => [t.ref, t.index, t.phase, t.exit]),
     [
@@ -90,9 +90,11 @@
     { ...report, pieces: [{ piece: 'job-1/0', try: 1, status: 'constructor' }] },
     { ...report, pieces: [{ piece: 'x', try: 1, status: 'running' }] },
   ]) {
-    assert.equal(parseReport(bad), null);
+    assert.equal(parseHeartbeat(bad), null);
   }
-  const answer = reportAnswer(41, [{ op: 'stop', ref: 'job-000377', index: 1, attempt: 1, graceS: 10 }]);
+  const answer = heartbeatResponse(41, [
+    { op: 'stop', ref: 'job-000377', index: 1, attempt: 1, gracePeriodS: 10 },
+  ]);
   assert.deepEqual(answer, {
     baton: 41,
     orders: [{ order: 'kill', piece: 'job-000377/1', try: 1, wind_down_s: 10 }],
@@ -111,8 +113,8 @@
   assert.deepEqual(read, {
     revision: 433,
     changes: [
-      { key: 'c/d', deleted: true, version: 432 },
-      { key: 'c/9', value: 1, version: 433 },
+      { key: 'c/d', deleted: true, revision: 432 },
+      { key: 'c/9', value: 1, revision: 433 },
     ],
   });
 });
@@ -124,12 +126,12 @@
       cpus: 1,
       accelerators: 0,
       memoryGb: 2,
-      types: ['a'],
+      machineTypes: ['a'],
       zones: ['z'],
       spot: true,
-      rank: 1,
+      priority: 1,
       tasks: 3,
-      seconds: 9,
+      expectedS: 9,
     },
   };
   const machine = {
@@ -140,44 +142,51 @@
       freeMemoryGb: 3,
       freeAccelerators: 0,
       idleMs: 0,
-      silentMs: 5,
+      sinceHeartbeatMs: 5,
     },
-    ...{ faulty: false, noticed: false, leavingTo: '', emptyInS: 4 },
+    ...{ quarantined: false, preemptionNotice: false, transferTarget: '', emptyInS: 4 },
   };
   const partition = {
     partition: 'p0',
-    version: 9,
-    workLeft: [1, 0, 0, 0],
+    epoch: 9,
+    remainingWork: [1, 0, 0, 0],
     backlog: [0, 2, 0, 0],
     unconfirmed: 2,
-    quietS: 3,
+    sinceLastJobS: 3,
     demands: [demand],
     machines: [machine],
   };
   const status: PeerMessage = {
-    ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, partitions: [partition] },
-    ...{ misrouted: [{ partition: 'p0', machines: 3 }], heardMs: 1.5, revision: 412 },
+    ...{
+      kind: 'status',
+      member: 'a',
+      sequence: 1,
+      storeOk: true,
+      memberIncarnation: 4,
+      partitions: [partition],
+    },
+    ...{ misrouted: [{ partition: 'p0', machines: 3 }], sinceHeartbeatMs: 1.5, revision: 412 },
   };
   const messages: PeerMessage[] = [
     {
-      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, extended: true, page: 1, pages: 2 },
-      cancelled: [{ job: 'job-000001', version: 413 }],
+      ...{ kind: 'pong', member: 'a', sequence: 7, storeOk: false, extended: true, page: 1, pages: 2 },
+      cancelled: [{ job: 'job-000001', revision: 413 }],
     },
     { kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true },
-    { kind: 'retire', machine: 'i-1', why: 'idle', force: false },
+    { kind: 'retire', machine: 'i-1', reason: 'idle', force: false },
     { kind: 'handover', partition: 'p0', to: 'b' },
   ];
   const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
   // A field left in the schema after the code had dropped it once silenced every load report.
   for (const message of [status, ...messages])
-    assert.deepEqual(plain(decodePeer(encodePeer(message))), plain(message));
-  assert.equal(decodePeer(Buffer.from('GET / HTTP/1.1')), null);
+    assert.deepEqual(plain(decodePeerMessage(encodePeerMessage(message))), plain(message));
+  assert.equal(decodePeerMessage(Buffer.from('GET / HTTP/1.1')), null);
   // A frame cut short, at whatever byte, or of an earlier version, which ends before the fields that came since.
   for (const message of [status, ...messages]) {
-    const whole = encodePeer(message);
+    const whole = encodePeerMessage(message);
     for (let length = 0; length < whole.length; length++)
-      assert.equal(decodePeer(whole.subarray(0, length)), null, `${message.kind} cut at ${length}`);
-    assert.equal(decodePeer(Buffer.concat([whole, Buffer.from([0])])), null, 'too long');
+      assert.equal(decodePeerMessage(whole.subarray(0, length)), null, `${message.kind} cut at ${length}`);
+    assert.equal(decodePeerMessage(Buffer.concat([whole, Buffer.from([0])])), null, 'too long');
   }
 });
 
@@ -231,7 +240,7 @@
 
 // Guests' jobs were refused with 422: their limit of 0 was taken for nothing allowed, where it says that there is none.
 test('settings: what limits a team', () => {
-  const cases: [object, Quantity][] = [
+  const cases: [object, ResourceQuota][] = [
     [
       { cpus: 1, cpus_max: 2, gpus: 0, gpus_max: 1 },
       { cpus: 2, accelerators: 1 },
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -1,14 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { DRIFT } from '../src/transport/clock';
+import { MAX_CLOCK_DRIFT_RATIO } from '../src/transport/clock';
 import { RateLimiter } from '../src/transport/rate-limiter';
 import { NewestFirstQueue } from '../src/transport/fair-queue';
-import { scale } from '../src/coordination/autoscale';
-import { type FleetMachine, type FleetPicture } from '../src/coordination/fleet-plan';
-import { refreshIntervalMs, maxStalenessMs } from '../src/coordination/staleness';
-import { splitTeams } from '../src/coordination/assignment';
-import { fits, impossible, openZones, zoneRoom } from '../src/coordination/placement';
+import { planCapacity } from '../src/coordination/fleet/autoscaler';
+import { type FleetMachine, type FleetSnapshot } from '../src/coordination/fleet/capacity-plan';
+import { refreshIntervalMs, maxStalenessMs } from '../src/coordination/membership/staleness-bound';
+import { splitTeams } from '../src/coordination/leader/partition-assignment';
+import {
+  countFitting,
+  infeasibleReason,
+  eligibleZones,
+  remainingInZone,
+} from '../src/coordination/partition/placement';
 import {
   failJob,
   mayBegin,
@@ -16,70 +21,70 @@
   type Edge,
   type NodeState,
   type PipelineNode,
-} from '../src/coordination/recovery';
-import { Reachability, MisroutedReports } from '../src/coordination/reachability';
-import { EXTENSION_MS, LeaseExtensions } from '../src/coordination/lease-extension';
+} from '../src/coordination/pipeline/recovery-pass';
+import { Reachability, MisroutedHeartbeats } from '../src/coordination/membership/reachability';
+import { LEASE_EXTENSION_MS, LeaseExtensions } from '../src/coordination/membership/lease-extension';
 import {
   deadlinesOf,
-  effectivePriority,
-  Estimates,
-  lateness,
-  raisedPriority,
-  type Waited,
-} from '../src/coordination/priority';
+  deadlinePriority,
+  RuntimeEstimates,
+  missedDeadlineCount,
+  agedPriority,
+  type WaitState,
+} from '../src/coordination/partition/priority';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { DEFAULT_POLICY } from '../src/protocol/policy';
-import { LEAVES_FLEET, type Demand, type MachineLoad, type PartitionLoad } from '../src/protocol/peers';
+import { DRAIN_TO_CLOUD, type Demand, type MachineLoad, type PartitionLoad } from '../src/protocol/peers';
 
 function node(state: NodeState, reExecutable = true, alternates: number[] = []): PipelineNode {
   return { state, reExecutable, inputsRecorded: true, alternates };
 }
 
-const noWalk = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
+const NO_CHANGES = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
 
 test('recovery walk', async (t) => {
   const abort = (from: number, to: number): Edge => ({ from, to, kind: 'abort' });
   const fallback = (from: number, to: number): Edge => ({ from, to, kind: 'force_begin_on_abort' });
   const cases: [string, PipelineNode[], Edge[], object][] = [
-    ['nothing interrupted', [node('done'), node('unscheduled')], [abort(0, 1)], noWalk],
-    ['a re-executable job is run again', [node('interrupted')], [], { ...noWalk, rerun: [0] }],
-    ['any other fails', [node('interrupted', false)], [], { ...noWalk, fail: [0] }],
+    ['nothing interrupted', [node('done'), node('unscheduled')], [abort(0, 1)], NO_CHANGES],
+    ['a re-executable job is run again', [node('interrupted')], [], { ...NO_CHANGES, rerun: [0] }],
+    ['any other fails', [node('interrupted', false)], [], { ...NO_CHANGES, fail: [0] }],
     [
       'inputs that are not recorded forbid a rerun',
       [{ ...node('interrupted'), inputsRecorded: false }],
       [],
-      { ...noWalk, fail: [0] },
+      { ...NO_CHANGES, fail: [0] },
     ],
     [
       'failure passes down abort edges, link by link',
       [node('interrupted', false), node('unscheduled'), node('interrupted')],
       [abort(0, 1), abort(1, 2)],
-      { ...noWalk, fail: [0], cancel: [1, 2] },
+      { ...NO_CHANGES, fail: [0], cancel: [1, 2] },
     ],
     [
       'a done dependent stays done, the pipeline has failed',
       [node('interrupted', false), node('done'), node('unscheduled')],
       [abort(0, 1), abort(1, 2)],
-      { ...noWalk, fail: [0], pipelineFailed: true },
+      { ...NO_CHANGES, fail: [0], pipelineFailed: true },
     ],
     [
       'a fallback and an alternate are released once',
       [node('interrupted', false, [1]), node('unscheduled')],
       [fallback(0, 1)],
-      { ...noWalk, fail: [0], release: [1] },
+      { ...NO_CHANGES, fail: [0], release: [1] },
     ],
     [
       'a fallback that is itself aborted is not released',
       [node('interrupted', false), node('unscheduled'), node('unscheduled')],
       [fallback(0, 2), abort(0, 1), abort(1, 2)],
-      { ...noWalk, fail: [0], cancel: [1, 2] },
+      { ...NO_CHANGES, fail: [0], cancel: [1, 2] },
     ],
     [
       'the earliest decides: a later interrupted job may be cancelled instead of rerun',
       [node('interrupted', false), node('interrupted')],
       [abort(0, 1)],
-      { ...noWalk, fail: [0], cancel: [1] },
+      { ...NO_CHANGES, fail: [0], cancel: [1] },
     ],
   ];
   for (const [name, nodes, edges, expected] of cases) {
@@ -110,69 +115,82 @@
     ref: 'job-000001',
     workload: 'w',
     team: 't',
-    rank: 2,
+    priority: 2,
     tasks: 5,
     cpus: 1,
     accelerators: 0,
     memoryGb: 2,
   },
-  ...{ image: 'i', imageGb: 1, types: null, zone: null, together: false, apart: false, spot: true },
-  ...{ expectedS: 30, checkpointS: 0, saveS: 0, deadlineS: null, pipeline: null },
+  ...{
+    image: 'i',
+    imageGb: 1,
+    machineTypes: null,
+    zone: null,
+    singleZone: false,
+    spreadZones: false,
+    spot: true,
+  },
+  ...{ expectedS: 30, checkpointIntervalS: 0, checkpointDurationS: 0, deadlineS: null, pipeline: null },
 };
 
 test('placement', async (t) => {
   const impossibles: [string, Partial<JobSpec>, boolean][] = [
     ['a plain job', {}, false],
     ['more than any type has', { memoryGb: 500 }, true],
-    ['only an unknown type', { types: ['other'] }, true],
+    ['only an unknown type', { machineTypes: ['other'] }, true],
     ['a zone without the type', { zone: 'c' }, true],
     ["a task over the team's limit", { cpus: 9 }, true],
     ['an array over the limit in sum only', { tasks: 100 }, false],
   ];
   for (const [name, change, expected] of impossibles) {
     await t.test(name, () => {
-      const reason = impossible({ ...spec, ...change }, [small, large], { cpus: 8, accelerators: 0 });
+      const reason = infeasibleReason({ ...spec, ...change }, [small, large], { cpus: 8, accelerators: 0 });
       assert.equal(reason !== null, expected, String(reason));
     });
   }
   const rooms: [string, Partial<JobSpec>, [string, number][], number][] = [
     ['anywhere', {}, [['b', 9]], Number.POSITIVE_INFINITY],
-    ['together: the others are elsewhere', { together: true }, [['b', 1]], 0],
-    ['together: the others are here', { together: true }, [['a', 1]], Number.POSITIVE_INFINITY],
-    ['together: nobody left elsewhere', { together: true }, [['b', 0]], Number.POSITIVE_INFINITY],
-    ['apart: half of 5, rounded up, less 2', { apart: true }, [['a', 2]], 1],
-    ['apart: full', { apart: true }, [['a', 3]], 0],
+    ['together: the others are elsewhere', { singleZone: true }, [['b', 1]], 0],
+    ['together: the others are here', { singleZone: true }, [['a', 1]], Number.POSITIVE_INFINITY],
+    ['together: nobody left elsewhere', { singleZone: true }, [['b', 0]], Number.POSITIVE_INFINITY],
+    ['apart: half of 5, rounded up, less 2', { spreadZones: true }, [['a', 2]], 1],
+    ['apart: full', { spreadZones: true }, [['a', 3]], 0],
   ];
   for (const [name, change, placed, expected] of rooms) {
-    await t.test(name, () => assert.equal(zoneRoom({ ...spec, ...change }, 'a', new Map(placed)), expected));
+    await t.test(name, () =>
+      assert.equal(remainingInZone({ ...spec, ...change }, 'a', new Map(placed)), expected),
+    );
   }
   // Machines rented where the job may not go left it waiting for ever once it had lost those where it may.
   const zones: [string, Partial<JobSpec>, [string, number][], string[] | null][] = [
     ['anywhere', {}, [['b', 9]], null],
     ['bound to a zone', { zone: 'b' }, [], ['b']],
-    ['together, nothing placed yet', { together: true }, [], null],
-    ['together: where the others are', { together: true }, [['b', 1]], ['b']],
+    ['together, nothing placed yet', { singleZone: true }, [], null],
+    ['together: where the others are', { singleZone: true }, [['b', 1]], ['b']],
     [
       'apart: where there is room',
-      { apart: true },
+      { spreadZones: true },
       [
         ['a', 3],
         ['b', 1],
       ],
       ['b'],
     ],
-    ['apart: nowhere full yet', { apart: true }, [['a', 2]], ['a', 'b']],
+    ['apart: nowhere full yet', { spreadZones: true }, [['a', 2]], ['a', 'b']],
   ];
   for (const [name, change, placed, expected] of zones) {
     await t.test(`open zones: ${name}`, () =>
-      assert.deepEqual(openZones({ ...spec, ...change }, ['a', 'b'], new Map(placed)), expected),
+      assert.deepEqual(eligibleZones({ ...spec, ...change }, ['a', 'b'], new Map(placed)), expected),
     );
   }
   await t.test('never more than there is room for', () => {
     const amount = fc.double({ min: 0.01, max: 100, noNaN: true });
     fc.assert(
       fc.property(amount, amount, amount, amount, (cpus, memoryGb, c, m) => {
-        const n = fits({ cpus, memoryGb, accelerators: 0 }, { cpus: c, memoryGb: m, accelerators: 0 });
+        const n = countFitting(
+          { cpus, memoryGb, accelerators: 0 },
+          { cpus: c, memoryGb: m, accelerators: 0 },
+        );
         assert.ok(n * c <= cpus + 1e-6 && n * m <= memoryGb + 1e-6);
       }),
       { seed: 7 },
@@ -187,19 +205,27 @@
       cpus: 1,
       accelerators: 0,
       memoryGb: 2,
-      types: null,
+      machineTypes: null,
       zones: null,
       spot: true,
-      rank: 2,
+      priority: 2,
     },
-    ...{ tasks: 10, seconds: 60, ...change },
+    ...{ tasks: 10, expectedS: 60, ...change },
   };
 }
 
 function load(machine: string, change: Partial<MachineLoad> = {}): MachineLoad {
   return {
-    ...{ machine, tasks: 0, freeCpus: 4, freeMemoryGb: 16, freeAccelerators: 0, idleMs: 0, silentMs: 100 },
-    ...{ faulty: false, noticed: false, leavingTo: null, emptyInS: 0, ...change },
+    ...{
+      machine,
+      tasks: 0,
+      freeCpus: 4,
+      freeMemoryGb: 16,
+      freeAccelerators: 0,
+      idleMs: 0,
+      sinceHeartbeatMs: 100,
+    },
+    ...{ quarantined: false, preemptionNotice: false, transferTarget: null, emptyInS: 0, ...change },
   };
 }
 
@@ -210,51 +236,58 @@
   change: Partial<PartitionLoad> = {},
 ): PartitionLoad {
   const backlog = [0, 0, 0, 0];
-  for (const d of demands) backlog[d.rank]! += d.tasks * d.cpus * d.seconds;
+  for (const d of demands) backlog[d.priority]! += d.tasks * d.cpus * d.expectedS;
   return {
     partition: id,
-    version: 1,
+    epoch: 1,
     unconfirmed: 0,
     demands,
     machines,
-    workLeft: [0, 0, 0, 0],
+    remainingWork: [0, 0, 0, 0],
     backlog,
-    quietS: 0,
+    sinceLastJobS: 0,
     ...change,
   };
 }
 
 function machine(id: string, change: Partial<FleetMachine> = {}): FleetMachine {
   return {
-    ...{ id, partition: 'p0', type: 'small', zone: 'a', spot: true, returning: false },
-    ...{ ageMs: 60_000, booting: false, unheardMs: 0, failed: false, faultyMs: 0, movedMs: Infinity },
+    ...{ id, partition: 'p0', type: 'small', zone: 'a', spot: true, deprovisioning: false },
+    ...{
+      ageMs: 60_000,
+      booting: false,
+      sinceHeartbeatMs: 0,
+      failed: false,
+      quarantinedMs: 0,
+      sinceTransferMs: Infinity,
+    },
     ...change,
   };
 }
 
 test('autoscaling', async (t) => {
-  const picture = (change: Partial<FleetPicture>): FleetPicture => ({
+  const snapshot = (change: Partial<FleetSnapshot>): FleetSnapshot => ({
     ...{ types: new Map([small, large].map((m) => [m.name, m])), loads: [], machines: [] },
-    ...{ soldOut: () => false, leaseMs: 12_000, policy: DEFAULT_POLICY, ...change },
+    ...{ capacityExhausted: () => false, leaseMs: 12_000, policy: DEFAULT_POLICY, ...change },
   });
   const busy = { tasks: 4, freeCpus: 0, freeMemoryGb: 8, emptyInS: 60 };
-  const cases: [string, Partial<FleetPicture>, (actions: ReturnType<typeof scale>) => boolean][] = [
+  const cases: [string, Partial<FleetSnapshot>, (actions: ReturnType<typeof planCapacity>) => boolean][] = [
     ['nothing to do', { loads: [partition('p0', [], [])] }, (a) => a.length === 0],
     [
       'spot machines for waiting work',
       { loads: [partition('p0', [demand({})], [])] },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.spot),
+      (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.spot),
     ],
     [
       // A job that allows no spot machine once waited for ever, as ordinary ones needed a long queue.
       'one task that allows no spot machine gets an ordinary one at once',
       { loads: [partition('p0', [demand({ tasks: 1, spot: false })], [])] },
-      (a) => a.length === 1 && a[0]?.kind === 'rent' && !a[0].order.spot,
+      (a) => a.length === 1 && a[0]?.kind === 'scale-out' && !a[0].request.spot,
     ],
     [
       'ordinary ones when spot is sold out and nothing else can run the work',
-      { loads: [partition('p0', [demand({})], [])], soldOut: (k) => k.spot },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && !x.order.spot),
+      { loads: [partition('p0', [demand({})], [])], capacityExhausted: (k) => k.spot },
+      (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && !x.request.spot),
     ],
     [
       'room in a zone where the job may not go is none: one is rented where it may',
@@ -262,7 +295,7 @@
         loads: [partition('p0', [demand({ tasks: 2, zones: ['b'] })], [load('i-1')])],
         machines: [machine('i-1', { zone: 'a' })],
       },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.zone === 'b'),
+      (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.zone === 'b'),
     ],
     [
       'machines that are booting count',
@@ -278,12 +311,12 @@
         loads: [partition('p0', [demand({ tasks: 4 })], [])],
         machines: [machine('i-1', { booting: true, ageMs: 35_000 })],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'rent',
+      (a) => a.length === 1 && a[0]?.kind === 'scale-out',
     ],
     [
       'one that never boots is returned',
       { loads: [partition('p0', [], [])], machines: [machine('i-1', { booting: true, ageMs: 90_000 })] },
-      (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force,
+      (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force,
     ],
     [
       // A machine that never came up kept two hundred others from being sent off for two minutes.
@@ -296,31 +329,31 @@
             [
               load('i-1', { tasks: 1, freeCpus: 3, emptyInS: 60 }),
               load('i-2', { tasks: 1, freeCpus: 3, emptyInS: 60 }),
-              load('i-3', { silentMs: -1 }),
+              load('i-3', { sinceHeartbeatMs: -1 }),
             ],
-            { quietS: 30 },
+            { sinceLastJobS: 30 },
           ),
         ],
         machines: [machine('i-1'), machine('i-2'), machine('i-3', { booting: true, ageMs: 50_000 })],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].drain,
+      (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].drain,
     ],
     [
       'nor is it waited for once there is no work',
       {
-        loads: [partition('p0', [], [load('i-1', { silentMs: -1 })], { quietS: 30 })],
+        loads: [partition('p0', [], [load('i-1', { sinceHeartbeatMs: -1 })], { sinceLastJobS: 30 })],
         machines: [machine('i-1', { booting: true, ageMs: 61_000 })],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force,
+      (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force,
     ],
     [
       // Two machines fell silent while they changed partitions: kept and paid for ten minutes, and counted as room all the time.
       'one that fell silent while it changed partitions is returned',
       {
-        loads: [partition('p0', [], [load('i-1', { silentMs: -1 })])],
-        machines: [machine('i-1', { unheardMs: 31_000 })],
+        loads: [partition('p0', [], [load('i-1', { sinceHeartbeatMs: -1 })])],
+        machines: [machine('i-1', { sinceHeartbeatMs: 31_000 })],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].force && a[0].why === 'silent',
+      (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force && a[0].reason === 'silent',
     ],
     [
       'nor is it room for what waits before that',
@@ -328,20 +361,25 @@
         loads: [
           partition(
             'p0',
-            [demand({ tasks: 4, seconds: 300 })],
-            [load('i-1', { silentMs: -1 }), ...['i-2', 'i-3', 'i-4'].map((id) => load(id, busy))],
+            [demand({ tasks: 4, expectedS: 300 })],
+            [load('i-1', { sinceHeartbeatMs: -1 }), ...['i-2', 'i-3', 'i-4'].map((id) => load(id, busy))],
           ),
         ],
-        machines: [machine('i-1', { unheardMs: 9000 }), machine('i-2'), machine('i-3'), machine('i-4')],
+        machines: [
+          machine('i-1', { sinceHeartbeatMs: 9000 }),
+          machine('i-2'),
+          machine('i-3'),
+          machine('i-4'),
+        ],
       },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent'),
+      (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out'),
     ],
     [
       // An owner that is cut from its workers for some seconds must not rent its fleet a second time.
       'machines that all fall silent together still count: it is their owner who does not hear',
       {
-        loads: [partition('p0', [demand({ tasks: 4 })], [load('i-1', { silentMs: 9000 })])],
-        machines: [machine('i-1', { unheardMs: 9000 })],
+        loads: [partition('p0', [demand({ tasks: 4 })], [load('i-1', { sinceHeartbeatMs: 9000 })])],
+        machines: [machine('i-1', { sinceHeartbeatMs: 9000 })],
       },
       (a) => a.length === 0,
     ],
@@ -354,15 +392,15 @@
         ],
         machines: [machine('i-1')],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].toPartition === 'p1' && !a[0].drain,
+      (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].toPartition === 'p1' && !a[0].drain,
     ],
     [
       'a machine that fails every task is returned though it is busy',
       {
-        loads: [partition('p0', [], [load('i-1', { ...busy, faulty: true })])],
-        machines: [machine('i-1', { faultyMs: 9000 })],
+        loads: [partition('p0', [], [load('i-1', { ...busy, quarantined: true })])],
+        machines: [machine('i-1', { quarantinedMs: 9000 })],
       },
-      (a) => a.some((x) => x.kind === 'retire' && x.force),
+      (a) => a.some((x) => x.kind === 'scale-in' && x.force),
     ],
     [
       'one idle for long is returned, one just emptied is kept',
@@ -370,7 +408,7 @@
         loads: [partition('p0', [], [load('i-1', { idleMs: 60_000 }), load('i-2', { idleMs: 500 })])],
         machines: [machine('i-1'), machine('i-2')],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'retire' && a[0].machine === 'i-1',
+      (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].machine === 'i-1',
     ],
     [
       // Idle by the report of a moment ago, it was given back while work waited that it was about to get.
@@ -386,14 +424,14 @@
       {
         loads: [
           partition('p0', [], [load('i-1', { ...busy, emptyInS: 5 }), load('i-2', busy)], {
-            workLeft: [0, 0, 100, 0],
+            remainingWork: [0, 0, 100, 0],
           }),
           partition('p1', [demand({ tasks: 200 })], [load('i-3', busy)]),
         ],
         machines: [machine('i-1'), machine('i-2'), machine('i-3', { partition: 'p1' })],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].drain,
+      (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].drain,
     ],
     [
       'one that has room for all of its own lends machines that are busy for long, up to half of what is free',
@@ -405,7 +443,7 @@
             ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) =>
               load(id, { tasks: 1, freeCpus: 3, emptyInS: 70 }),
             ),
-            { workLeft: [0, 0, 100, 0] },
+            { remainingWork: [0, 0, 100, 0] },
           ),
           partition('p1', [demand({ tasks: 200 })], [load('j-1', busy)]),
         ],
@@ -413,9 +451,9 @@
           ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6', 'i-7', 'i-8', 'i-9', 'i-0'].map((id) => machine(id)),
           machine('j-1', { partition: 'p1' }),
         ],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => a.length === 5 && a.every((x) => x.kind === 'move' && x.toPartition === 'p1' && x.drain),
+      (a) => a.length === 5 && a.every((x) => x.kind === 'transfer' && x.toPartition === 'p1' && x.drain),
     ],
     [
       'one whose own work waits keeps them',
@@ -423,9 +461,9 @@
         loads: [
           partition(
             'p0',
-            [demand({ tasks: 200, seconds: 1 })],
+            [demand({ tasks: 200, expectedS: 1 })],
             ['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => load(id, { ...busy, emptyInS: 70 })),
-            { workLeft: [0, 0, 100, 0] },
+            { remainingWork: [0, 0, 100, 0] },
           ),
           partition('p1', [demand({ tasks: 2000 })], [load('j-1', busy)]),
         ],
@@ -433,7 +471,7 @@
           ...['i-1', 'i-2', 'i-3', 'i-4', 'i-5', 'i-6'].map((id) => machine(id)),
           machine('j-1', { partition: 'p1' }),
         ],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
       (a) => a.length === 0,
     ],
@@ -444,7 +482,8 @@
         loads: [partition('p0', [demand({ tasks: 4 })], [])],
         machines: ['i-1', 'i-2'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
       },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.zone === 'b' && x.order.spot),
+      (a) =>
+        a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.zone === 'b' && x.request.spot),
     ],
     [
       'or of another type, where that is not much dearer',
@@ -452,7 +491,7 @@
         loads: [partition('p0', [demand({ tasks: 32, zones: ['a'] })], [])],
         machines: ['i-1', 'i-2', 'i-3'].map((id) => machine(id, { booting: true, ageMs: 40_000 })),
       },
-      (a) => a.length > 0 && a.every((x) => x.kind === 'rent' && x.order.type === 'large'),
+      (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.type === 'large'),
     ],
     [
       'one late machine among many says nothing of its kind',
@@ -466,33 +505,34 @@
           ),
         ],
       },
-      (a) => a.length === 1 && a[0]?.kind === 'rent' && a[0].order.zone === 'a',
+      (a) => a.length === 1 && a[0]?.kind === 'scale-out' && a[0].request.zone === 'a',
     ],
     [
       // One partition's idle work held a thousand CPUs while another's urgent work waited: their whole work took as long.
       'urgent work of one partition counts for more than idle work of another',
       {
         loads: [
-          partition('p0', [demand({ rank: 3, tasks: 500 })], [load('i-1', { ...busy, emptyInS: 5 })]),
-          partition('p1', [demand({ rank: 1, tasks: 20 })], [load('i-3', busy)]),
+          partition('p0', [demand({ priority: 3, tasks: 500 })], [load('i-1', { ...busy, emptyInS: 5 })]),
+          partition('p1', [demand({ priority: 1, tasks: 20 })], [load('i-3', busy)]),
         ],
         machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPartition === 'p1',
+      (a) =>
+        a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].toPartition === 'p1',
     ],
     [
       // Twice a second a partition's machines went out for normal work and others came in for its urgent work.
       'a partition that has no room for its urgent work lends nothing for less urgent work',
       {
         loads: [
-          partition('p0', [demand({ rank: 1, tasks: 20 })], [load('i-1', { ...busy, emptyInS: 5 })]),
-          partition('p1', [demand({ rank: 2, tasks: 500 })], [load('i-3', busy)]),
+          partition('p0', [demand({ priority: 1, tasks: 20 })], [load('i-1', { ...busy, emptyInS: 5 })]),
+          partition('p1', [demand({ priority: 2, tasks: 500 })], [load('i-3', busy)]),
         ],
         machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => !a.some((x) => x.kind === 'move' && x.toPartition === 'p1'),
+      (a) => !a.some((x) => x.kind === 'transfer' && x.toPartition === 'p1'),
     ],
     [
       'what was just moved stays',
@@ -501,8 +541,8 @@
           partition('p0', [], [load('i-1', { idleMs: 4000 })]),
           partition('p1', [demand({ tasks: 4 })], []),
         ],
-        machines: [machine('i-1', { movedMs: 2000 })],
-        soldOut: () => true,
+        machines: [machine('i-1', { sinceTransferMs: 2000 })],
+        capacityExhausted: () => true,
       },
       (a) => a.length === 0,
     ],
@@ -515,7 +555,7 @@
             'p0',
             [demand({ tasks: 2 })],
             [
-              load('i-1', { tasks: 1, freeCpus: 3, leavingTo: LEAVES_FLEET }),
+              load('i-1', { tasks: 1, freeCpus: 3, transferTarget: DRAIN_TO_CLOUD }),
               load('i-2', { tasks: 1, freeCpus: 3 }),
             ],
           ),
@@ -532,32 +572,33 @@
             'p0',
             [demand({ tasks: 5 })],
             [
-              load('i-1', { tasks: 1, freeCpus: 3, leavingTo: LEAVES_FLEET }),
+              load('i-1', { tasks: 1, freeCpus: 3, transferTarget: DRAIN_TO_CLOUD }),
               load('i-2', { tasks: 1, freeCpus: 3 }),
             ],
           ),
         ],
         machines: [machine('i-1'), machine('i-2')],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => a.length === 1 && a[0]?.kind === 'move' && a[0].machine === 'i-1' && a[0].toPartition === 'p0',
+      (a) =>
+        a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].toPartition === 'p0',
     ],
     [
       'a drain that the work since has made wrong is taken back',
       {
         loads: [
-          partition('p0', [demand({ tasks: 200 })], [load('i-1', { ...busy, leavingTo: 'p1' })]),
+          partition('p0', [demand({ tasks: 200 })], [load('i-1', { ...busy, transferTarget: 'p1' })]),
           partition('p1', [], [load('i-3', busy)]),
         ],
         machines: [machine('i-1'), machine('i-3', { partition: 'p1' })],
-        soldOut: () => true,
+        capacityExhausted: () => true,
       },
-      (a) => a.some((x) => x.kind === 'move' && x.machine === 'i-1' && x.toPartition === 'p0'),
+      (a) => a.some((x) => x.kind === 'transfer' && x.machine === 'i-1' && x.toPartition === 'p0'),
     ],
   ];
   for (const [name, change, expected] of cases) {
     await t.test(name, () => {
-      const actions = scale(picture(change));
+      const actions = planCapacity(snapshot(change));
       assert.ok(expected(actions), JSON.stringify(actions));
     });
   }
@@ -566,7 +607,7 @@
 test('whom machines reach', async (t) => {
   const REPORT_MS = 2000;
   const silent = (n: number, ms: number): MachineLoad[] =>
-    Array.from({ length: n }, (_, i) => load(`i-${i}`, { silentMs: ms }));
+    Array.from({ length: n }, (_, i) => load(`i-${i}`, { sinceHeartbeatMs: ms }));
   type Told = Record<string, number>;
   // What the owner `a` has heard, at whom its machines turn up, and who is to have the partition.
   const cases: [string, MachineLoad[], Told, string | null][] = [
@@ -587,16 +628,16 @@
   ];
   const heard = (machines: number, heardMs = 100) => ({
     misrouted: [{ partition: 'p0', machines }],
-    heardMs,
+    sinceHeartbeatMs: heardMs,
   });
   for (const [name, machines, told, to] of cases) {
     await t.test(name, () => {
       const reach = new Reachability();
-      reach.tell('a', heard(0, 6000), 0);
-      for (const [member, n] of Object.entries(told)) reach.tell(member, heard(n), 0);
-      const better = reach.better('a', partition('p0', [], machines), REPORT_MS, ['a', 'b', 'c'], 100);
+      reach.recordStats('a', heard(0, 6000), 0);
+      for (const [member, n] of Object.entries(told)) reach.recordStats(member, heard(n), 0);
+      const better = reach.betterOwner('a', partition('p0', [], machines), REPORT_MS, ['a', 'b', 'c'], 100);
       assert.equal(better, to);
-      assert.equal(reach.avoided('a'), to !== null);
+      assert.equal(reach.isAvoided('a'), to !== null);
     });
   }
   // Given back at once to a controller that is still cut off, a partition would go to and fro.
@@ -606,22 +647,22 @@
     ['it is back once it hears machines', 30_000, 100, false],
     ['or after a long time', 70_000, -1, false],
   ];
-  for (const [name, at, heardMs, avoided] of returns) {
+  for (const [name, at, sinceHeartbeatMs, avoided] of returns) {
     await t.test(name, () => {
       const reach = new Reachability();
-      reach.tell('a', heard(0, 6000), 0);
-      reach.tell('b', heard(8), 0);
-      reach.better('a', partition('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
-      reach.tell('a', { misrouted: [], heardMs }, at);
-      assert.equal(reach.avoided('a'), avoided);
+      reach.recordStats('a', heard(0, 6000), 0);
+      reach.recordStats('b', heard(8), 0);
+      reach.betterOwner('a', partition('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
+      reach.recordStats('a', { misrouted: [], sinceHeartbeatMs }, at);
+      assert.equal(reach.isAvoided('a'), avoided);
     });
   }
   await t.test('reports wait for a change of owner only if many machines stray, and lately', () => {
-    const misrouted = new MisroutedReports();
+    const misrouted = new MisroutedHeartbeats();
     for (let i = 0; i < 5; i++) misrouted.note('p0', `i-${i % 3}`, i * 100);
-    assert.equal(misrouted.many('p0', 30, 500), true);
-    assert.equal(misrouted.many('p0', 31, 500), false, 'a few of many');
-    assert.equal(misrouted.many('p0', 30, 3000), false, 'a while ago');
+    assert.equal(misrouted.exceedsDeferringRatio('p0', 30, 500), true);
+    assert.equal(misrouted.exceedsDeferringRatio('p0', 31, 500), false, 'a few of many');
+    assert.equal(misrouted.exceedsDeferringRatio('p0', 30, 3000), false, 'a while ago');
     assert.deepEqual(misrouted.counts(500), [{ partition: 'p0', machines: 3 }], 'each counts once');
     misrouted.note('p0', 'i-9', 8000);
     assert.deepEqual(misrouted.counts(8000), [{ partition: 'p0', machines: 1 }]);
@@ -632,47 +673,51 @@
   const extendedAt = 10_000;
   const extensions = new LeaseExtensions(['b', 'c'], 0);
   const cases: [string, () => unknown, unknown][] = [
-    ['no extension while the store answers', () => extensions.extend('b', true, true, extendedAt), false],
+    ['no extension while the store answers', () => extensions.grant('b', true, true, extendedAt), false],
     [
       'none to a member whose session lease has ended for us',
-      () => extensions.extend('b', false, false, extendedAt),
+      () => extensions.grant('b', false, false, extendedAt),
       false,
     ],
-    ['else it is given', () => extensions.extend('b', true, false, extendedAt), true],
-    ['and kept', () => extensions.mayTakeFrom('b', extendedAt + EXTENSION_MS), false],
-    ['until it has run out', () => extensions.mayTakeFrom('b', extendedAt + EXTENSION_MS + 10), true],
-    ['others are not covered', () => extensions.mayTakeFrom('c', extendedAt), true],
+    ['else it is given', () => extensions.grant('b', true, false, extendedAt), true],
+    ['and kept', () => extensions.permitsTakeOver('b', extendedAt + LEASE_EXTENSION_MS), false],
+    [
+      'until it has run out',
+      () => extensions.permitsTakeOver('b', extendedAt + LEASE_EXTENSION_MS + 10),
+      true,
+    ],
+    ['others are not covered', () => extensions.permitsTakeOver('c', extendedAt), true],
     [
       'a process that has just started sits out what it may have extended before',
-      () => new LeaseExtensions(['b'], 50_000).mayTakeFrom('b', 50_000 + EXTENSION_MS),
+      () => new LeaseExtensions(['b'], 50_000).permitsTakeOver('b', 50_000 + LEASE_EXTENSION_MS),
       false,
     ],
     [
       "one peer's extension is not enough",
       () => {
-        extensions.answered('b', extensions.ask(20_000), true);
-        return extensions.holds(20_001);
+        extensions.recordResponse('b', extensions.recordRequest(20_000), true);
+        return extensions.allHeld(20_001);
       },
       false,
     ],
     [
       'all of them are, counted from the asking',
       () => {
-        const seq = extensions.ask(20_000);
-        extensions.answered('b', seq, true);
-        extensions.answered('c', seq, true);
-        return [extensions.holds(22_600), extensions.holds(22_800)];
+        const seq = extensions.recordRequest(20_000);
+        extensions.recordResponse('b', seq, true);
+        extensions.recordResponse('c', seq, true);
+        return [extensions.allHeld(22_600), extensions.allHeld(22_800)];
       },
       [true, false],
     ],
     [
       'an answer to a question long forgotten counts nothing',
       () => {
-        const old = extensions.ask(30_000);
-        for (let i = 0; i < 20; i++) extensions.ask(31_000);
-        extensions.answered('b', old, true);
-        extensions.answered('c', old, true);
-        return extensions.holds(30_001);
+        const old = extensions.recordRequest(30_000);
+        for (let i = 0; i < 20; i++) extensions.recordRequest(31_000);
+        extensions.recordResponse('b', old, true);
+        extensions.recordResponse('c', old, true);
+        return extensions.allHeld(30_001);
       },
       false,
     ],
@@ -748,17 +793,17 @@
   for (const [name, answers, expected] of cases) {
     await t.test(name, () => {
       const extensions = new LeaseExtensions(['b', 'c'], 0);
-      const seqs = new Map([1000, 1500].map((at) => [at, extensions.ask(at)]));
+      const seqs = new Map([1000, 1500].map((at) => [at, extensions.recordRequest(at)]));
       for (const [peer, at, page, pages] of answers)
-        extensions.answered(peer, seqs.get(at) ?? 0, true, page, pages);
+        extensions.recordResponse(peer, seqs.get(at) ?? 0, true, page, pages);
       assert.equal(extensions.freshAsOf, expected);
-      assert.equal(extensions.holds(2000), expected > 0);
+      assert.equal(extensions.allHeld(2000), expected > 0);
     });
   }
   await t.test('an answer to what was never asked', () => {
     const extensions = new LeaseExtensions(['b'], 0);
-    extensions.answered('b', extensions.ask(1000) + 1, true);
-    assert.equal(extensions.holds(1001), false);
+    extensions.recordResponse('b', extensions.recordRequest(1000) + 1, true);
+    assert.equal(extensions.allHeld(1001), false);
   });
 });
 
@@ -773,7 +818,7 @@
       const staleMs = maxStalenessMs(leaseMs, cancelMs);
       assert.ok(staleMs > 0 && refreshIntervalMs(staleMs) < staleMs / 4);
       // Our clock and the worker's may both run slow against the user's.
-      assert.ok((staleMs + leaseMs) * (1 + 2 * DRIFT) + 1000 < cancelMs);
+      assert.ok((staleMs + leaseMs) * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) + 1000 < cancelMs);
     });
   }
   await t.test('settings that leave no time allow a moment', () =>
@@ -782,55 +827,55 @@
 });
 
 test('urgency', async (t) => {
-  const idle: JobSpec = { ...spec, rank: 3, deadlineS: 100 };
+  const idle: JobSpec = { ...spec, priority: 3, deadlineS: 100 };
   const objectives = [
     { kind: 'deadline' as const, workload: 'w', times: 1.5 },
     { kind: 'deadline' as const, workload: 'w', times: 1 },
     { kind: 'finished' as const, workload: 'w', withinS: 250 },
     { kind: 'finished' as const, workload: 'other', withinS: 1 },
   ];
-  const estimates = new Estimates();
-  const waits = (ageS: number, begun = 0, withinGuarantee = false): Waited => ({
-    ...{ ageS, begun, withinGuarantee },
+  const estimates = new RuntimeEstimates();
+  const waits = (ageS: number, startedRatio = 0, withinGuarantee = false): WaitState => ({
+    ...{ ageS, startedRatio, withinGuarantee },
   });
   const cases: [string, () => unknown, unknown][] = [
     ['all deadlines of the class, earliest first', () => deadlinesOf(idle, objectives), [100, 150, 250]],
     ['without objectives the deadline', () => deadlinesOf(idle, []), [100]],
     ['no deadline, no due', () => deadlinesOf({ ...idle, deadlineS: null }, objectives.slice(0, 2)), []],
-    ['in time for all', () => lateness([100, 150], 40, 50), 0],
-    ['too late for the first', () => lateness([100, 150], 60, 50), 1],
-    ['too late for all', () => lateness([100, 150], 140, 50), 2],
-    ['so late that it comes forward again', () => lateness([100, 150], 301, 50), 0],
-    ['idle work keeps its rank at first', () => effectivePriority(idle, [250], 100, 30), 3],
-    ['goes up a step when half of its time is gone', () => effectivePriority(idle, [250], 130, 30), 2],
-    ['but not once it is too late', () => effectivePriority(idle, [250], 230, 30), 3],
-    ['other work keeps its rank', () => effectivePriority({ ...idle, rank: 2 }, [250], 130, 30), 2],
+    ['in time for all', () => missedDeadlineCount([100, 150], 40, 50), 0],
+    ['too late for the first', () => missedDeadlineCount([100, 150], 60, 50), 1],
+    ['too late for all', () => missedDeadlineCount([100, 150], 140, 50), 2],
+    ['so late that it comes forward again', () => missedDeadlineCount([100, 150], 301, 50), 0],
+    ['idle work keeps its rank at first', () => deadlinePriority(idle, [250], 100, 30), 3],
+    ['goes up a step when half of its time is gone', () => deadlinePriority(idle, [250], 130, 30), 2],
+    ['but not once it is too late', () => deadlinePriority(idle, [250], 230, 30), 3],
+    ['other work keeps its rank', () => deadlinePriority({ ...idle, priority: 2 }, [250], 130, 30), 2],
     [
       'one that has waited for long without a begin goes up',
-      () => raisedPriority(3, waits(160), objectives),
+      () => agedPriority(3, waits(160), objectives),
       1,
     ],
-    ['not once it has begun', () => raisedPriority(3, waits(160, 0.1), objectives), 3],
-    ['again if that was little', () => raisedPriority(3, waits(220, 0.1), objectives), 1],
-    ['not if it was half', () => raisedPriority(3, waits(220, 0.5), objectives), 3],
-    ['nor a more urgent one', () => raisedPriority(0, waits(160), objectives), 0],
+    ['not once it has begun', () => agedPriority(3, waits(160, 0.1), objectives), 3],
+    ['again if that was little', () => agedPriority(3, waits(220, 0.1), objectives), 1],
+    ['not if it was half', () => agedPriority(3, waits(220, 0.5), objectives), 3],
+    ['nor a more urgent one', () => agedPriority(0, waits(160), objectives), 0],
     [
       'work within a guarantee goes up sooner, not past urgent work',
-      () => raisedPriority(3, waits(50, 1, true), []),
+      () => agedPriority(3, waits(50, 1, true), []),
       2,
     ],
     [
       'as soon as the operators wish',
-      () => [40, 50].map((s) => raisedPriority(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
+      () => [40, 50].map((s) => agedPriority(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
       [3, 2],
     ],
-    ['estimates count until enough was seen', () => estimates.expect(spec), 30],
+    ['estimates count until enough was seen', () => estimates.expectedSeconds(spec), 30],
     [
       'then what was seen, within bounds',
       () => {
-        for (let i = 0; i < 10; i++) estimates.learn('w', 30, 15);
-        for (let i = 0; i < 10; i++) estimates.learn('slow', 30, 900);
-        return [estimates.expect(spec), estimates.expect({ ...spec, workload: 'slow' })];
+        for (let i = 0; i < 10; i++) estimates.addSample('w', 30, 15);
+        for (let i = 0; i < 10; i++) estimates.addSample('slow', 30, 900);
+        return [estimates.expectedSeconds(spec), estimates.expectedSeconds({ ...spec, workload: 'slow' })];
       },
       [15, 75],
     ],
@@ -878,7 +923,7 @@
     (name: string): Step =>
     (_turns, _log, world) =>
       void world.gone.add(name);
-  const arrived: Step = (turns) => turns.arrived();
+  const arrived: Step = (turns) => turns.onConnectionAccepted();
   // Each row: what happens before each look at the sockets, and who is answered after it.
   const cases: [string, [Step[], string[]][]][] = [
     [
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -7,9 +7,9 @@
 import Ajv2020 from 'ajv/dist/2020';
 import { parse } from 'smol-toml';
 import { checkFeatures, featuresJsonSchema } from '../src/protocol/features';
-import { decodePeer, encodePeer } from '../src/protocol/peers';
-import { balance } from '../src/balance-command';
-import { EXIT } from '../src/client';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peers';
+import { balance } from '../src/cli/balance-command';
+import { EXIT_CODES } from '../src/cli/client';
 
 const root = join(__dirname, '..', '..');
 const published = readFileSync(join(root, 'deploy', 'features.schema.json'), 'utf8');
@@ -71,7 +71,7 @@
         encoding: 'utf8',
         timeout: 20_000,
       });
-      assert.equal(status, EXIT.usage);
+      assert.equal(status, EXIT_CODES.usage);
       assert.match(stderr, new RegExp(`^heathbridge: ${features}: ${said}.*\n$`));
     }
   }
@@ -84,16 +84,16 @@
     moves: { planned: 1, begun: 1, completed: 1, abandoned: 0, inFlight: 0 },
     refusals: [{ reason: 'pinned', count: 2 }],
   };
-  const frame = encodePeer({ kind: 'balance', summary });
-  assert.deepEqual(JSON.parse(JSON.stringify(decodePeer(frame))), { kind: 'balance', summary });
+  const frame = encodePeerMessage({ kind: 'balance', summary });
+  assert.deepEqual(JSON.parse(JSON.stringify(decodePeerMessage(frame))), { kind: 'balance', summary });
   for (let length = 0; length < frame.length; length++)
-    assert.equal(decodePeer(frame.subarray(0, length)), null, `${length} bytes`);
+    assert.equal(decodePeerMessage(frame.subarray(0, length)), null, `${length} bytes`);
 });
 
 test('asking about load where nobody answers: one line, and the code for that', async () => {
   const lines: string[] = [];
   const say = (line: string): void => void lines.push(line);
   const code = await balance({ server: '127.0.0.1:1', json: false }, { out: say, err: say });
-  assert.equal(code, EXIT.unreachable);
+  assert.equal(code, EXIT_CODES.unreachable);
   assert.deepEqual(lines, ['heathbridge: 127.0.0.1:1: no answer; try again later']);
 });
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -4,20 +4,20 @@
 import { after, before, test } from 'node:test';
 import fc from 'fast-check';
 import pino from 'pino';
-import { gateway, type GatewayDependencies } from '../src/coordination/gateway';
-import { plainRoutes } from '../src/coordination/plain-routes';
-import { BODY_LIMIT, type ReportReply } from '../src/coordination/report-gateway';
+import { createExpressApp, type ApiDependencies } from '../src/coordination/requests/express-app';
+import { plainRoutes } from '../src/coordination/requests/plain-routes';
+import { MAX_BODY_BYTES, type HeartbeatReply } from '../src/coordination/requests/heartbeat-gateway';
 import { Metrics } from '../src/transport/metrics';
 import { servePlainRequests } from '../src/transport/request-server';
-import { Runs } from '../src/coordination/runs';
+import { JobService } from '../src/coordination/requests/job-service';
 import { ReplicaView } from '../src/storage/replica-view';
 import { SubmissionBatcher } from '../src/storage/submission-batcher';
-import { Ledger } from '../src/storage/ledger';
+import { StateStoreClient } from '../src/storage/state-store-client';
 import { type MachineType } from '../src/protocol/cloud';
 import { type Clock } from '../src/transport/clock';
 import { type Team } from '../src/protocol/settings';
 import { settle, VirtualTime } from './standin/clock';
-import { StandinStore } from './standin/store';
+import { FakeStateStore } from './standin/store';
 
 const log = pino({ level: 'silent' });
 const submission = {
@@ -25,7 +25,7 @@
   ...{ cpus: 2, accelerators: 0, memory_gb: 4, build: 'img-07', image_gb: 6.2, models: null, yard: null },
   ...{ together: true, apart: false, loaners: true, expected_s: 240, snapshot_every_s: 30, snapshot_s: 4 },
 };
-const report = {
+const heartbeat = {
   ...{ velodrome: 'i-1', address: '10.1.0.2:9000', model: 'g8', yard: 'a', loaners: true },
   ...{ shift: 1, tick: 1, baton: 0, recall_s: null, pieces: [] },
 };
@@ -34,43 +34,43 @@
   ...{ price: 0.2, spotPrice: 0.08, bootS: 20, zones: ['a'] },
 };
 
-function runsOver(
-  ledger: Ledger,
+function jobServiceOver(
+  ledger: StateStoreClient,
   clock: Clock,
   teams: ReadonlyMap<string, Team>,
   types: () => ReadonlyMap<string, MachineType>,
-): Runs {
+): JobService {
   const replica = new ReplicaView(ledger, log);
   const batcher = new SubmissionBatcher(ledger, replica, clock, {
     valueBytes: 4096,
     txnOps: 12,
-    life: 'a-1',
+    processIncarnation: 'a-1',
   });
-  return new Runs(ledger, replica, batcher, clock, teams, types, new Metrics());
+  return new JobService(ledger, replica, batcher, clock, teams, types, new Metrics());
 }
 
 /** The routes over a stand-in store; its time passes only while somebody waits for an answer. */
 const time = new VirtualTime();
-const store = new StandinStore(time);
+const store = new FakeStateStore(time);
 let storeRefuses = false;
 let types: MachineType[] = [type];
-let reply: ReportReply = { kind: 'busy' };
+let reply: HeartbeatReply = { kind: 'busy' };
 let server: NetServer;
 let general: Server;
 let port = 0;
 
 before(async () => {
-  const call = (method: string, path: string, body: unknown): ReturnType<StandinStore['request']> =>
+  const call = (method: string, path: string, body: unknown): ReturnType<FakeStateStore['request']> =>
     store.request(method, path, body, () => storeRefuses);
   const clock = time.clock(() => true);
-  const ledger = new Ledger({ call }, { call }, clock, log, {
+  const ledger = new StateStoreClient({ call }, { call }, clock, log, {
     requestRate: 1e6,
     writeRate: 1e6,
     controllers: 1,
   });
   const limit = { cpus: 8, accelerators: 0 };
   const teams = new Map([['vision', { name: 'vision', guaranteed: limit, limit }]]);
-  const runs = runsOver(ledger, clock, teams, () => new Map(types.map((t) => [t.name, t])));
+  const jobService = jobServiceOver(ledger, clock, teams, () => new Map(types.map((t) => [t.name, t])));
   const partition = { teams: ['vision'], owner: 'velodrome-0', incarnation: 1 };
   await store.request(
     'POST',
@@ -79,15 +79,15 @@
     () => false,
   );
   void ledger.follow();
-  const dependencies: GatewayDependencies = {
-    runs,
+  const dependencies: ApiDependencies = {
+    jobService,
     log,
-    report: (_, tell) => tell(reply),
+    receiveHeartbeat: (_, tell) => tell(reply),
     ready: () => types.length > 0,
     status: () => ({}),
   };
-  general = createServer(gateway(dependencies));
-  const options = { general: () => Promise.resolve(general), maxBody: BODY_LIMIT };
+  general = createServer(createExpressApp(dependencies));
+  const options = { generalServer: () => Promise.resolve(general), maxBodyBytes: MAX_BODY_BYTES };
   server = servePlainRequests({ ...options, route: plainRoutes(dependencies) });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   port = (server.address() as AddressInfo).port;
@@ -95,13 +95,13 @@
 
 after(() => server.close());
 
-interface Got {
+interface ReceivedResponse {
   status: number;
   body: Record<string, unknown>;
   retryAfter: string | undefined;
 }
 
-async function ask(method: string, path: string, body?: string, to = port): Promise<Got> {
+async function ask(method: string, path: string, body?: string, to = port): Promise<ReceivedResponse> {
   let waiting = true;
   const got = send(method, path, body, to).finally(() => (waiting = false));
   while (waiting) {
@@ -111,7 +111,7 @@
   return got;
 }
 
-function send(method: string, path: string, body: string | undefined, to: number): Promise<Got> {
+function send(method: string, path: string, body: string | undefined, to: number): Promise<ReceivedResponse> {
   return new Promise((resolve, reject) => {
     const outgoing = request({ host: '127.0.0.1', port: to, method, path, agent: false }, (incoming) => {
       let text = '';
@@ -183,17 +183,17 @@
     ['a description too large to be kept', post({ ref: 'job-6', models: many }), 400, /too large/],
     ['cancelling a job nobody submitted', ['POST', '/v2/runs/job-9/cancel'], 404, /no such job/],
     ['a malformed report', ['POST', '/hello', '{}'], 400, /report/],
-    ['a report when nothing can be said', ['POST', '/hello', JSON.stringify(report)], 503, null],
+    ['a report when nothing can be said', ['POST', '/hello', JSON.stringify(heartbeat)], 503, null],
     [
       'a report of a machine of another controller',
-      ['POST', '/hello', JSON.stringify(report)],
+      ['POST', '/hello', JSON.stringify(heartbeat)],
       421,
       /"dispatcher":"velodrome-2"/,
       () => (reply = { kind: 'redirect', owner: 'velodrome-2' }),
     ],
     [
       'a report of our machine',
-      ['POST', '/hello', JSON.stringify(report)],
+      ['POST', '/hello', JSON.stringify(heartbeat)],
       200,
       /"baton":7,"orders":\[\{"order":"start","piece":"job-1\/2","try":3\}\]/,
       () =>
@@ -220,24 +220,28 @@
 test('submissions and questions beyond what can wait for the store are shed at once', async () => {
   const never = { call: () => new Promise<never>(() => undefined) };
   const clock = time.clock(() => true);
-  const ledger = new Ledger(never, never, clock, log, { requestRate: 1e6, writeRate: 1e6, controllers: 1 });
+  const ledger = new StateStoreClient(never, never, clock, log, {
+    requestRate: 1e6,
+    writeRate: 1e6,
+    controllers: 1,
+  });
   const limit = { cpus: 8, accelerators: 0 };
   const teams = new Map([['vision', { name: 'vision', guaranteed: limit, limit }]]);
-  const runs = runsOver(ledger, clock, teams, () => new Map([['small', type]]));
+  const runs = jobServiceOver(ledger, clock, teams, () => new Map([['small', type]]));
   for (let n = 0; n < 300; n++) void runs.submit({ ...submission, ref: `job-${n}` });
   const answer = await runs.submit({ ...submission, ref: 'job-1000' });
   assert.equal(answer.status, 429);
-  assert.ok((answer.retryAfter ?? 0) >= 1);
+  assert.ok((answer.retryAfterS ?? 0) >= 1);
   // Users ask many times as often on some days; what waits too long is answered after they have given up.
   for (let n = 0; n < 400; n++) void runs.status(`job-${n}`);
   const asked = await runs.status('job-1000');
   assert.equal(asked.status, 429);
-  assert.ok((asked.retryAfter ?? 0) >= 1);
+  assert.ok((asked.retryAfterS ?? 0) >= 1);
   assert.equal(runs.counters.shed, 2);
 });
 
 /** Sends these pieces one after the other and gives back all that comes. */
-function speak(pieces: string[]): Promise<string> {
+function sendRaw(pieces: string[]): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = createConnection(port, '127.0.0.1');
     let heard = '';
@@ -254,7 +258,7 @@
 }
 
 test('reports are read straight from the socket, anything else by the general server', async (t) => {
-  const body = JSON.stringify(report);
+  const body = JSON.stringify(heartbeat);
   const head = (fields = '', path = '/hello', length = body.length): string =>
     `POST ${path} HTTP/1.1\r\nHost: a\r\nContent-Length: ${length}\r\n${fields}\r\n`;
   const close = 'Connection: close\r\n';
@@ -280,7 +284,7 @@
     ['no HTTP at all', ['hello?\r\n\r\n'], /^HTTP\/1.1 400 /],
   ];
   for (const [name, pieces, expected] of cases) {
-    await t.test(name, async () => assert.match(await speak(pieces), expected));
+    await t.test(name, async () => assert.match(await sendRaw(pieces), expected));
   }
 });
 
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -3,7 +3,7 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { HttpClient, type HttpAnswer } from '../src/transport/http-client';
+import { HttpClient, type HttpResponse } from '../src/transport/http-client';
 import { ResponseReader } from '../src/transport/http-response';
 
 /** Long enough for any answer that comes, also on a busy machine. */
@@ -35,7 +35,12 @@
   return ended && reader.end() === 'complete' ? reader : null;
 }
 
-const rows: { name: string; bytes: string; ended?: boolean; read: [number, string, boolean] | null }[] = [
+const responseCases: {
+  name: string;
+  bytes: string;
+  ended?: boolean;
+  read: [number, string, boolean] | null;
+}[] = [
   { name: 'length', bytes: 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}', read: [200, '{}', true] },
   {
     name: 'field names in any case',
@@ -112,7 +117,7 @@
 ];
 
 test('responses are read however their bytes are split', async (t) => {
-  for (const { name, bytes, ended, read } of rows) {
+  for (const { name, bytes, ended, read } of responseCases) {
     await t.test(name, () => {
       const whole = Buffer.from(bytes);
       const every = Array.from({ length: Math.min(whole.length, 400) }, (_, i) => i);
@@ -148,7 +153,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const client = new HttpClient(`127.0.0.1:${port}`, 2);
-  const plain = (): Promise<HttpAnswer> =>
+  const plain = (): Promise<HttpResponse> =>
     new Promise((resolve) => {
       request({ host: '127.0.0.1', port, path: '/x', agent: false }, (res) => {
         const chunks: Buffer[] = [];
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { type HttpAnswer } from '../src/transport/http-client';
-import { Ledger } from '../src/storage/ledger';
+import { type HttpResponse } from '../src/transport/http-client';
+import { StateStoreClient } from '../src/storage/state-store-client';
 import { settle, VirtualTime } from './standin/clock';
 
 interface Row {
@@ -10,18 +10,18 @@
   stamp: number;
 }
 
-const shown = (rows: Row[]): object[] => rows.map(({ key, stamp }) => ({ path: key, v: 1, stamp }));
+const pagePairs = (rows: Row[]): object[] => rows.map(({ key, stamp }) => ({ path: key, v: 1, stamp }));
 
 /** A store whose pages and watches are answered as written, one every 100 ms; after the last nothing comes. */
-function scripted(
+function scriptedStateStore(
   pages: [Row[], number][],
   watches: [Row[], number][],
-): { ledger: Ledger; time: VirtualTime } {
+): { ledger: StateStoreClient; time: VirtualTime } {
   const time = new VirtualTime();
-  const later = (answer: HttpAnswer | null): Promise<HttpAnswer | null> =>
+  const later = (answer: HttpResponse | null): Promise<HttpResponse | null> =>
     new Promise((resolve) => time.at(time.now + (answer ? 100 : 1e6), () => resolve(answer)));
   let page = 0;
-  const call = (_method: string, path: string): Promise<HttpAnswer | null> => {
+  const call = (_method: string, path: string): Promise<HttpResponse | null> => {
     if (path.startsWith('/watch')) {
       const next = watches.shift();
       if (!next) return later(null);
@@ -31,13 +31,13 @@
     const [rows, revision] = pages[page++] ?? [[], 0];
     return later({
       status: 200,
-      body: { pairs: shown(rows), truncated: page < pages.length, ledger_rev: revision },
+      body: { pairs: pagePairs(rows), truncated: page < pages.length, ledger_rev: revision },
     });
   };
   const rates = { requestRate: 1000, writeRate: 1000, controllers: 1 };
   const log = pino({ level: 'silent' });
   return {
-    ledger: new Ledger(
+    ledger: new StateStoreClient(
       { call },
       { call },
       time.clock(() => true),
@@ -97,13 +97,13 @@
   ];
   for (const [name, pages, watches, expected] of cases) {
     await t.test(name, async () => {
-      const { ledger, time } = scripted(pages, watches);
-      const told: number[] = [];
-      ledger.batches.subscribe(() => told.push(ledger.revision));
+      const { ledger, time } = scriptedStateStore(pages, watches);
+      const publishedRevisions: number[] = [];
+      ledger.batches.subscribe(() => publishedRevisions.push(ledger.revision));
       void ledger.follow();
       await settle();
       await time.run(3000);
-      assert.deepEqual(told, expected);
+      assert.deepEqual(publishedRevisions, expected);
       assert.equal(ledger.synced, expected.length > 0);
     });
   }
--- a/test/loopback-balance.test.ts
+++ b/test/loopback-balance.test.ts
@@ -4,9 +4,9 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { coefficientOfVariation } from '@heathbridge/load-balancer';
-import { balance } from '../src/balance-command';
-import { EXIT } from '../src/client';
-import { type Worker } from './standin/fleet';
+import { balance } from '../src/cli/balance-command';
+import { EXIT_CODES } from '../src/cli/client';
+import { type FakeWorker } from './standin/fleet';
 import { LoopbackCluster } from './standin/loopback';
 
 const FEATURES = `
@@ -49,75 +49,75 @@
   jobs: number;
   moves: number;
   spread: number;
-  urgentWaitMs: number;
-  broken: string[];
+  urgentStartDelayMs: number;
+  violations: string[];
 }
 
 /** Jobs, users and the check of rules for one cluster. */
 class LoopbackRun {
   private readonly jobs = new Map<string, LoopbackJob>();
-  private readonly saved = new Map<string, number>();
+  private readonly checkpointedMs = new Map<string, number>();
   private readonly completed = new Set<string>();
   private readonly submittedAt = new Map<string, number>();
-  private readonly begun = new Map<string, number>();
+  private readonly startedAt = new Map<string, number>();
   /** Moves made by partition and owner: a new owner counts from nothing. */
   private readonly moves = new Map<string, number>();
   private readonly spreads: number[] = [];
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   readonly done = new Set<string>();
   cluster!: LoopbackCluster;
-  private over = false;
+  private stopped = false;
 
   async start(features: string | null): Promise<void> {
     this.cluster = await LoopbackCluster.start({
       ...{
         controllers: CONTROLLERS,
         machines: MACHINES,
-        reportMs: 500,
+        heartbeatIntervalMs: 500,
         leaseMs: LEASE_MS,
         teams: TEAMS,
         features,
       },
       hooks: {
-        began: (worker, piece) => this.began(worker, piece),
-        completed: (piece) => void this.completed.add(piece),
+        taskStarted: (worker, piece) => this.taskStarted(worker, piece),
+        taskCompleted: (piece) => void this.completed.add(piece),
         runMs: (piece) => this.runMs(piece),
-        saveMs: (piece) => (this.jobOf(piece)?.urgency === 'idle' ? 200 : null),
-        stopped: (piece, ranMs, saved) => {
-          if (saved) this.saved.set(piece, (this.saved.get(piece) ?? 0) + ranMs);
+        checkpointMs: (piece) => (this.jobOfTask(piece)?.urgency === 'idle' ? 200 : null),
+        taskStopped: (piece, ranMs, saved) => {
+          if (saved) this.checkpointedMs.set(piece, (this.checkpointedMs.get(piece) ?? 0) + ranMs);
         },
       },
     });
   }
 
-  private jobOf(piece: string): LoopbackJob | undefined {
+  private jobOfTask(piece: string): LoopbackJob | undefined {
     return this.jobs.get(piece.split('/')[0] ?? '');
   }
 
   private runMs(piece: string): number {
-    const whole = this.jobOf(piece)?.urgency === 'idle' ? IDLE_MS : URGENT_MS;
-    return Math.max(100, whole - (this.saved.get(piece) ?? 0));
+    const whole = this.jobOfTask(piece)?.urgency === 'idle' ? IDLE_MS : URGENT_MS;
+    return Math.max(100, whole - (this.checkpointedMs.get(piece) ?? 0));
   }
 
   /** The rules, checked whenever a task begins. */
-  private began(worker: Worker, piece: string): void {
-    this.begun.set(piece, this.begun.get(piece) ?? performance.now());
-    const job = this.jobOf(piece);
-    if (!job) return void this.broken.push(`invented: ${piece}`);
+  private taskStarted(worker: FakeWorker, piece: string): void {
+    this.startedAt.set(piece, this.startedAt.get(piece) ?? performance.now());
+    const job = this.jobOfTask(piece);
+    if (!job) return void this.violations.push(`invented: ${piece}`);
     const used = new Map<string, number>();
     for (const other of this.cluster.cloud.workers.values()) {
       let onIt = 0;
-      for (const name of other.pieces.keys()) {
-        const owner = this.jobOf(name);
-        if (!owner || !other.onIt(name)) continue;
-        if (name === piece && other !== worker) this.broken.push(`ran_twice: ${piece}`);
+      for (const name of other.tasks.keys()) {
+        const owner = this.jobOfTask(name);
+        if (!owner || !other.executes(name)) continue;
+        if (name === piece && other !== worker) this.violations.push(`ran_twice: ${piece}`);
         used.set(owner.crew, (used.get(owner.crew) ?? 0) + owner.cpus);
         onIt += owner.cpus;
       }
-      if (onIt > CPUS) this.broken.push(`overfull: ${other.name}`);
+      if (onIt > CPUS) this.violations.push(`overfull: ${other.name}`);
     }
     for (const { name, cpus_max: most } of TEAMS)
-      if ((used.get(name) ?? 0) > most) this.broken.push(`quota: ${name} uses ${used.get(name)}`);
+      if ((used.get(name) ?? 0) > most) this.violations.push(`quota: ${name} uses ${used.get(name)}`);
   }
 
   submit(job: LoopbackJob): void {
@@ -130,41 +130,41 @@
       ...{ expected_s: (idle ? IDLE_MS : URGENT_MS) / 1000, snapshot_every_s: idle ? 1 : 0 },
       ...{ snapshot_s: idle ? 0.2 : 0, due_s: null },
     };
-    void this.bring(job.ref, body);
+    void this.submitUntilDone(job.ref, body);
   }
 
-  private async bring(ref: string, body: object): Promise<void> {
-    for (let i = 0; !this.over; i++) {
-      const answer = await this.cluster.ask(i % CONTROLLERS, '/v2/runs', body, 'POST');
+  private async submitUntilDone(ref: string, body: object): Promise<void> {
+    for (let i = 0; !this.stopped; i++) {
+      const answer = await this.cluster.request(i % CONTROLLERS, '/v2/runs', body, 'POST');
       if (answer?.status === 201 || answer?.status === 200) break;
       await pause(300);
     }
-    for (let i = 0; !this.done.has(ref) && !this.over; i++) {
+    for (let i = 0; !this.done.has(ref) && !this.stopped; i++) {
       await pause(700);
-      const answer = await this.cluster.ask(i % CONTROLLERS, `/v2/runs/${ref}`, {}, 'GET');
-      if (answer?.status === 404) this.broken.push(`forgotten: ${ref}`);
-      if ((answer?.body as { status?: string } | undefined)?.status === 'done') this.told(ref);
+      const answer = await this.cluster.request(i % CONTROLLERS, `/v2/runs/${ref}`, {}, 'GET');
+      if (answer?.status === 404) this.violations.push(`forgotten: ${ref}`);
+      if ((answer?.body as { status?: string } | undefined)?.status === 'done') this.checkDone(ref);
     }
   }
 
-  private told(ref: string): void {
+  private checkDone(ref: string): void {
     const { pieces } = this.jobs.get(ref) as LoopbackJob;
     for (let i = 0; i < pieces; i++)
-      if (!this.completed.has(`${ref}/${i}`)) this.broken.push(`not_done: ${ref}/${i}`);
+      if (!this.completed.has(`${ref}/${i}`)) this.violations.push(`not_done: ${ref}/${i}`);
     this.done.add(ref);
   }
 
   /** Looks at the spread, and at what the leader says of moves. */
-  async look(): Promise<void> {
+  async sample(): Promise<void> {
     const used = [...this.cluster.cloud.workers.values()].map((worker) =>
-      [...worker.pieces.keys()].reduce(
-        (n, piece) => n + (worker.onIt(piece) ? (this.jobOf(piece)?.cpus ?? 0) : 0),
+      [...worker.tasks.keys()].reduce(
+        (n, piece) => n + (worker.executes(piece) ? (this.jobOfTask(piece)?.cpus ?? 0) : 0),
         0,
       ),
     );
     this.spreads.push(coefficientOfVariation(used));
     for (let i = 0; i < CONTROLLERS; i++) {
-      const answer = await this.cluster.ask(i, '/status', {}, 'GET');
+      const answer = await this.cluster.request(i, '/status', {}, 'GET');
       const { balance: told } = (answer?.body ?? {}) as { balance?: { fleet: FleetStatus | null } };
       for (const { summary } of told?.fleet?.partitions ?? [])
         this.moves.set(`${summary.partition} ${summary.epoch}`, summary.moves.completed);
@@ -173,7 +173,7 @@
 
   async leader(): Promise<number | null> {
     for (let i = 0; i < CONTROLLERS; i++) {
-      const answer = await this.cluster.ask(i, '/status', {}, 'GET');
+      const answer = await this.cluster.request(i, '/status', {}, 'GET');
       if ((answer?.body as { leading?: boolean } | undefined)?.leading) return i;
     }
     return null;
@@ -181,20 +181,20 @@
 
   /** Ends the controllers, and the users' questions with them. */
   stop(): void {
-    this.over = true;
+    this.stopped = true;
     this.cluster.stop();
   }
 
   outcome(): Outcome {
-    const waits = [...this.begun]
-      .filter(([piece]) => this.jobOf(piece)?.urgency === 'urgent')
+    const waits = [...this.startedAt]
+      .filter(([piece]) => this.jobOfTask(piece)?.urgency === 'urgent')
       .map(([piece, at]) => at - (this.submittedAt.get(piece.split('/')[0] ?? '') ?? at))
       .sort((a, b) => a - b);
     return {
-      ...{ finished: this.done.size, jobs: this.jobs.size, broken: this.broken },
+      ...{ finished: this.done.size, jobs: this.jobs.size, violations: this.violations },
       moves: [...this.moves.values()].reduce((sum, n) => sum + n, 0),
       spread: this.spreads.reduce((sum, value) => sum + value, 0) / Math.max(1, this.spreads.length),
-      urgentWaitMs: waits[Math.floor(0.95 * waits.length)] ?? 0,
+      urgentStartDelayMs: waits[Math.floor(0.95 * waits.length)] ?? 0,
     };
   }
 }
@@ -227,15 +227,15 @@
       if (tick % 3 === 2) submit({ crew: 'west', pieces: 2, cpus: 4, urgency: 'urgent' });
       if (doubled && !ended) {
         ended = true;
-        run.cluster.endController(1);
+        run.cluster.killController(1);
         setTimeout(() => run.cluster.startController(1), 2000);
       }
-      await run.look();
+      await run.sample();
       await pause(900);
     }
     const commands = await askCommands(run);
     while (run.done.size < n && performance.now() - started < DONE_WITHIN_MS) {
-      await run.look();
+      await run.sample();
       await pause(500);
     }
     return { outcome: run.outcome(), commands };
@@ -270,20 +270,20 @@
     ['on', on],
     ['off', off],
   ] as const) {
-    const { finished, jobs, moves, spread, urgentWaitMs, broken } = outcome;
-    const wait = `urgent waits p95 ${(urgentWaitMs / 1000).toFixed(1)} s`;
+    const { finished, jobs, moves, spread, urgentStartDelayMs, violations } = outcome;
+    const wait = `urgent waits p95 ${(urgentStartDelayMs / 1000).toFixed(1)} s`;
     console.log(
       `# ${name}: ${finished} of ${jobs} jobs, ${moves} moves, spread ${spread.toFixed(3)}, ${wait}`,
     );
-    assert.deepEqual(broken, []);
+    assert.deepEqual(violations, []);
     assert.equal(finished, jobs);
   }
   // Whether a task must be moved hangs on which controller was ended, and when: moves are shown, not required.
   assert.equal(off.outcome.moves, 0);
   const [atLeader = '', elsewhere = ''] = on.commands;
   if (atLeader !== '') {
-    assert.match(atLeader, new RegExp(`^${EXIT.ok}: .*CPUs`));
-    assert.match(elsewhere, new RegExp(`^${EXIT.refused}: heathbridge: .* does not lead`));
+    assert.match(atLeader, new RegExp(`^${EXIT_CODES.ok}: .*CPUs`));
+    assert.match(elsewhere, new RegExp(`^${EXIT_CODES.refused}: heathbridge: .* does not lead`));
   }
   for (const said of off.commands) assert.match(said, /the feature is off/);
 });
--- a/test/pacing.test.ts
+++ b/test/pacing.test.ts
@@ -4,7 +4,7 @@
 import { ProcessHealth } from '../src/transport/process-health';
 import { WorkPacer } from '../src/transport/work-pacer';
 
-const OPTIONS = { leastMs: 500, mostMs: 2500, share: 0.1 };
+const OPTIONS = { minIntervalMs: 500, maxIntervalMs: 2500, share: 0.1 };
 
 test('repeated work waits longer the more it cost, within its bounds', async (t) => {
   const cases: { name: string; costMs: number; dueAfterMs: number }[] = [
@@ -18,10 +18,10 @@
   for (const { name, costMs, dueAfterMs } of cases) {
     await t.test(name, () => {
       const pacer = new WorkPacer(OPTIONS);
-      assert.equal(pacer.due(0), true, 'at first');
-      pacer.took(1000, 1000 + costMs);
-      assert.equal(pacer.due(1000 + dueAfterMs - 1), false);
-      assert.equal(pacer.due(1000 + dueAfterMs), true);
+      assert.equal(pacer.isDue(0), true, 'at first');
+      pacer.record(1000, 1000 + costMs);
+      assert.equal(pacer.isDue(1000 + dueAfterMs - 1), false);
+      assert.equal(pacer.isDue(1000 + dueAfterMs), true);
     });
   }
 });
@@ -33,12 +33,12 @@
       let now = 0;
       let worked = 0;
       for (const cost of costs) {
-        while (!pacer.due(now)) now += 1;
-        pacer.took(now, now + cost);
+        while (!pacer.isDue(now)) now += 1;
+        pacer.record(now, now + cost);
         worked += cost;
         now += cost;
       }
-      while (!pacer.due(now)) now += 1;
+      while (!pacer.isDue(now)) now += 1;
       assert.ok(worked <= OPTIONS.share * now + 1e-6, `${worked} of ${now} ms`);
     }),
   );
@@ -46,9 +46,9 @@
 
 test('memory, collections and delay of the event loop are told', () => {
   const health = new ProcessHealth();
-  health.collected(3);
-  health.collected(9);
-  for (const lateMs of [-1, 40, 250, 5]) health.timerFired(lateMs);
+  health.recordCollection(3);
+  health.recordCollection(9);
+  for (const lateMs of [-1, 40, 250, 5]) health.recordTimerDelay(lateMs);
   const { memory, collections, eventLoop } = health.summary();
   assert.deepEqual(collections, { count: 2, totalMs: 12, longestMs: 9 });
   assert.deepEqual(eventLoop, { lastDelayMs: 5, longestDelayMs: 250, heldUp: 1 });
--- a/test/partition-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -1,58 +1,61 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { PartitionCore } from '../src/coordination/partition';
-import { PartitionActor } from '../src/coordination/partition-actor';
-import { type HttpAnswer } from '../src/transport/http-client';
+import { PartitionCore } from '../src/coordination/partition/partition-core';
+import { PartitionActor } from '../src/coordination/partition/partition-actor';
+import { type HttpResponse } from '../src/transport/http-client';
 import { keys } from '../src/protocol/records';
 import { ReplicaView } from '../src/storage/replica-view';
-import { Ledger } from '../src/storage/ledger';
+import { StateStoreClient } from '../src/storage/state-store-client';
 import { settle, VirtualTime } from './standin/clock';
 
-type Scripted = HttpAnswer | null;
+type ScriptedResponse = HttpResponse | null;
 
-const VERSION = 100;
+const OWNER_EPOCH = 100;
 const MACHINE = 'i-000001';
-const refused: Scripted = { status: 503, body: {} };
-const applied: Scripted = { status: 200, body: { ledger_rev: 120 } };
-const unanswered: Scripted = null;
-const conflict = (key: string): Scripted => ({ status: 409, body: { failed: [key], ledger_rev: 120 } });
+const refused: ScriptedResponse = { status: 503, body: {} };
+const applied: ScriptedResponse = { status: 200, body: { ledger_rev: 120 } };
+const unanswered: ScriptedResponse = null;
+const conflict = (key: string): ScriptedResponse => ({
+  status: 409,
+  body: { failed: [key], ledger_rev: 120 },
+});
 
 /** A partition's actor whose changes of the store are answered as written; the last answer stands for all after it. */
-class Stage {
+class PartitionActorHarness {
   readonly time = new VirtualTime();
   alive = true;
-  asked = 0;
+  transactionCount = 0;
   readonly actor: PartitionActor;
   readonly core: PartitionCore;
-  readonly ledger: Ledger;
+  readonly ledger: StateStoreClient;
 
-  constructor(answers: readonly Scripted[]) {
+  constructor(answers: readonly ScriptedResponse[]) {
     const clock = this.time.clock(() => true);
     const log = pino({ level: 'silent' });
-    const call = (_method: string, path: string): Promise<Scripted> => {
+    const call = (_method: string, path: string): Promise<ScriptedResponse> => {
       if (path !== '/multi') return Promise.resolve({ status: 404, body: { ledger_rev: 130 } });
-      return Promise.resolve(answers[Math.min(this.asked++, answers.length - 1)] ?? null);
+      return Promise.resolve(answers[Math.min(this.transactionCount++, answers.length - 1)] ?? null);
     };
     const rates = { requestRate: 1000, writeRate: 1000, controllers: 1 };
-    this.ledger = new Ledger({ call }, { call }, clock, log, rates);
+    this.ledger = new StateStoreClient({ call }, { call }, clock, log, rates);
     this.ledger.synced = true;
     this.ledger.revision = 140;
     const replica = new ReplicaView(this.ledger, log);
-    const record = { partition: 'p0', phase: 'kept' as const, type: 'small', zone: 'a', spot: true };
+    const record = { partition: 'p0', phase: 'active' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
-    this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, version: 110 });
+    this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
     this.core = new PartitionCore(
       'p0',
-      VERSION,
+      OWNER_EPOCH,
       [],
       () => new Map(),
       () => undefined,
       {
-        ...{ reportMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
+        ...{ heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
       },
     );
-    this.core.putMachine(MACHINE, record, 110, 0);
+    this.core.upsertMachine(MACHINE, record, 110, 0);
     this.actor = new PartitionActor(
       this.core,
       { teams: [], owner: 'a', incarnation: 7 },
@@ -70,7 +73,7 @@
 // owner knows nothing of.
 test('a hand-over that failed is taken back only if no try of it can be carried out any more', async (t) => {
   const partition = keys.partition('p0');
-  const cases: [string, Scripted[], boolean][] = [
+  const cases: [string, ScriptedResponse[], boolean][] = [
     ['refused at once: we go on', [refused], true],
     ['carried out: it is not ours', [applied], false],
     ['the taker has a new life: we go on', [conflict(keys.member('b'))], true],
@@ -80,34 +83,34 @@
   ];
   for (const [name, answers, goesOn] of cases) {
     await t.test(name, async () => {
-      const stage = new Stage(answers);
-      stage.actor.tell({ kind: 'handover', to: 'b', incarnation: 9 });
+      const harness = new PartitionActorHarness(answers);
+      harness.actor.send({ kind: 'handover', to: 'b', incarnation: 9 });
       await settle();
-      await stage.time.run(20_000);
-      assert.equal(stage.actor.active, goesOn);
-      assert.ok(stage.asked < 200, `${stage.asked} requests in 20 s`);
+      await harness.time.run(20_000);
+      assert.equal(harness.actor.active, goesOn);
+      assert.ok(harness.transactionCount < 200, `${harness.transactionCount} requests in 20 s`);
     });
   }
 });
 
 // A session lease that lapses for a moment, as at the start of an outage, once let go of a machine whose move was on its way.
 test('a machine stays locked while its move may still be carried out', async (t) => {
-  const cases: [string, Scripted[], boolean][] = [
+  const cases: [string, ScriptedResponse[], boolean][] = [
     ['refused at once: it stays and is free again', [refused], false],
     ['an answer was lost, our session lease lapsed and came back', [unanswered, refused], true],
     ['an answer was lost, and it can be no more', [unanswered, conflict(keys.fleet('p0', '1'))], false],
   ];
   for (const [name, answers, locked] of cases) {
     await t.test(name, async () => {
-      const stage = new Stage(answers);
-      stage.actor.tell({ kind: 'move', machine: MACHINE, toPartition: 'p1', drain: false });
-      stage.actor.tell({ kind: 'tick' });
+      const harness = new PartitionActorHarness(answers);
+      harness.actor.send({ kind: 'move', machine: MACHINE, toPartition: 'p1', drain: false });
+      harness.actor.send({ kind: 'tick' });
       // The move is tried once more with each tick of a real controller; one is enough here.
-      stage.time.at(1000, () => (stage.alive = false));
-      stage.time.at(4000, () => (stage.alive = true));
+      harness.time.at(1000, () => (harness.alive = false));
+      harness.time.at(4000, () => (harness.alive = true));
       await settle();
-      await stage.time.run(20_000);
-      assert.equal(stage.core.machines.get(MACHINE)?.locked, locked);
+      await harness.time.run(20_000);
+      assert.equal(harness.core.machines.get(MACHINE)?.cordoned, locked);
     });
   }
 });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { pipelineView, type Member } from '../src/coordination/pipelines';
+import { evaluatePipeline, type PipelineMember } from '../src/coordination/pipeline/pipelines';
 import { type EdgeKind, type JobSpec } from '../src/protocol/jobs';
 import { type JobState } from '../src/protocol/records';
 
@@ -12,7 +12,7 @@
 }
 
 /** Jobs a, b, c … of one pipeline, accepted in this order. */
-function members(links: Record<string, Link>): Member[] {
+function members(links: Record<string, Link>): PipelineMember[] {
   return Object.entries(links).map(([ref, { after = [], once, alternateFor, state = 'open' }], order) => {
     const pipeline = {
       ref: 'p',
@@ -103,7 +103,7 @@
   ];
   for (const [name, links, interrupted, expected] of cases) {
     await t.test(name, () => {
-      const view = pipelineView(members(links), new Set(interrupted));
+      const view = evaluatePipeline(members(links), new Set(interrupted));
       const shows = [...view.standing]
         .map(([ref, s]) => `${ref}:${s.state}${s.because === null ? '' : `(${s.because})`}`)
         .join(' ');
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -8,7 +8,7 @@
     [
       'knobs, computed if need be',
       'local h = 1\nreturn { headroom = math.max(h, 1.5), classes = { ["pick-plan"] = { price = "fast" } } }',
-      { progressS: 2, headroom: 1.5, classes: { 'pick-plan': { price: 'fast' } } },
+      { progressIntervalS: 2, headroom: 1.5, classes: { 'pick-plan': { price: 'fast' } } },
     ],
     ['out of bounds', 'return {\n  headroom = 9,\n}', /^p\.lua:2: headroom: /],
     ['of the wrong kind', 'return { progress_interval_s = "2" }', /^p\.lua:1: progress_interval_s: /],
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodePeer, encodePeer, type PeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../src/protocol/peers';
 import {
   decodeBatch,
   decodeFleet,
@@ -13,28 +13,42 @@
 
 /** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
 const status: PeerMessage = {
-  ...{ kind: 'status', member: 'a', seq: 1, storeOk: true, incarnation: 4, heardMs: 1.5, revision: 412 },
+  ...{
+    kind: 'status',
+    member: 'a',
+    sequence: 1,
+    storeOk: true,
+    memberIncarnation: 4,
+    sinceHeartbeatMs: 1.5,
+    revision: 412,
+  },
   misrouted: [{ partition: 'p0', machines: 3 }],
   partitions: [
     {
       ...{
         partition: 'p0',
-        version: 9,
-        workLeft: [1, 0, 0, 0],
+        epoch: 9,
+        remainingWork: [1, 0, 0, 0],
         backlog: [0, 2, 0, 0],
         unconfirmed: 2,
-        quietS: 3,
+        sinceLastJobS: 3,
       },
       demands: [
         {
-          ...{ workload: 'w', cpus: 1, accelerators: 0, memoryGb: 2, types: ['a'], zones: ['z'] },
-          ...{ spot: true, rank: 1, tasks: 3, seconds: 9 },
+          ...{ workload: 'w', cpus: 1, accelerators: 0, memoryGb: 2, machineTypes: ['a'], zones: ['z'] },
+          ...{ spot: true, priority: 1, tasks: 3, expectedS: 9 },
         },
       ],
       machines: [
         {
           ...{ machine: 'i-1', tasks: 1, freeCpus: 2, freeMemoryGb: 3, freeAccelerators: 0, idleMs: 0 },
-          ...{ silentMs: 5, faulty: false, noticed: false, leavingTo: '', emptyInS: 4 },
+          ...{
+            sinceHeartbeatMs: 5,
+            quarantined: false,
+            preemptionNotice: false,
+            transferTarget: '',
+            emptyInS: 4,
+          },
         },
       ],
     },
@@ -50,13 +64,13 @@
   ],
   [
     {
-      ...{ kind: 'pong', member: 'a', seq: 7, storeOk: false, extended: true, page: 1, pages: 2 },
-      cancelled: [{ job: 'job-000001', version: 413 }],
+      ...{ kind: 'pong', member: 'a', sequence: 7, storeOk: false, extended: true, page: 1, pages: 2 },
+      cancelled: [{ job: 'job-000001', revision: 413 }],
     },
     'AgJhDgABAgQCFGpvYi0wMDAwMDG6BgA=',
   ],
   [{ kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true }, 'BAZpLTEEcDEB'],
-  [{ kind: 'retire', machine: 'i-1', why: 'idle', force: false }, 'BgZpLTEIaWRsZQA='],
+  [{ kind: 'retire', machine: 'i-1', reason: 'idle', force: false }, 'BgZpLTEIaWRsZQA='],
   [{ kind: 'handover', partition: 'p0', to: 'b' }, 'CARwMAJi'],
 ];
 
@@ -65,8 +79,8 @@
 test('frames that earlier builds recorded are read and written as before', async (t) => {
   for (const [message, recorded] of frames) {
     await t.test(message.kind, () => {
-      assert.equal(encodePeer(message).toString('base64'), recorded);
-      assert.deepEqual(plain(decodePeer(Buffer.from(recorded, 'base64'))), plain(message));
+      assert.equal(encodePeerMessage(message).toString('base64'), recorded);
+      assert.deepEqual(plain(decodePeerMessage(Buffer.from(recorded, 'base64'))), plain(message));
     });
   }
 });
@@ -82,21 +96,36 @@
       '2026-01-02T03:04:05.678Z',
     ];
     const spec = {
-      ...{ ref: 'job-000001', workload: 'w', team: 't', rank: 2, tasks: 5, cpus: 1, accelerators: 0 },
-      ...{ memoryGb: 2, image: 'i', imageGb: 1, types: ['a'], zone: 'z', together: true, apart: false },
-      ...{ spot: true, expectedS: 30, checkpointS: 30, saveS: 3, deadlineS: 90, pipeline: null },
+      ...{ ref: 'job-000001', workload: 'w', team: 't', priority: 2, tasks: 5, cpus: 1, accelerators: 0 },
+      ...{
+        memoryGb: 2,
+        image: 'i',
+        imageGb: 1,
+        machineTypes: ['a'],
+        zone: 'z',
+        singleZone: true,
+        spreadZones: false,
+      },
+      ...{
+        spot: true,
+        expectedS: 30,
+        checkpointIntervalS: 30,
+        checkpointDurationS: 3,
+        deadlineS: 90,
+        pipeline: null,
+      },
     };
-    const accepted = '2026-01-02T03:04:05.678Z';
-    assert.deepEqual(decodeBatch([stored]), [{ spec, accepted }]);
-    assert.deepEqual(plain(encodeAccepted({ spec, accepted })), stored);
+    const acceptedAt = '2026-01-02T03:04:05.678Z';
+    assert.deepEqual(decodeBatch([stored]), [{ spec, acceptedAt }]);
+    assert.deepEqual(plain(encodeAccepted({ spec, acceptedAt })), stored);
   });
   await t.test('progress', () => {
     const stored = { 'job-000001': ['0-3,7', 5, 2, 16] };
     const progress = decodeProgress(stored);
     assert.deepEqual(progress?.get('job-000001'), {
-      done: '0-3,7',
+      doneRanges: '0-3,7',
       doneCount: 5,
-      running: 2,
+      runningCount: 2,
       startWatermark: 16,
     });
     assert.deepEqual(encodeProgress(progress ?? new Map()), stored);
@@ -108,14 +137,14 @@
     ];
     const fleet = decodeFleet('p0', stored, 9);
     assert.deepEqual(
-      [...(fleet ?? [])].map(([id, { record, version }]) => [id, record.phase, record.why, version]),
+      [...(fleet ?? [])].map(([id, { record, revision }]) => [id, record.phase, record.reason, revision]),
       [
-        ['i-1', 'kept', undefined, 7],
-        ['i-2', 'returning', 'idle', 9],
+        ['i-1', 'active', undefined, 7],
+        ['i-2', 'deprovisioning', 'idle', 9],
       ],
     );
     const entries = [...(fleet ?? [])].map(
-      ([id, entry]) => [id, { record: entry.record, version: id === 'i-1' ? 7 : null }] as const,
+      ([id, entry]) => [id, { record: entry.record, revision: id === 'i-1' ? 7 : null }] as const,
     );
     assert.deepEqual(plain(encodeFleet(entries)), stored);
   });
@@ -129,7 +158,12 @@
         keys.batch('b'),
         keys.cancel('j'),
       ],
-      ...[keys.final('p0', 1), keys.progress('p0', 2), keys.assigned('p0', 3), keys.fleet('p0', 'f')],
+      ...[
+        keys.terminalStates('p0', 1),
+        keys.progress('p0', 2),
+        keys.assignedMachines('p0', 3),
+        keys.fleet('p0', 'f'),
+      ],
     ];
     assert.deepEqual(named, [
       ...['hb/member/m', 'hb/leader', 'hb/catalog', 'hb/part/p0', 'hb/batch/b', 'hb/cancel/j'],
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -1,7 +1,7 @@
 import prand from 'pure-rand';
 import { balancerSettingsSchema, coefficientOfVariation } from '@heathbridge/load-balancer';
-import { loadBalancing } from '../../src/coordination/load-balancing';
-import { World, type JobShape, type TaskWatcher } from './world';
+import { loadBalancing } from '../../src/coordination/balancing/load-balancing';
+import { VirtualCluster, type JobShape, type TaskListener } from './world';
 
 /** A virtual day with skewed load, as it is measured and tested with and without balancing. */
 export interface BalanceDayOptions {
@@ -17,11 +17,11 @@
 
 /** What a day came to. */
 export interface BalanceDayResult {
-  broken: string[];
+  violations: string[];
   jobs: number;
   finished: number;
   /** Seconds from submission to the start of each task, by urgency. */
-  waits: Map<string, number[]>;
+  startDelays: Map<string, number[]>;
   /** Coefficient of variation of the CPUs in use, machine by machine, every few seconds while jobs come. */
   spread: { atMs: number; value: number }[];
   moves: { planned: number; completed: number; abandoned: number };
@@ -29,7 +29,7 @@
   /** Why tasks were not moved. */
   refusals: { reason: string; count: number }[];
   /** Seconds of work that were done again. */
-  lostS: number;
+  repeatedWorkS: number;
   cpuMs: number;
 }
 
@@ -37,7 +37,7 @@
 const SETTLE_MS = 10_000;
 const DRAIN_MS = 400_000;
 const CRASH_MS = 5000;
-const KINDS = [{ label: 'small', cpus: 4, memory: 16 }];
+const MACHINE_TYPES = [{ label: 'small', cpus: 4, memory: 16 }];
 
 interface StatusView {
   balance?: {
@@ -53,9 +53,9 @@
   };
 }
 
-class Waits implements TaskWatcher {
-  readonly byUrgency = new Map<string, number[]>();
-  lostS = 0;
+class StartDelays implements TaskListener {
+  readonly byPriority = new Map<string, number[]>();
+  repeatedWorkS = 0;
   private readonly jobs = new Map<string, { urgency: string; at: number }>();
   private readonly begun = new Set<string>();
 
@@ -63,11 +63,11 @@
     this.jobs.set(ref, { urgency, at });
   }
 
-  began(piece: string, at: number): void {
+  started(piece: string, at: number): void {
     const job = this.jobs.get(piece.split('/')[0] ?? '');
     if (!job || this.begun.has(piece)) return;
     this.begun.add(piece);
-    this.byUrgency.set(job.urgency, [...(this.byUrgency.get(job.urgency) ?? []), (at - job.at) / 1000]);
+    this.byPriority.set(job.urgency, [...(this.byPriority.get(job.urgency) ?? []), (at - job.at) / 1000]);
   }
 
   completed(): void {
@@ -75,12 +75,12 @@
   }
 
   stopped(_: string, ranMs: number, saved: boolean): void {
-    if (!saved) this.lostS += ranMs / 1000;
+    if (!saved) this.repeatedWorkS += ranMs / 1000;
   }
 }
 
 /** Idle tasks of all run times fill the fleet in pieces; large urgent tasks and a team whose load doubles come on top. */
-function submitJobs(world: World, { seed, machines, minutes }: BalanceDayOptions): void {
+function submitJobs(cluster: VirtualCluster, { seed, machines, minutes }: BalanceDayOptions): void {
   const random = prand.xoroshiro128plus(seed);
   const pick = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
   const small = { cpus: 1, build: 'img-0', imageGb: 1, checkpointS: 10, saveS: 1 };
@@ -92,62 +92,71 @@
       const runMs = 40_000 + pick(240_000);
       const expectedS = (runMs / 1000) * (0.5 + pick(100) / 100);
       const shape = { ...small, crew, pieces: 1 + pick(most), urgency: 'idle', runMs, expectedS };
-      world.time.at(at + pick(5000), () => world.submitShaped(++n, shape));
+      cluster.time.at(at + pick(5000), () => cluster.submitJob(++n, shape));
     }
     const large = { crew: 'west', cpus: 4, build: 'img-1', imageGb: 2, checkpointS: 0, saveS: 0 };
     const shape = { ...large, pieces: 1 + pick(2), urgency: 'urgent', runMs: 8000, expectedS: 8 };
-    world.time.at(at + pick(5000), () => world.submitShaped(++n, shape));
+    cluster.time.at(at + pick(5000), () => cluster.submitJob(++n, shape));
   }
 }
 
-function usedCpus(world: World): number[] {
-  return [...world.cloud.workers.values()].map((worker) =>
-    [...worker.pieces.keys()].reduce((sum, piece) => sum + (worker.onIt(piece) ? world.cpusOf(piece) : 0), 0),
+function usedCpus(cluster: VirtualCluster): number[] {
+  return [...cluster.cloud.workers.values()].map((worker) =>
+    [...worker.tasks.keys()].reduce(
+      (sum, piece) => sum + (worker.executes(piece) ? cluster.cpusOfTask(piece) : 0),
+      0,
+    ),
   );
 }
 
 /** Plays a day. Only the processor time depends on the machine that it is played on. */
 export async function playBalanceDay(options: BalanceDayOptions): Promise<BalanceDayResult> {
-  const waits = new Waits();
+  const startDelays = new StartDelays();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
-  const world = new World(options.seed, {
-    ...{ nodes: 3, capacity: options.machines, teams: options.machines, kinds: KINDS, watcher: waits },
-    first: [{ kind: 'small', count: options.machines }],
+  const cluster = new VirtualCluster(options.seed, {
+    ...{
+      controllers: 3,
+      maxMachines: options.machines,
+      teamLimitFactor: options.machines,
+      machineTypes: MACHINE_TYPES,
+      taskListener: startDelays,
+    },
+    initialMachines: [{ kind: 'small', count: options.machines }],
     ...(settings ? { balancing: (clock) => loadBalancing(settings, clock) } : {}),
   });
-  submitJobs(world, options);
+  submitJobs(cluster, options);
   const endMs = options.minutes * 60_000;
   const spread: { atMs: number; value: number }[] = [];
   const sample = (): void => {
-    spread.push({ atMs: world.time.now, value: coefficientOfVariation(usedCpus(world)) });
-    if (world.time.now + SAMPLE_MS < endMs) world.time.at(world.time.now + SAMPLE_MS, sample);
+    spread.push({ atMs: cluster.time.now, value: coefficientOfVariation(usedCpus(cluster)) });
+    if (cluster.time.now + SAMPLE_MS < endMs) cluster.time.at(cluster.time.now + SAMPLE_MS, sample);
   };
-  world.time.at(2 * SETTLE_MS, sample);
-  if (options.crashAtMs !== null) world.time.at(options.crashAtMs, () => world.crash(0, CRASH_MS));
+  cluster.time.at(2 * SETTLE_MS, sample);
+  if (options.crashAtMs !== null) cluster.time.at(options.crashAtMs, () => cluster.crash(0, CRASH_MS));
   const started = process.cpuUsage();
-  await world.run(endMs + DRAIN_MS);
+  await cluster.runUntil(endMs + DRAIN_MS);
   const { user, system } = process.cpuUsage(started);
-  const fleet = leaderFleet(world);
+  const fleet = leaderFleet(cluster);
   const sum = (key: 'planned' | 'completed' | 'abandoned'): number =>
     (fleet?.partitions ?? []).reduce((total, { summary }) => total + summary.moves[key], 0);
   return {
-    broken: world.broken,
-    jobs: world.jobs.length,
-    finished: world.jobs.filter((job) => world.isComplete(job.ref)).length,
-    waits: waits.byUrgency,
+    violations: cluster.violations,
+    jobs: cluster.jobs.length,
+    finished: cluster.jobs.filter((job) => cluster.isComplete(job.ref)).length,
+    startDelays: startDelays.byPriority,
     spread,
     moves: { planned: sum('planned'), completed: sum('completed'), abandoned: sum('abandoned') },
     machineMoves: fleet?.machineMoves ?? { allowed: 0, refused: 0 },
     refusals: (fleet?.partitions ?? []).flatMap(({ summary }) => summary.refusals),
-    lostS: waits.lostS,
+    repeatedWorkS: startDelays.repeatedWorkS,
     cpuMs: (user + system) / 1000,
   };
 }
 
 type FleetStatus = NonNullable<StatusView['balance']>['fleet'];
 
-function leaderFleet(world: World): FleetStatus {
-  for (const { controller, up } of world.nodes) {
+function leaderFleet(cluster: VirtualCluster): FleetStatus {
+  for (const { controller, up } of cluster.nodes) {
     const status = up ? (controller?.status() as StatusView | undefined) : undefined;
     if (status?.balance?.fleet) return status.balance.fleet;
   }
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -7,7 +7,7 @@
 }
 
 /** What the stand-ins need of time, virtual or real. */
-export interface StandinTime {
+export interface SimulatedTime {
   /** Milliseconds since the stand-ins began. */
   readonly now: number;
   /** Runs `action` at this moment; `cancel` takes it back. */
@@ -16,7 +16,7 @@
 }
 
 /** Virtual time: nothing waits, everything happens in the order of its time. */
-export class VirtualTime implements StandinTime {
+export class VirtualTime implements SimulatedTime {
   now = 0;
   private order = 0;
   private timers: Timer[] = [];
@@ -53,14 +53,14 @@
   }
 
   /** A process's clocks: they stop firing when the process has ended, and wait while it stands still. */
-  clock(isUp: () => boolean, rate = 1, stillUntil: () => number = () => 0): Clock {
+  clock(isUp: () => boolean, rate = 1, pausedUntil: () => number = () => 0): Clock {
     const origin = this.now;
     return {
       steady: () => origin + (this.now - origin) * rate,
-      today: () => new Date(1_790_000_000_000 + this.now),
-      after: (ms, action) => {
+      wallClock: () => new Date(1_790_000_000_000 + this.now),
+      schedule: (ms, action) => {
         const fire = (): void => {
-          if (this.now < stillUntil()) timer = this.at(stillUntil(), fire);
+          if (this.now < pausedUntil()) timer = this.at(pausedUntil(), fire);
           else if (isUp()) action();
         };
         let timer = this.at(this.now + ms / rate, fire);
--- a/test/standin/fleet.ts
+++ b/test/standin/fleet.ts
@@ -1,267 +1,270 @@
-import type { HttpAnswer } from '../../src/transport/http-client';
-import type { StandinTime } from './clock';
+import type { HttpResponse } from '../../src/transport/http-client';
+import type { SimulatedTime } from './clock';
 
-export interface WireOrder {
+export interface WireCommand {
   order: 'start' | 'kill' | 'reap';
   piece: string;
   try: number;
   wind_down_s?: number;
 }
 
-interface Piece {
+interface TaskAttempt {
   try: number;
   status: 'pulling' | 'running' | 'flushing' | 'ended';
   exit_reason?: string;
   saved?: boolean;
   timer?: unknown;
   /** When it began to run here. */
-  began?: number;
+  startedAt?: number;
 }
 
 export interface FleetHooks {
   /** Called when a task begins on a machine; throws if a rule is broken. */
-  began: (machine: Worker, piece: string) => void;
-  completed: (piece: string) => void;
+  taskStarted: (machine: FakeWorker, piece: string) => void;
+  taskCompleted: (piece: string) => void;
   /** A lease ran out, and with it everything on the machine. */
-  expired: () => void;
+  leaseExpired: () => void;
   runMs: (piece: string) => number;
   /** Time until a task's image is on a machine. */
-  fetchMs?: (machine: Worker, piece: string) => number;
+  imageFetchMs?: (machine: FakeWorker, piece: string) => number;
   /** Time that a task needs to save when it is stopped; null: it never saves. */
-  saveMs?: (piece: string) => number | null;
+  checkpointMs?: (piece: string) => number | null;
   /** A task was stopped after it had run so long here; `saved`: it goes on from there. */
-  stopped?: (piece: string, ranMs: number, saved: boolean) => void;
+  taskStopped?: (piece: string, ranMs: number, saved: boolean) => void;
   /** Brings a report to a controller; null: no answer in time. */
-  deliver: (node: number, worker: Worker, report: object) => Promise<HttpAnswer | null>;
-  nodeIndex: (name: string) => number | null;
-  nodes: number;
-  reportMs: number;
+  deliver: (node: number, worker: FakeWorker, report: object) => Promise<HttpResponse | null>;
+  controllerIndex: (name: string) => number | null;
+  controllers: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
 /** Stands in for a machine and its worker, after the users' description of both. */
-export class Worker {
-  readonly pieces = new Map<string, Piece>();
-  shift = 1;
-  tick = 0;
-  baton = 0;
+export class FakeWorker {
+  readonly tasks = new Map<string, TaskAttempt>();
+  agentEpoch = 1;
+  sequence = 0;
+  token = 0;
   up = true;
   hung = false;
   /** It reaches no controller. */
-  mute = false;
+  heartbeatsLost = false;
   /** Its reports arrive, but nothing that it is answered. */
-  deaf = false;
+  responsesLost = false;
   /** Every task fails. */
-  sick = false;
-  private node = 0;
-  private lastAnswered: number;
-  private busy = false;
-  private reportedAt = Number.NEGATIVE_INFINITY;
-  private dueSoon = false;
+  failsAllTasks = false;
+  private controller = 0;
+  private leaseRenewedAt: number;
+  private awaitingResponse = false;
+  private lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+  private heartbeatDueSoon = false;
 
   constructor(
-    private readonly time: StandinTime,
+    private readonly time: SimulatedTime,
     private readonly hooks: FleetHooks,
     readonly name: string,
-    readonly model: string,
-    readonly yard: string,
-    readonly loaners: boolean,
+    readonly type: string,
+    readonly zone: string,
+    readonly spot: boolean,
   ) {
-    this.lastAnswered = time.now;
-    this.node = Number(name.slice(-1)) % hooks.nodes;
-    this.loop();
+    this.leaseRenewedAt = time.now;
+    this.controller = Number(name.slice(-1)) % hooks.controllers;
+    this.scheduleNextCheck();
   }
 
-  onIt(piece: string): boolean {
-    const p = this.pieces.get(piece);
+  executes(piece: string): boolean {
+    const p = this.tasks.get(piece);
     // Hanging longer than its lease it executes nothing any more: the first thing it does when it goes on is to stop.
-    if (this.hung && this.time.now - this.lastAnswered > this.hooks.leaseMs) return false;
+    if (this.hung && this.time.now - this.leaseRenewedAt > this.hooks.leaseMs) return false;
     return this.up && (p?.status === 'running' || p?.status === 'flushing');
   }
 
-  end(): void {
+  terminate(): void {
     this.up = false;
-    this.dropAll();
+    this.dropAllTasks();
   }
 
-  private dropAll(): void {
-    for (const p of this.pieces.values()) if (p.timer) this.time.cancel(p.timer);
-    this.pieces.clear();
+  private dropAllTasks(): void {
+    for (const p of this.tasks.values()) if (p.timer) this.time.cancel(p.timer);
+    this.tasks.clear();
   }
 
-  private loop(): void {
+  private scheduleNextCheck(): void {
     if (!this.up) return;
     if (!this.hung) {
       this.checkLease();
-      const due = this.time.now - this.reportedAt >= (this.dueSoon ? 500 : this.hooks.reportMs);
-      if (!this.busy && due) void this.report();
+      const due =
+        this.time.now - this.lastHeartbeatAt >=
+        (this.heartbeatDueSoon ? 500 : this.hooks.heartbeatIntervalMs);
+      if (!this.awaitingResponse && due) void this.sendHeartbeat();
     }
-    this.time.at(this.time.now + 100, () => this.loop());
+    this.time.at(this.time.now + 100, () => this.scheduleNextCheck());
   }
 
   private checkLease(): void {
-    if (this.time.now - this.lastAnswered <= this.hooks.leaseMs) return;
-    if (this.pieces.size > 0) this.hooks.expired();
-    this.dropAll();
-    this.shift++;
-    this.lastAnswered = this.time.now;
-    this.dueSoon = true;
+    if (this.time.now - this.leaseRenewedAt <= this.hooks.leaseMs) return;
+    if (this.tasks.size > 0) this.hooks.leaseExpired();
+    this.dropAllTasks();
+    this.agentEpoch++;
+    this.leaseRenewedAt = this.time.now;
+    this.heartbeatDueSoon = true;
   }
 
-  view(): object {
+  heartbeatBody(): object {
     return {
       velodrome: this.name,
       address: '10.1.0.1:9000',
-      model: this.model,
-      yard: this.yard,
-      loaners: this.loaners,
-      shift: this.shift,
-      tick: ++this.tick,
-      baton: this.baton,
+      model: this.type,
+      yard: this.zone,
+      loaners: this.spot,
+      shift: this.agentEpoch,
+      tick: ++this.sequence,
+      baton: this.token,
       recall_s: null,
-      pieces: [...this.pieces].map(([piece, { try: attempt, status, exit_reason, saved }]) => ({
+      pieces: [...this.tasks].map(([piece, { try: attempt, status, exit_reason, saved }]) => ({
         ...{ piece, try: attempt, status, exit_reason, saved },
       })),
     };
   }
 
-  private async report(): Promise<void> {
-    this.busy = true;
-    this.dueSoon = false;
+  private async sendHeartbeat(): Promise<void> {
+    this.awaitingResponse = true;
+    this.heartbeatDueSoon = false;
     const sentAt = this.time.now;
-    const shift = this.shift;
-    this.reportedAt = sentAt;
-    const answer = await this.hooks.deliver(this.node, this, this.view());
-    this.busy = false;
+    const shift = this.agentEpoch;
+    this.lastHeartbeatAt = sentAt;
+    const answer = await this.hooks.deliver(this.controller, this, this.heartbeatBody());
+    this.awaitingResponse = false;
     if (!this.up || this.hung) return;
     if (answer?.status === 200) {
-      const body = answer.body as { baton: number; orders: WireOrder[] };
-      if (shift !== this.shift || body.baton < this.baton) return;
-      if (body.baton > this.baton) this.dueSoon = true;
-      this.baton = body.baton;
-      this.lastAnswered = sentAt;
+      const body = answer.body as { baton: number; orders: WireCommand[] };
+      if (shift !== this.agentEpoch || body.baton < this.token) return;
+      if (body.baton > this.token) this.heartbeatDueSoon = true;
+      this.token = body.baton;
+      this.leaseRenewedAt = sentAt;
       for (const order of body.orders) this.execute(order);
       return;
     }
     const named = answer?.status === 421 ? (answer.body as { dispatcher?: string }).dispatcher : undefined;
-    const owner = named === undefined ? null : this.hooks.nodeIndex(named);
-    const next = owner !== null && owner !== this.node ? owner : (this.node + 1) % this.hooks.nodes;
+    const owner = named === undefined ? null : this.hooks.controllerIndex(named);
+    const next =
+      owner !== null && owner !== this.controller ? owner : (this.controller + 1) % this.hooks.controllers;
     // The pause before the next try; 421 with an owner is followed at once.
-    const pause = owner !== null && owner !== this.node ? 50 : 1000;
-    this.node = next;
-    this.reportedAt = this.time.now + pause - this.hooks.reportMs;
+    const pause = owner !== null && owner !== this.controller ? 50 : 1000;
+    this.controller = next;
+    this.lastHeartbeatAt = this.time.now + pause - this.hooks.heartbeatIntervalMs;
   }
 
-  private execute(order: WireOrder): void {
-    const known = this.pieces.get(order.piece);
+  private execute(order: WireCommand): void {
+    const known = this.tasks.get(order.piece);
     if (order.order === 'reap') {
-      if (known?.status === 'ended' && known.try === order.try) this.pieces.delete(order.piece);
+      if (known?.status === 'ended' && known.try === order.try) this.tasks.delete(order.piece);
       return;
     }
     if (order.order === 'kill') {
       if (known && known.try === order.try && known.status !== 'ended')
-        this.stop(order.piece, known, order.wind_down_s ?? 0);
+        this.stopTask(order.piece, known, order.wind_down_s ?? 0);
       return;
     }
     if (known && known.status !== 'ended') return;
     if (known && known.try === order.try) return;
-    const piece: Piece = { try: order.try, status: 'pulling' };
-    this.pieces.set(order.piece, piece);
-    this.dueSoon = true;
-    const fetchMs = this.hooks.fetchMs?.(this, order.piece) ?? FETCH_MS;
-    piece.timer = this.time.at(this.time.now + fetchMs, () => this.begin(order.piece, piece));
+    const piece: TaskAttempt = { try: order.try, status: 'pulling' };
+    this.tasks.set(order.piece, piece);
+    this.heartbeatDueSoon = true;
+    const fetchMs = this.hooks.imageFetchMs?.(this, order.piece) ?? DEFAULT_IMAGE_FETCH_MS;
+    piece.timer = this.time.at(this.time.now + fetchMs, () => this.startTask(order.piece, piece));
   }
 
-  private begin(name: string, piece: Piece): void {
+  private startTask(name: string, piece: TaskAttempt): void {
     if (this.hung) {
-      piece.timer = this.time.at(this.time.now + 200, () => this.begin(name, piece));
+      piece.timer = this.time.at(this.time.now + 200, () => this.startTask(name, piece));
       return;
     }
     piece.status = 'running';
-    piece.began = this.time.now;
-    this.hooks.began(this, name);
-    this.dueSoon = true;
+    piece.startedAt = this.time.now;
+    this.hooks.taskStarted(this, name);
+    this.heartbeatDueSoon = true;
     const finish = (): void => {
       if (this.hung) piece.timer = this.time.at(this.time.now + 200, finish);
-      else this.exit(name, piece, this.sick ? 'error' : 'done');
+      else this.endTask(name, piece, this.failsAllTasks ? 'error' : 'done');
     };
-    piece.timer = this.time.at(this.time.now + (this.sick ? 300 : this.hooks.runMs(name)), finish);
+    piece.timer = this.time.at(this.time.now + (this.failsAllTasks ? 300 : this.hooks.runMs(name)), finish);
   }
 
   /** A running task that can save does so if it is given the time; anything else ends at once. */
-  private stop(name: string, piece: Piece, windDownS: number): void {
-    const saveMs = this.hooks.saveMs?.(name) ?? null;
+  private stopTask(name: string, piece: TaskAttempt, windDownS: number): void {
+    const saveMs = this.hooks.checkpointMs?.(name) ?? null;
     if (piece.status === 'flushing' && windDownS > 0) return;
     if (piece.status !== 'running' || saveMs === null || saveMs > windDownS * 1000)
-      return this.exit(name, piece, 'stopped');
+      return this.endTask(name, piece, 'stopped');
     this.time.cancel(piece.timer);
     piece.status = 'flushing';
-    this.dueSoon = true;
-    const ranMs = this.time.now - (piece.began ?? this.time.now);
+    this.heartbeatDueSoon = true;
+    const ranMs = this.time.now - (piece.startedAt ?? this.time.now);
     piece.timer = this.time.at(this.time.now + saveMs, () => {
       piece.saved = true;
-      this.hooks.stopped?.(name, ranMs, true);
-      this.exit(name, piece, 'stopped');
+      this.hooks.taskStopped?.(name, ranMs, true);
+      this.endTask(name, piece, 'stopped');
     });
   }
 
-  private exit(name: string, piece: Piece, reason: string): void {
-    const ranMs = piece.status === 'running' ? this.time.now - (piece.began ?? this.time.now) : 0;
-    if (reason === 'stopped' && ranMs > 0) this.hooks.stopped?.(name, ranMs, false);
+  private endTask(name: string, piece: TaskAttempt, reason: string): void {
+    const ranMs = piece.status === 'running' ? this.time.now - (piece.startedAt ?? this.time.now) : 0;
+    if (reason === 'stopped' && ranMs > 0) this.hooks.taskStopped?.(name, ranMs, false);
     if (piece.timer) this.time.cancel(piece.timer);
     piece.status = 'ended';
     piece.exit_reason = reason;
-    this.dueSoon = true;
-    if (reason === 'done') this.hooks.completed(name);
+    this.heartbeatDueSoon = true;
+    if (reason === 'done') this.hooks.taskCompleted(name);
   }
 }
 
 /** Time that an image takes unless a hook says otherwise. */
-const FETCH_MS = 700;
+const DEFAULT_IMAGE_FETCH_MS = 700;
 
-export interface Kind {
+export interface FakeMachineType {
   label: string;
   cpus: number;
   memory: number;
 }
 
 /** Machines on a page of the list unless said otherwise: what one page shows may have changed by the next. */
-const SHORT_PAGE = 4;
+const DEFAULT_PAGE_MACHINES = 4;
 
 /** Stands in for the cloud: rents, lists late, takes back. */
-export class StandinCloud {
-  readonly workers = new Map<string, Worker>();
+export class FakeCloud {
+  readonly workers = new Map<string, FakeWorker>();
   private readonly booting = new Map<string, { model: string; yard: string; loaners: boolean }>();
-  private readonly since = new Map<string, number>();
-  private readonly requests = new Map<string, string[]>();
+  private readonly provisionedAt = new Map<string, number>();
+  private readonly provisionedByRequest = new Map<string, string[]>();
   private readonly lists: { at: number; body: { velodromes: { ref: string }[] } }[] = [];
   private count = 0;
-  down = false;
+  unavailable = false;
   private closed = false;
 
   constructor(
-    private readonly time: StandinTime,
+    private readonly time: SimulatedTime,
     private readonly hooks: FleetHooks,
-    private readonly kinds: readonly Kind[],
-    private readonly yards: readonly string[],
+    private readonly types: readonly FakeMachineType[],
+    private readonly zones: readonly string[],
     private readonly capacity: number,
-    private readonly lagMs: number,
+    private readonly listLagMs: number,
     private readonly bootMs: number,
-    private readonly pageMachines = SHORT_PAGE,
+    private readonly pageMachines = DEFAULT_PAGE_MACHINES,
   ) {}
 
-  kind(label: string): Kind {
-    return this.kinds.find((k) => k.label === label) as Kind;
+  machineType(label: string): FakeMachineType {
+    return this.types.find((k) => k.label === label) as FakeMachineType;
   }
 
-  open(model: string, yard: string, loaners: boolean, bootMs: number): string {
+  addMachine(model: string, yard: string, loaners: boolean, bootMs: number): string {
     const name = `i-${String(this.count++).padStart(6, '0')}`;
     this.booting.set(name, { model, yard, loaners });
-    this.since.set(name, this.time.now);
+    this.provisionedAt.set(name, this.time.now);
     if (bootMs === Infinity) return name;
     this.time.at(this.time.now + bootMs, () => {
       if (!this.booting.delete(name) || this.closed) return;
-      this.workers.set(name, new Worker(this.time, this.hooks, name, model, yard, loaners));
+      this.workers.set(name, new FakeWorker(this.time, this.hooks, name, model, yard, loaners));
     });
     return name;
   }
@@ -270,16 +273,16 @@
   bootFactor = (): number => 1;
 
   /** Machines that are rented and not up. */
-  get stillBooting(): number {
+  get bootingCount(): number {
     return this.booting.size;
   }
 
   /** How many machines were taken or given back. */
-  taken = 0;
+  terminatedCount = 0;
 
-  take(name: string): void {
-    this.taken++;
-    this.workers.get(name)?.end();
+  terminateMachine(name: string): void {
+    this.terminatedCount++;
+    this.workers.get(name)?.terminate();
     this.workers.delete(name);
     this.booting.delete(name);
   }
@@ -287,15 +290,15 @@
   /** Ends all machines, those that still boot included, and lets none up any more. */
   close(): void {
     this.closed = true;
-    for (const name of [...this.workers.keys(), ...this.booting.keys()]) this.take(name);
+    for (const name of [...this.workers.keys(), ...this.booting.keys()]) this.terminateMachine(name);
   }
 
-  request(method: string, path: string, body: unknown): Promise<HttpAnswer> {
-    const answer = (status: number, content: unknown): Promise<HttpAnswer> =>
+  request(method: string, path: string, body: unknown): Promise<HttpResponse> {
+    const respond = (status: number, content: unknown): Promise<HttpResponse> =>
       Promise.resolve({ status, body: JSON.parse(JSON.stringify(content)) as unknown });
-    if (this.down) return answer(503, { error: 'trouble' });
+    if (this.unavailable) return respond(503, { error: 'trouble' });
     if (path === '/catalog') {
-      const models = this.kinds.map((k) => ({
+      const models = this.types.map((k) => ({
         ...{
           label: k.label,
           cpus: k.cpus,
@@ -304,57 +307,59 @@
           local_gb: 50,
           fetch_gb_per_s: 1,
         },
-        ...{ rate: k.cpus * 0.05, spot_price: k.cpus * 0.02, ready_s: this.bootMs / 1000, yards: this.yards },
+        ...{ rate: k.cpus * 0.05, spot_price: k.cpus * 0.02, ready_s: this.bootMs / 1000, yards: this.zones },
       }));
-      return answer(200, { models });
+      return respond(200, { models });
     }
     if (path === '/rentals/return') {
-      for (const name of (body as { velodromes: string[] }).velodromes) this.take(name);
-      return answer(200, {});
+      for (const name of (body as { velodromes: string[] }).velodromes) this.terminateMachine(name);
+      return respond(200, {});
     }
-    if (method === 'POST') return this.rent(body as Rental, answer);
-    this.lists.push({ at: this.time.now, body: this.list() });
-    const shown = this.lists.filter((l) => l.at <= this.time.now - this.lagMs).pop();
+    if (method === 'POST') return this.provision(body as ProvisionBody, respond);
+    this.lists.push({ at: this.time.now, body: this.machineList() });
+    const shown = this.lists.filter((l) => l.at <= this.time.now - this.listLagMs).pop();
     const from = /from=([^&]*)/.exec(path)?.[1] ?? '';
     const after = (shown?.body.velodromes ?? []).filter((row) => row.ref > from);
     const page = after.slice(0, this.pageMachines);
-    return answer(200, { velodromes: page, truncated: after.length > page.length });
+    return respond(200, { velodromes: page, truncated: after.length > page.length });
   }
 
-  private rent(
-    order: Rental,
-    answer: (status: number, content: unknown) => Promise<HttpAnswer>,
-  ): Promise<HttpAnswer> {
-    const repeated = this.requests.get(order.hire_order);
-    if (repeated) return answer(200, { velodromes: repeated });
+  private provision(
+    order: ProvisionBody,
+    respond: (status: number, content: unknown) => Promise<HttpResponse>,
+  ): Promise<HttpResponse> {
+    const repeated = this.provisionedByRequest.get(order.hire_order);
+    if (repeated) return respond(200, { velodromes: repeated });
     const room = this.capacity - this.workers.size - this.booting.size;
-    if (room <= 0) return answer(503, { error: 'no capacity' });
+    if (room <= 0) return respond(503, { error: 'no capacity' });
     const names: string[] = [];
     for (let i = 0; i < Math.min(room, order.how_many); i++) {
-      names.push(this.open(order.model, order.yard, order.loaners, this.bootMs * this.bootFactor()));
+      names.push(this.addMachine(order.model, order.yard, order.loaners, this.bootMs * this.bootFactor()));
     }
-    this.requests.set(order.hire_order, names);
-    return answer(200, { velodromes: names });
+    this.provisionedByRequest.set(order.hire_order, names);
+    return respond(200, { velodromes: names });
   }
 
-  private list(): { velodromes: { ref: string }[] } {
+  private machineList(): { velodromes: { ref: string }[] } {
     const row = (
       ref: string,
       m: { model: string; yard: string; loaners: boolean },
       status: string,
     ): { ref: string; age_s: number } => ({
       ...{ ref, address: '10.1.0.1:9000', model: m.model, yard: m.yard, loaners: m.loaners, status },
-      age_s: (this.time.now - (this.since.get(ref) ?? 0)) / 1000,
+      age_s: (this.time.now - (this.provisionedAt.get(ref) ?? 0)) / 1000,
     });
     const rows = [
-      ...[...this.workers].map(([ref, w]) => row(ref, w, 'running')),
+      ...[...this.workers].map(([ref, w]) =>
+        row(ref, { model: w.type, yard: w.zone, loaners: w.spot }, 'running'),
+      ),
       ...[...this.booting].map(([ref, m]) => row(ref, m, 'booting')),
     ];
     return { velodromes: rows.sort((a, b) => (a.ref < b.ref ? -1 : 1)) };
   }
 }
 
-interface Rental {
+interface ProvisionBody {
   hire_order: string;
   model: string;
   yard: string;
--- a/test/standin/http-front.ts
+++ b/test/standin/http-front.ts
@@ -1,8 +1,8 @@
 import { createServer, request, type Agent, type IncomingMessage, type Server } from 'node:http';
-import { type HttpAnswer } from '../../src/transport/http-client';
+import { type HttpResponse } from '../../src/transport/http-client';
 
 /** How a stand-in answers one request. */
-export type RequestHandler = (method: string, path: string, body: unknown) => Promise<HttpAnswer>;
+export type RequestHandler = (method: string, path: string, body: unknown) => Promise<HttpResponse>;
 
 async function readBody(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
@@ -11,7 +11,7 @@
 }
 
 /** Serves a stand-in over HTTP on the loopback interface. */
-export function serveStandin(port: number, handle: RequestHandler): Server {
+export function serveFake(port: number, handle: RequestHandler): Server {
   const server = createServer((request, response) => {
     void readBody(request)
       .then((body) => handle(request.method ?? 'GET', request.url ?? '/', body))
@@ -26,14 +26,14 @@
 }
 
 /** One HTTP request on a kept connection; null: no answer in time. */
-export function post(
+export function sendRequest(
   agent: Agent,
   port: number,
   path: string,
   body: object,
   method: string,
   timeoutMs: number,
-): Promise<HttpAnswer | null> {
+): Promise<HttpResponse | null> {
   return new Promise((resolve) => {
     const payload = method === 'POST' ? JSON.stringify(body) : '';
     const headers = method === 'POST' ? { 'content-length': Buffer.byteLength(payload) } : {};
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -4,15 +4,15 @@
 import { Agent } from 'node:http';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { type HttpAnswer } from '../../src/transport/http-client';
-import { StandinCloud, type FleetHooks, type Worker } from './fleet';
-import { post, serveStandin } from './http-front';
+import { type HttpResponse } from '../../src/transport/http-client';
+import { FakeCloud, type FleetHooks, type FakeWorker } from './fleet';
+import { sendRequest, serveFake } from './http-front';
 import { RealTime } from './real-time';
-import { StandinStore } from './store';
+import { FakeStateStore } from './store';
 
-const MACHINE = { label: 'small', cpus: 4, memory: 16 };
-const ANSWER_WITHIN_MS = 4000;
-const PAGE = 1000;
+const MACHINE_TYPE = { label: 'small', cpus: 4, memory: 16 };
+const RESPONSE_TIMEOUT_MS = 4000;
+const PAGE_SIZE = 1000;
 const BOOT_MS = 2000;
 const LIST_LAG_MS = 1000;
 
@@ -20,12 +20,12 @@
 export interface LoopbackOptions {
   controllers: number;
   machines: number;
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   teams: { name: string; cpus: number; cpus_max: number }[];
   /** A file of features; null: none. */
   features: string | null;
-  hooks: Pick<FleetHooks, 'began' | 'completed' | 'runMs' | 'saveMs' | 'stopped'>;
+  hooks: Pick<FleetHooks, 'taskStarted' | 'taskCompleted' | 'runMs' | 'checkpointMs' | 'taskStopped'>;
 }
 
 /** Ports that nobody listens on now. */
@@ -39,14 +39,14 @@
 
 /** A cluster of real controllers. */
 export class LoopbackCluster {
-  readonly cloud: StandinCloud;
+  readonly cloud: FakeCloud;
   private readonly time = new RealTime();
-  private readonly store = new StandinStore(this.time, PAGE);
+  private readonly store = new FakeStateStore(this.time, PAGE_SIZE);
   private readonly agents = new Map<string, Agent>();
-  private readonly running = new Map<number, ChildProcess>();
+  private readonly processes = new Map<number, ChildProcess>();
   private readonly folder = mkdtempSync(join(tmpdir(), 'heathbridge-'));
   private readonly servers: Server[] = [];
-  private over = false;
+  private stopped = false;
 
   private constructor(
     private readonly options: LoopbackOptions,
@@ -54,32 +54,32 @@
   ) {
     const hooks: FleetHooks = {
       ...options.hooks,
-      expired: () => undefined,
-      deliver: (node, worker, report) => this.deliver(node, worker, report),
-      nodeIndex: (name) => Number(name.split('-')[1]),
-      nodes: options.controllers,
-      reportMs: options.reportMs,
+      leaseExpired: () => undefined,
+      deliver: (node, worker, report) => this.deliverHeartbeat(node, worker, report),
+      controllerIndex: (name) => Number(name.split('-')[1]),
+      controllers: options.controllers,
+      heartbeatIntervalMs: options.heartbeatIntervalMs,
       leaseMs: options.leaseMs,
     };
-    this.cloud = new StandinCloud(
+    this.cloud = new FakeCloud(
       this.time,
       hooks,
-      [MACHINE],
+      [MACHINE_TYPE],
       ['a', 'b'],
       options.machines,
       LIST_LAG_MS,
       BOOT_MS,
-      PAGE,
+      PAGE_SIZE,
     );
-    for (let i = 0; i < options.machines; i++) this.cloud.open(MACHINE.label, 'a', true, 0);
+    for (let i = 0; i < options.machines; i++) this.cloud.addMachine(MACHINE_TYPE.label, 'a', true, 0);
   }
 
   static async start(options: LoopbackOptions): Promise<LoopbackCluster> {
     const cluster = new LoopbackCluster(options, await freePorts(2 + 2 * options.controllers));
     const [store = 0, cloud = 0] = cluster.ports;
     cluster.servers.push(
-      serveStandin(store, (method, path, body) => cluster.store.request(method, path, body, () => false)),
-      serveStandin(cloud, (method, path, body) => cluster.cloud.request(method, path, body)),
+      serveFake(store, (method, path, body) => cluster.store.request(method, path, body, () => false)),
+      serveFake(cloud, (method, path, body) => cluster.cloud.request(method, path, body)),
     );
     for (let i = 0; i < options.controllers; i++) cluster.startController(i);
     return cluster;
@@ -90,7 +90,7 @@
   }
 
   private settings(index: number): object {
-    const { controllers, teams, reportMs, leaseMs } = this.options;
+    const { controllers, teams, heartbeatIntervalMs, leaseMs } = this.options;
     const others = Array.from({ length: controllers }, (_, i) => i).filter((i) => i !== index);
     const address = (i: number, offset: number): string => `127.0.0.1:${this.port(i, offset)}`;
     return {
@@ -102,7 +102,11 @@
       external: { cloud: `127.0.0.1:${this.ports[1]}`, state: `127.0.0.1:${this.ports[0]}` },
       facts: {
         teams,
-        workers: { report_s: reportMs / 1000, lease_s: leaseMs / 1000, cancel_s: leaseMs / 1000 + 15 },
+        workers: {
+          report_s: heartbeatIntervalMs / 1000,
+          lease_s: leaseMs / 1000,
+          cancel_s: leaseMs / 1000 + 15,
+        },
         state: { rps: 200, write_rps: 40, value_kb: 16, txn_ops: 24 },
         cloud: { rps: 8, list_lag_s: LIST_LAG_MS / 1000 },
       },
@@ -110,24 +114,34 @@
   }
 
   startController(index: number): void {
-    if (this.over) return;
+    if (this.stopped) return;
     const config = join(this.folder, `settings-${index}.json`);
     writeFileSync(config, JSON.stringify(this.settings(index)));
     const program = join(__dirname, '..', '..', 'src', 'main.js');
     const { features } = this.options;
     const words = [program, ...(features === null ? [] : ['--features', features]), '--config', config];
     const env = { ...process.env, LOG_LEVEL: 'error' };
-    this.running.set(index, spawn(process.execPath, words, { env, stdio: ['ignore', 'ignore', 'inherit'] }));
+    this.processes.set(
+      index,
+      spawn(process.execPath, words, { env, stdio: ['ignore', 'ignore', 'inherit'] }),
+    );
   }
 
   /** Ends a controller with no signal that it could act on. */
-  endController(index: number): void {
-    this.running.get(index)?.kill('SIGKILL');
+  killController(index: number): void {
+    this.processes.get(index)?.kill('SIGKILL');
   }
 
   /** Asks a controller; null: no answer in time. */
-  ask(index: number, path: string, body: object, method: string): Promise<HttpAnswer | null> {
-    return post(this.agent(`users-${index}`), this.port(index, 0), path, body, method, ANSWER_WITHIN_MS);
+  request(index: number, path: string, body: object, method: string): Promise<HttpResponse | null> {
+    return sendRequest(
+      this.agent(`users-${index}`),
+      this.port(index, 0),
+      path,
+      body,
+      method,
+      RESPONSE_TIMEOUT_MS,
+    );
   }
 
   /** Where a controller answers users. */
@@ -135,8 +149,15 @@
     return `127.0.0.1:${this.port(index, 0)}`;
   }
 
-  private deliver(node: number, worker: Worker, report: object): Promise<HttpAnswer | null> {
-    return post(this.agent(worker.name), this.port(node, 0), '/hello', report, 'POST', ANSWER_WITHIN_MS);
+  private deliverHeartbeat(node: number, worker: FakeWorker, report: object): Promise<HttpResponse | null> {
+    return sendRequest(
+      this.agent(worker.name),
+      this.port(node, 0),
+      '/hello',
+      report,
+      'POST',
+      RESPONSE_TIMEOUT_MS,
+    );
   }
 
   private agent(name: string): Agent {
@@ -148,10 +169,10 @@
   }
 
   stop(): void {
-    this.over = true;
+    this.stopped = true;
     this.cloud.close();
     this.time.stop();
-    for (const process of this.running.values()) process.kill('SIGKILL');
+    for (const process of this.processes.values()) process.kill('SIGKILL');
     for (const server of this.servers) server.close();
     for (const agent of this.agents.values()) agent.destroy();
     rmSync(this.folder, { recursive: true, force: true });
--- a/test/standin/real-time.ts
+++ b/test/standin/real-time.ts
@@ -1,7 +1,7 @@
-import { type StandinTime } from './clock';
+import { type SimulatedTime } from './clock';
 
 /** The stand-ins' time as it really passes. */
-export class RealTime implements StandinTime {
+export class RealTime implements SimulatedTime {
   private readonly startedAt = performance.now();
   private stopped = false;
 
@@ -15,10 +15,10 @@
   }
 
   at(ms: number, action: () => void): NodeJS.Timeout {
-    const acts = (): void => {
+    const actUnlessStopped = (): void => {
       if (!this.stopped) action();
     };
-    return setTimeout(acts, Math.max(0, ms - this.now));
+    return setTimeout(actUnlessStopped, Math.max(0, ms - this.now));
   }
 
   cancel(timer: unknown): void {
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -1,91 +1,96 @@
-import { type PartitionCore } from '../../src/coordination/partition';
-import { type Command, type Report, type ReportedTask } from '../../src/protocol/workers';
+import { type PartitionCore } from '../../src/coordination/partition/partition-core';
+import { type Command, type Heartbeat, type HeartbeatTask } from '../../src/protocol/workers';
 
-interface SimTask {
+interface SimulatedTask {
   ref: string;
   index: number;
   attempt: number;
-  phase: 'fetching' | 'running' | 'saving' | 'exited';
-  exit: ReportedTask['exit'];
+  phase: 'fetching' | 'running' | 'checkpointing' | 'exited';
+  exit: HeartbeatTask['exit'];
   /** When its present phase ends by itself. */
   endsAt: number;
 }
 
 /** How long what a worker does takes. */
-export interface SimTimes {
-  fetchMs: number;
-  saveMs: number;
+export interface SimulatedWorkerOptions {
+  imageFetchMs: number;
+  checkpointMs: number;
   leaseMs: number;
   /** Run time left of a task. */
   runMs: (ref: string, index: number) => number;
   /** A task has saved after it ran for so long. */
-  saved: (ref: string, index: number, ranMs: number) => void;
+  checkpointed: (ref: string, index: number, ranMs: number) => void;
 }
 
 /** A worker at a partition's core, without a network between: what it is answered, it does at once. */
-export class SimWorker {
-  readonly tasks = new Map<string, SimTask>();
+export class SimulatedWorker {
+  readonly tasks = new Map<string, SimulatedTask>();
   /** Its reports do not arrive. */
-  silent = false;
+  heartbeatsLost = false;
   /** What it is answered does not arrive. */
-  deaf = false;
+  responsesLost = false;
   /** It is gone with all that is on it. */
-  gone = false;
-  noticeS: number | null = null;
-  lastReport: Report | null = null;
-  private session = 1;
-  private seq = 0;
+  terminated = false;
+  preemptionNoticeS: number | null = null;
+  lastHeartbeat: Heartbeat | null = null;
+  private agentEpoch = 1;
+  private sequence = 0;
   private token = 0;
-  private answeredAt: number;
+  private leaseRenewedAt: number;
 
   constructor(
     readonly id: string,
-    private readonly times: SimTimes,
+    private readonly options: SimulatedWorkerOptions,
     now: number,
   ) {
-    this.answeredAt = now;
+    this.leaseRenewedAt = now;
   }
 
   /** Tasks that take their place on the machine, as the rules count them. */
-  onIt(): string[] {
-    const here = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'saving');
-    return this.gone ? [] : here.map(([key]) => key);
+  occupyingTasks(): string[] {
+    const here = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'checkpointing');
+    return this.terminated ? [] : here.map(([key]) => key);
   }
 
   advance(now: number): void {
-    if (now - this.answeredAt > this.times.leaseMs) {
+    if (now - this.leaseRenewedAt > this.options.leaseMs) {
       this.tasks.clear();
-      this.session++;
-      this.answeredAt = now;
+      this.agentEpoch++;
+      this.leaseRenewedAt = now;
     }
     for (const task of this.tasks.values()) if (now >= task.endsAt) this.endPhase(task, now);
   }
 
-  private endPhase(task: SimTask, now: number): void {
+  private endPhase(task: SimulatedTask, now: number): void {
     if (task.phase === 'fetching') {
       task.phase = 'running';
-      task.endsAt = now + this.times.runMs(task.ref, task.index);
+      task.endsAt = now + this.options.runMs(task.ref, task.index);
     } else if (task.phase !== 'exited') {
-      task.exit = task.phase === 'saving' ? 'stopped' : 'done';
+      task.exit = task.phase === 'checkpointing' ? 'stopped' : 'done';
       task.phase = 'exited';
     }
   }
 
-  report(core: PartitionCore, now: number): void {
-    if (this.gone) return;
-    const report: Report = {
+  sendHeartbeat(core: PartitionCore, now: number): void {
+    if (this.terminated) return;
+    const heartbeat: Heartbeat = {
       ...{ machine: this.id, address: 'x', type: 'small', zone: 'a', spot: true },
-      ...{ session: this.session, seq: ++this.seq, token: this.token, noticeS: this.noticeS },
+      ...{
+        agentEpoch: this.agentEpoch,
+        sequence: ++this.sequence,
+        token: this.token,
+        preemptionNoticeS: this.preemptionNoticeS,
+      },
       tasks: [...this.tasks.values()].map(({ ref, index, attempt, phase, exit }) => ({
         ...{ ref, index, attempt, phase, exit },
       })),
     };
-    this.lastReport = report;
-    if (this.silent) return;
-    const answer = core.report(report, now);
-    if (!answer || this.deaf || answer.token < this.token) return;
+    this.lastHeartbeat = heartbeat;
+    if (this.heartbeatsLost) return;
+    const answer = core.handleHeartbeat(heartbeat, now);
+    if (!answer || this.responsesLost || answer.token < this.token) return;
     this.token = answer.token;
-    this.answeredAt = now;
+    this.leaseRenewedAt = now;
     for (const command of answer.commands) this.execute(command, now);
   }
 
@@ -97,20 +102,20 @@
       if (known?.phase === 'exited' && known.attempt === attempt) this.tasks.delete(key);
     } else if (command.op === 'start') {
       if (known && known.phase !== 'exited') return;
-      const endsAt = now + this.times.fetchMs;
+      const endsAt = now + this.options.imageFetchMs;
       this.tasks.set(key, { ref, index, attempt, phase: 'fetching', exit: null, endsAt });
-    } else if (known && known.attempt === attempt) this.stop(known, command.graceS, now);
+    } else if (known && known.attempt === attempt) this.stop(known, command.gracePeriodS, now);
   }
 
-  private stop(task: SimTask, graceS: number, now: number): void {
-    if (task.phase === 'exited' || (task.phase === 'saving' && graceS > 0)) return;
-    const saves = task.phase === 'running' && this.times.saveMs <= graceS * 1000;
+  private stop(task: SimulatedTask, graceS: number, now: number): void {
+    if (task.phase === 'exited' || (task.phase === 'checkpointing' && graceS > 0)) return;
+    const saves = task.phase === 'running' && this.options.checkpointMs <= graceS * 1000;
     if (saves) {
-      const ranMs = this.times.runMs(task.ref, task.index) - (task.endsAt - now);
-      this.times.saved(task.ref, task.index, ranMs);
+      const ranMs = this.options.runMs(task.ref, task.index) - (task.endsAt - now);
+      this.options.checkpointed(task.ref, task.index, ranMs);
     }
-    task.phase = saves ? 'saving' : 'exited';
+    task.phase = saves ? 'checkpointing' : 'exited';
     task.exit = saves ? null : 'stopped';
-    task.endsAt = now + this.times.saveMs;
+    task.endsAt = now + this.options.checkpointMs;
   }
 }
--- a/test/task-moves.test.ts
+++ b/test/task-moves.test.ts
@@ -1,54 +1,76 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { balancerSettingsSchema, type BalancerSettings } from '@heathbridge/load-balancer';
-import { PartitionCore } from '../src/coordination/partition';
-import { TaskMoves } from '../src/coordination/task-moves';
+import { PartitionCore } from '../src/coordination/partition/partition-core';
+import { TaskMoves } from '../src/coordination/balancing/task-moves';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
 import { type MachineRecord } from '../src/protocol/records';
-import { type Report } from '../src/protocol/workers';
-import { SimWorker } from './standin/sim-worker';
+import { type Heartbeat } from '../src/protocol/workers';
+import { SimulatedWorker } from './standin/sim-worker';
 
 const type: MachineType = {
   ...{ name: 'small', cpus: 4, accelerators: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1 },
   ...{ price: 0.2, spotPrice: 0.08, bootS: 20, zones: ['a'] },
 };
 const STEP_MS = 250;
-const REPORT_MS = 2000;
+const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
-const VERSION = 100;
+const FIRST_EPOCH = 100;
 const MACHINES = 4;
 const LIMIT = 16;
 
 function spec(ref: string, change: Partial<JobSpec>): JobSpec {
   return {
-    ...{ ref, workload: ref, team: 't', rank: 3, tasks: 8, cpus: 1, accelerators: 0, memoryGb: 1 },
-    ...{ image: 'i', imageGb: 0.5, types: null, zone: null, together: false, apart: false, spot: true },
-    ...{ expectedS: 200, checkpointS: 10, saveS: 1, deadlineS: null, pipeline: null, ...change },
+    ...{ ref, workload: ref, team: 't', priority: 3, tasks: 8, cpus: 1, accelerators: 0, memoryGb: 1 },
+    ...{
+      image: 'i',
+      imageGb: 0.5,
+      machineTypes: null,
+      zone: null,
+      singleZone: false,
+      spreadZones: false,
+      spot: true,
+    },
+    ...{
+      expectedS: 200,
+      checkpointIntervalS: 10,
+      checkpointDurationS: 1,
+      deadlineS: null,
+      pipeline: null,
+      ...change,
+    },
   };
 }
 
 /** Idle tasks lie in pieces on all machines; a large urgent one fits nowhere. */
 const IDLE = spec('job-1', {});
-const URGENT = spec('job-2', { rank: 1, cpus: 4, tasks: 1, team: 'u', expectedS: 20, checkpointS: 0 });
+const URGENT = spec('job-2', {
+  priority: 1,
+  cpus: 4,
+  tasks: 1,
+  team: 'u',
+  expectedS: 20,
+  checkpointIntervalS: 0,
+});
 const RUN_MS: Record<string, number> = { 'job-1': 150_000, 'job-2': 20_000 };
 /** All machines have been heard by then, so the tasks are spread evenly. */
 const IDLE_SUBMITTED_MS = 10_000;
 const SUBMITTED_MS = 60_000;
-const START_OF_MOVES_MS = SUBMITTED_MS + 4000;
+const MOVES_START_MS = SUBMITTED_MS + 4000;
 
 /** A partition with four workers, played in steps, and its rules checked after each. */
-class MoveWorld {
+class PartitionSimulation {
   now = 0;
   core: PartitionCore;
   moves: TaskMoves | null = null;
-  readonly workers: SimWorker[] = [];
-  readonly kept: { core: PartitionCore; report: Report }[] = [];
+  readonly workers: SimulatedWorker[] = [];
+  readonly recordedHeartbeats: { core: PartitionCore; report: Heartbeat }[] = [];
   readonly closed = new Set<string>();
   private readonly saved = new Map<string, number>();
   private readonly assigned = new Set<string>();
-  private version = VERSION;
-  urgentBeganAt: number | null = null;
+  private version = FIRST_EPOCH;
+  urgentStartedAt: number | null = null;
 
   constructor(private readonly settings: BalancerSettings | null) {
     this.core = this.newOwner();
@@ -63,7 +85,7 @@
       ...(['p0', this.version, [team('t', LIMIT), team('u', 4)] as never] as const),
       () => new Map([['small', type]]),
       () => undefined,
-      { reportMs: REPORT_MS, leaseMs: LEASE_MS, valueBytes: 4096, objectives: [] },
+      { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS, valueBytes: 4096, objectives: [] },
       new Set(this.assigned),
     );
     if (this.settings) core.observer = this.moves = new TaskMoves(core, this.settings, () => this.now);
@@ -73,26 +95,30 @@
   private addMachine(id: string, version: number): void {
     const runMs = (ref: string, index: number): number =>
       (RUN_MS[ref] ?? 0) - (this.saved.get(`${ref}/${index}`) ?? 0);
-    const saved = (ref: string, index: number, ranMs: number): void => {
+    const checkpointed = (ref: string, index: number, ranMs: number): void => {
       const key = `${ref}/${index}`;
       this.saved.set(key, (this.saved.get(key) ?? 0) + ranMs);
     };
     this.workers.push(
-      new SimWorker(id, { fetchMs: 500, saveMs: 1000, leaseMs: LEASE_MS, runMs, saved }, this.now),
+      new SimulatedWorker(
+        id,
+        { imageFetchMs: 500, checkpointMs: 1000, leaseMs: LEASE_MS, runMs, checkpointed },
+        this.now,
+      ),
     );
     this.assigned.add(id);
-    this.put(id, version);
+    this.putMachine(id, version);
   }
 
-  private put(id: string, version: number): void {
-    const record: MachineRecord = { partition: 'p0', phase: 'kept', type: 'small', zone: 'a', spot: true };
-    this.core.putMachine(id, record, version, this.now);
+  private putMachine(id: string, version: number): void {
+    const record: MachineRecord = { partition: 'p0', phase: 'active', type: 'small', zone: 'a', spot: true };
+    this.core.upsertMachine(id, record, version, this.now);
     this.core.markAssigned([id]);
   }
 
   submit(job: JobSpec, version: number): void {
-    const progress = { done: '', doneCount: 0, running: 0, startWatermark: job.tasks };
-    this.core.putJob(job, this.now, version, progress, this.now);
+    const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: job.tasks };
+    this.core.openJob(job, this.now, version, progress, this.now);
   }
 
   cancel(ref: string): void {
@@ -105,16 +131,16 @@
     const version = this.version;
     this.version += 1000;
     this.core = this.newOwner();
-    for (const { id, gone } of this.workers) if (!gone) this.put(id, version);
+    for (const { id, terminated } of this.workers) if (!terminated) this.putMachine(id, version);
     for (const job of [IDLE, URGENT])
       if (!this.closed.has(job.ref) && (job === IDLE || this.now >= SUBMITTED_MS)) this.submit(job, version);
   }
 
-  lose(id: string): void {
-    const worker = this.workers.find((w) => w.id === id);
+  loseMachine(id: string): void {
+    const worker = this.workers.find((simulation) => simulation.id === id);
     if (!worker) return;
-    worker.gone = true;
-    this.core.dropMachine(id, this.now);
+    worker.terminated = true;
+    this.core.removeMachine(id, this.now);
   }
 
   step(): void {
@@ -124,7 +150,8 @@
     this.core.tick(this.now, this.now);
     this.workers.forEach((worker, i) => {
       worker.advance(this.now);
-      if ((this.now / STEP_MS + i) % (REPORT_MS / STEP_MS) === 0) worker.report(this.core, this.now);
+      if ((this.now / STEP_MS + i) % (HEARTBEAT_INTERVAL_MS / STEP_MS) === 0)
+        worker.sendHeartbeat(this.core, this.now);
     });
     this.check();
   }
@@ -133,36 +160,36 @@
     const places = new Map<string, string>();
     for (const worker of this.workers) {
       let cpus = 0;
-      for (const key of worker.onIt()) {
+      for (const key of worker.occupyingTasks()) {
         assert.ok(!places.has(key), `${key} is on ${places.get(key)} and ${worker.id} at ${this.now}`);
         places.set(key, worker.id);
         cpus += key.startsWith('job-2') ? URGENT.cpus : IDLE.cpus;
-        if (key.startsWith('job-2')) this.urgentBeganAt ??= this.now;
+        if (key.startsWith('job-2')) this.urgentStartedAt ??= this.now;
       }
       assert.ok(cpus <= type.cpus, `${worker.id} is overfull at ${this.now}`);
     }
   }
 
   /** What moves have taken and not given back. */
-  leftovers(): string[] {
+  leakedResources(): string[] {
     const found: string[] = [];
     for (const machine of this.core.machines.values())
-      if (machine.reserved) found.push(`room on ${machine.id}`);
+      if (machine.hasReservations) found.push(`room on ${machine.id}`);
     for (const team of ['t', 'u']) {
       let used = 0;
       for (const machine of this.core.machines.values())
         for (const task of machine.tasks.values()) if (task.spec?.team === team) used += task.spec.cpus;
-      if (Math.abs(this.core.quota.usedBy(team).cpus - used) > 1e-9) found.push(`quota of ${team}`);
+      if (Math.abs(this.core.quota.usageOf(team).cpus - used) > 1e-9) found.push(`quota of ${team}`);
     }
     if (this.moves && this.moves.balancer.tracker.inFlight > 0) found.push('a move');
     return found;
   }
 
   get finished(): boolean {
-    return [...this.core.finals.keys()].length + this.closed.size >= 2;
+    return [...this.core.terminalStates.keys()].length + this.closed.size >= 2;
   }
 
-  playUntil(end: number): void {
+  runUntil(end: number): void {
     while (this.now < end) this.step();
   }
 }
@@ -173,93 +200,115 @@
 
 test('a large urgent task gets room in seconds instead of after the longest of many small ones', () => {
   const waits = [ON, OFF].map((settings) => {
-    const world = new MoveWorld(settings);
+    const simulation = new PartitionSimulation(settings);
     if (!settings)
-      world.core.observer = new TaskMoves(world.core, { ...ON, task_moves: false }, () => world.now);
-    world.playUntil(END_MS);
-    assert.ok(world.finished);
-    assert.deepEqual(world.leftovers(), []);
-    return (world.urgentBeganAt ?? Infinity) - SUBMITTED_MS;
+      simulation.core.observer = new TaskMoves(
+        simulation.core,
+        { ...ON, task_moves: false },
+        () => simulation.now,
+      );
+    simulation.runUntil(END_MS);
+    assert.ok(simulation.finished);
+    assert.deepEqual(simulation.leakedResources(), []);
+    return (simulation.urgentStartedAt ?? Infinity) - SUBMITTED_MS;
   });
   const [on = 0, off = 0] = waits;
   assert.ok(on <= 15_000, `${on} ms with moves`);
   assert.ok(off >= 90_000, `${off} ms without`);
 });
 
-type Fault = (world: MoveWorld) => void;
+type Fault = (simulation: PartitionSimulation) => void;
 
-const cleared = (world: MoveWorld): string => world.moves?.balancer.tracker.running[0]?.source ?? 'm0';
-const target = (world: MoveWorld): string =>
-  world.moves?.balancer.tracker.running.find((move) => move.target !== null)?.target ?? 'm1';
-const worker = (world: MoveWorld, id: string): SimWorker =>
-  world.workers.find((w) => w.id === id) as SimWorker;
-const later = new WeakMap<MoveWorld, { at: number; act: () => void }[]>();
+const sourceOfMove = (simulation: PartitionSimulation): string =>
+  simulation.moves?.balancer.tracker.movesInProgress[0]?.source ?? 'm0';
+const targetOfMove = (simulation: PartitionSimulation): string =>
+  simulation.moves?.balancer.tracker.movesInProgress.find((move) => move.target !== null)?.target ?? 'm1';
+const worker = (simulation: PartitionSimulation, id: string): SimulatedWorker =>
+  simulation.workers.find((simulation) => simulation.id === id) as SimulatedWorker;
+const scheduledActions = new WeakMap<PartitionSimulation, { at: number; act: () => void }[]>();
 
-function inA(world: MoveWorld, ms: number, act: () => void): void {
-  const acts = later.get(world) ?? [];
-  later.set(world, [...acts, { at: world.now + ms, act }]);
+function scheduleAfter(simulation: PartitionSimulation, ms: number, act: () => void): void {
+  const acts = scheduledActions.get(simulation) ?? [];
+  scheduledActions.set(simulation, [...acts, { at: simulation.now + ms, act }]);
 }
 
-function forA(world: MoveWorld, ms: number, id: string, flag: 'silent' | 'deaf'): void {
-  worker(world, id)[flag] = true;
-  inA(world, ms, () => (worker(world, id)[flag] = false));
+function setForDuration(
+  simulation: PartitionSimulation,
+  ms: number,
+  id: string,
+  flag: 'heartbeatsLost' | 'responsesLost',
+): void {
+  worker(simulation, id)[flag] = true;
+  scheduleAfter(simulation, ms, () => (worker(simulation, id)[flag] = false));
 }
 
 const faults: Record<string, Fault> = {
-  'the source ends': (w) => w.lose(cleared(w)),
-  'the target ends': (w) => w.lose(target(w)),
-  'the source is silent for longer than its lease': (w) => forA(w, 15_000, cleared(w), 'silent'),
-  'the target is silent for longer than its lease': (w) => forA(w, 15_000, target(w), 'silent'),
-  'the source is silent for a moment': (w) => forA(w, 3000, cleared(w), 'silent'),
-  'the source hears nothing': (w) => forA(w, 15_000, cleared(w), 'deaf'),
-  'the target hears nothing': (w) => forA(w, 15_000, target(w), 'deaf'),
-  'the target is about to be taken away': (w) => (worker(w, target(w)).noticeS = 30),
-  'the source is about to be taken away': (w) => (worker(w, cleared(w)).noticeS = 30),
-  'the target is to leave the partition': (w) => w.core.drainTo(target(w), 'p1', w.now),
-  'the moved job is cancelled': (w) => w.cancel(IDLE.ref),
-  'the waiting job is cancelled': (w) => w.cancel(URGENT.ref),
-  'the partition changes hands': (w) => w.takeOver(),
-  'the partition changes hands twice': (w) => {
-    w.takeOver();
-    inA(w, 3000, () => w.takeOver());
+  'the source ends': (simulation) => simulation.loseMachine(sourceOfMove(simulation)),
+  'the target ends': (simulation) => simulation.loseMachine(targetOfMove(simulation)),
+  'the source is silent for longer than its lease': (simulation) =>
+    setForDuration(simulation, 15_000, sourceOfMove(simulation), 'heartbeatsLost'),
+  'the target is silent for longer than its lease': (simulation) =>
+    setForDuration(simulation, 15_000, targetOfMove(simulation), 'heartbeatsLost'),
+  'the source is silent for a moment': (simulation) =>
+    setForDuration(simulation, 3000, sourceOfMove(simulation), 'heartbeatsLost'),
+  'the source hears nothing': (simulation) =>
+    setForDuration(simulation, 15_000, sourceOfMove(simulation), 'responsesLost'),
+  'the target hears nothing': (simulation) =>
+    setForDuration(simulation, 15_000, targetOfMove(simulation), 'responsesLost'),
+  'the target is about to be taken away': (simulation) =>
+    (worker(simulation, targetOfMove(simulation)).preemptionNoticeS = 30),
+  'the source is about to be taken away': (simulation) =>
+    (worker(simulation, sourceOfMove(simulation)).preemptionNoticeS = 30),
+  'the target is to leave the partition': (simulation) =>
+    simulation.core.drainForTransfer(targetOfMove(simulation), 'p1', simulation.now),
+  'the moved job is cancelled': (simulation) => simulation.cancel(IDLE.ref),
+  'the waiting job is cancelled': (simulation) => simulation.cancel(URGENT.ref),
+  'the partition changes hands': (simulation) => simulation.takeOver(),
+  'the partition changes hands twice': (simulation) => {
+    simulation.takeOver();
+    scheduleAfter(simulation, 3000, () => simulation.takeOver());
   },
-  'no report is answered for longer than a lease': (w) => {
-    for (const { id } of w.workers) forA(w, 15_000, id, 'silent');
+  'no report is answered for longer than a lease': (simulation) => {
+    for (const { id } of simulation.workers) setForDuration(simulation, 15_000, id, 'heartbeatsLost');
   },
-  'old reports come again': (w) => {
-    for (const { lastReport } of w.workers) {
-      if (!lastReport) continue;
-      w.core.report(lastReport, w.now);
-      inA(w, 15_000, () => void w.core.report(lastReport, w.now));
+  'old reports come again': (simulation) => {
+    for (const { lastHeartbeat } of simulation.workers) {
+      if (!lastHeartbeat) continue;
+      simulation.core.handleHeartbeat(lastHeartbeat, simulation.now);
+      scheduleAfter(
+        simulation,
+        15_000,
+        () => void simulation.core.handleHeartbeat(lastHeartbeat, simulation.now),
+      );
     }
   },
-  'the target fills with something else': (w) => {
-    const machine = w.core.machines.get(target(w));
-    if (machine) machine.locked = true;
-    inA(w, 10_000, () => w.core.unlock(target(w)));
+  'the target fills with something else': (simulation) => {
+    const machine = simulation.core.machines.get(targetOfMove(simulation));
+    if (machine) machine.cordoned = true;
+    scheduleAfter(simulation, 10_000, () => simulation.core.uncordon(targetOfMove(simulation)));
   },
 };
 
 /** Every quarter of a second from before the first move until well after the last. */
-const INJECTED_AT = Array.from({ length: 60 }, (_, i) => START_OF_MOVES_MS + i * STEP_MS);
+const INJECTED_AT = Array.from({ length: 60 }, (_, i) => MOVES_START_MS + i * STEP_MS);
 
 for (const [name, fault] of Object.entries(faults))
   test(`at any step of a move: ${name}`, () => {
     let begun = 0;
     for (const at of INJECTED_AT) {
-      const world = new MoveWorld(ON);
-      world.playUntil(at);
-      const firstOwner = world.moves;
-      fault(world);
-      while (world.now < END_MS && !(world.finished && world.now > at + 40_000)) {
-        world.step();
-        for (const due of later.get(world) ?? []) if (due.at === world.now) due.act();
+      const simulation = new PartitionSimulation(ON);
+      simulation.runUntil(at);
+      const firstOwner = simulation.moves;
+      fault(simulation);
+      while (simulation.now < END_MS && !(simulation.finished && simulation.now > at + 40_000)) {
+        simulation.step();
+        for (const due of scheduledActions.get(simulation) ?? []) if (due.at === simulation.now) due.act();
       }
       begun += firstOwner?.balancer.tracker.counters.begun ?? 0;
-      assert.ok(world.finished, `not all done, fault at ${at}`);
-      assert.deepEqual(world.leftovers(), [], `left behind, fault at ${at}`);
+      assert.ok(simulation.finished, `not all done, fault at ${at}`);
+      assert.deepEqual(simulation.leakedResources(), [], `left behind, fault at ${at}`);
       const moved = new Map<string, number>();
-      for (const decision of world.moves?.takeDecisions() ?? []) {
+      for (const decision of simulation.moves?.takeDecisions() ?? []) {
         const { event, task, cause } = decision as { event: string; task: string; cause: string };
         if (event === 'begun') moved.set(`${task} ${cause}`, (moved.get(`${task} ${cause}`) ?? 0) + 1);
       }
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -42,7 +42,7 @@
       const day = await playBalanceDay({
         ...{ seed, balancing, machines: Number(machines), minutes: Number(minutes), crashAtMs: null },
       });
-      if (day.broken.length > 0) throw new Error(`seed ${seed}, ${variant.name}: ${day.broken[0]}`);
+      if (day.violations.length > 0) throw new Error(`seed ${seed}, ${variant.name}: ${day.violations[0]}`);
       days.push(day);
       console.log(`seed ${seed}, ${variant.name}: ${day.finished} of ${day.jobs} jobs`);
     }
--- a/tools/balance/planning-cost.ts
+++ b/tools/balance/planning-cost.ts
@@ -1,12 +1,12 @@
 import {
   balancerSettingsSchema,
   PartitionBalancer,
-  type JobView,
-  type MachineView,
+  type JobSnapshot,
+  type MachineSnapshot,
   type MoveExecutor,
-  type PartitionView,
-  type TaskView,
-  type WaitingView,
+  type PartitionSnapshot,
+  type TaskSnapshot,
+  type PendingTasks,
 } from '@heathbridge/load-balancer';
 
 /** What one round of planning takes, by the size of the partition. */
@@ -17,12 +17,12 @@
   summaryMs: number;
 }
 
-const SIZES = [100, 500, 1000, 2000, 4000];
-const TASKS_A_MACHINE = [4, 16];
-const ROUNDS = 6;
-const WAITING_JOBS = 16;
+const MACHINE_COUNTS = [100, 500, 1000, 2000, 4000];
+const TASKS_PER_MACHINE_COUNTS = [4, 16];
+const ROUND_COUNT = 6;
+const PENDING_JOB_COUNT = 16;
 const MACHINE_CPUS = 32;
-const REPORT_MS = 2000;
+const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
 
 const NO_MOVES: MoveExecutor = {
@@ -30,32 +30,39 @@
   release: () => undefined,
   stop: () => undefined,
   holdTask: () => undefined,
-  freeTask: () => undefined,
-  keepRoom: () => undefined,
-  endKeeping: () => undefined,
+  releaseHeldTask: () => undefined,
+  reserveForJob: () => undefined,
+  releaseJobReservation: () => undefined,
 };
 
-function jobView(job: string, priority: number, cpus: number): JobView {
+function jobView(job: string, priority: number, cpus: number): JobSnapshot {
   return {
-    ...{ job, team: 'north', workload: 'w', priority, needs: { cpus, accelerators: 0, memoryGb: 1 } },
+    ...{ job, team: 'north', workload: 'w', priority, resources: { cpus, accelerators: 0, memoryGb: 1 } },
     ...{ image: `image-${job}`, imageGb: 1, expectedS: 200, checkpointS: 10, saveS: 1 },
   };
 }
 
 /** Every machine has a little room, and large jobs wait that fit nowhere: the dearest case that there is. */
-function fragmented(machines: number, tasksEach: number): PartitionView {
-  const cpus = (MACHINE_CPUS - 2) / tasksEach;
-  const of = jobView('small', 3, cpus);
-  const fleet: MachineView[] = [];
-  const tasks = new Map<string, TaskView[]>();
+function fragmentedPartition(machines: number, tasksPerMachine: number): PartitionSnapshot {
+  const cpus = (MACHINE_CPUS - 2) / tasksPerMachine;
+  const spec = jobView('small', 3, cpus);
+  const fleet: MachineSnapshot[] = [];
+  const tasks = new Map<string, TaskSnapshot[]>();
   for (let i = 0; i < machines; i++) {
     const id = `m${i}`;
-    const onIt: TaskView[] = [];
-    for (let k = 0; k < tasksEach; k++)
-      onIt.push({
-        ...{ job: 'small', index: i * tasksEach + k, of, phase: 'running', elapsedS: 60, pinned: null },
+    const machineTasks: TaskSnapshot[] = [];
+    for (let k = 0; k < tasksPerMachine; k++)
+      machineTasks.push({
+        ...{
+          job: 'small',
+          index: i * tasksPerMachine + k,
+          spec,
+          phase: 'running',
+          elapsedS: 60,
+          pinned: null,
+        },
       });
-    tasks.set(id, onIt);
+    tasks.set(id, machineTasks);
     fleet.push({
       id,
       capacity: { cpus: MACHINE_CPUS, accelerators: 0, memoryGb: 256 },
@@ -66,12 +73,12 @@
       hasImage: () => i % 2 === 0,
     });
   }
-  const waits: WaitingView[] = Array.from({ length: WAITING_JOBS }, (_, i) => ({
-    ...{ of: jobView(`large-${i}`, 1, MACHINE_CPUS), tasks: 50, waitedS: 30, withinGuarantee: false },
+  const pendingJobs: PendingTasks[] = Array.from({ length: PENDING_JOB_COUNT }, (_, i) => ({
+    ...{ spec: jobView(`large-${i}`, 1, MACHINE_CPUS), tasks: 50, pendingS: 30, withinGuarantee: false },
   }));
   return {
     epoch: 1,
-    waiting: () => waits,
+    pendingTasks: () => pendingJobs,
     machines: () => fleet,
     tasksOn: (id) => tasks.get(id) ?? [],
     allows: () => true,
@@ -92,19 +99,19 @@
 /** Measures rounds of planning in which nothing comes of the plans, so that each round is the same. */
 export function planningCosts(): PlanningCost[] {
   const costs: PlanningCost[] = [];
-  for (const machines of SIZES) {
-    for (const tasksEach of TASKS_A_MACHINE) {
+  for (const machines of MACHINE_COUNTS) {
+    for (const tasksPerMachine of TASKS_PER_MACHINE_COUNTS) {
       const balancer = new PartitionBalancer({
         ...{ partition: 'p0', priorities: 4, settings: balancerSettingsSchema.parse({}) },
-        ...{ view: fragmented(machines, tasksEach), executor: NO_MOVES },
-        timeouts: { reportMs: REPORT_MS, leaseMs: LEASE_MS },
+        ...{ snapshot: fragmentedPartition(machines, tasksPerMachine), executor: NO_MOVES },
+        timeouts: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
       });
-      const rounds = Array.from({ length: ROUNDS }, (_, i) => i);
+      const rounds = Array.from({ length: ROUND_COUNT }, (_, i) => i);
       costs.push({
         machines,
-        tasks: machines * tasksEach,
-        planMs: median(rounds.map((i) => timed(() => balancer.plan(i * REPORT_MS)))),
-        summaryMs: median(rounds.map((i) => timed(() => balancer.summary(i * REPORT_MS)))),
+        tasks: machines * tasksPerMachine,
+        planMs: median(rounds.map((i) => timed(() => balancer.plan(i * HEARTBEAT_INTERVAL_MS)))),
+        summaryMs: median(rounds.map((i) => timed(() => balancer.summary(i * HEARTBEAT_INTERVAL_MS)))),
       });
     }
   }
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -9,9 +9,9 @@
   lines: string[];
 }
 
-const WIDTH = 900;
-const HEIGHT = 360;
-const SPREAD_BIN_MS = 10_000;
+const PLOT_WIDTH_PX = 900;
+const PLOT_HEIGHT_PX = 360;
+const SPREAD_BIN_WIDTH_MS = 10_000;
 
 interface Figure {
   name: string;
@@ -19,15 +19,15 @@
 }
 
 const FIGURES: Figure[] = [
-  { name: 'urgent wait p50, s', of: (day) => quantile(day.waits.get('urgent') ?? [], 0.5) },
-  { name: 'urgent wait p95, s', of: (day) => quantile(day.waits.get('urgent') ?? [], 0.95) },
-  { name: 'idle wait p50, s', of: (day) => quantile(day.waits.get('idle') ?? [], 0.5) },
-  { name: 'idle wait p95, s', of: (day) => quantile(day.waits.get('idle') ?? [], 0.95) },
+  { name: 'urgent wait p50, s', of: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.5) },
+  { name: 'urgent wait p95, s', of: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.95) },
+  { name: 'idle wait p50, s', of: (day) => quantile(day.startDelays.get('idle') ?? [], 0.5) },
+  { name: 'idle wait p95, s', of: (day) => quantile(day.startDelays.get('idle') ?? [], 0.95) },
   { name: 'spread (CV of CPUs in use)', of: (day) => mean(day.spread.map(({ value }) => value)) },
   { name: 'task moves made', of: (day) => day.moves.completed },
   { name: 'task moves given up', of: (day) => day.moves.abandoned },
   { name: 'machine moves', of: (day) => day.machineMoves.allowed },
-  { name: 'work lost, s', of: (day) => day.lostS },
+  { name: 'work lost, s', of: (day) => day.repeatedWorkS },
   { name: 'jobs finished', of: (day) => day.finished },
   { name: 'processor time of the whole day, ms', of: (day) => day.cpuMs },
 ];
@@ -42,7 +42,12 @@
 }
 
 function plot(title: string, option: echarts.EChartsOption): string {
-  const chart = echarts.init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT });
+  const chart = echarts.init(null, null, {
+    renderer: 'svg',
+    ssr: true,
+    width: PLOT_WIDTH_PX,
+    height: PLOT_HEIGHT_PX,
+  });
   chart.setOption({
     animation: false,
     title: { text: title, left: 'center' },
@@ -54,13 +59,13 @@
   return svg;
 }
 
-function waitsPlot(compared: readonly VariantDays[], urgency: string): string {
+function waitsPlot(compared: readonly VariantDays[], priority: string): string {
   const shares = [0.5, 0.75, 0.9, 0.95, 0.99];
-  return plot(`Seconds until a task of '${urgency}' begins`, {
+  return plot(`Seconds until a task of '${priority}' begins`, {
     xAxis: { type: 'category', data: shares.map((share) => `p${share * 100}`) },
     yAxis: { type: 'value', name: 's' },
     series: compared.map(({ variant, days }) => {
-      const waits = days.flatMap((day) => day.waits.get(urgency) ?? []);
+      const waits = days.flatMap((day) => day.startDelays.get(priority) ?? []);
       const data = shares.map((share) => Math.round(quantile(waits, share) * 10) / 10);
       return { name: variant.name, type: 'bar' as const, data };
     }),
@@ -74,7 +79,7 @@
     series: compared.map(({ variant, days }) => {
       const bins = new Map<number, number[]>();
       for (const { atMs, value } of days.flatMap((day) => day.spread)) {
-        const bin = Math.floor(atMs / SPREAD_BIN_MS);
+        const bin = Math.floor(atMs / SPREAD_BIN_WIDTH_MS);
         bins.set(bin, [...(bins.get(bin) ?? []), value]);
       }
       const data = [...bins].sort(([a], [b]) => a - b);
@@ -82,7 +87,7 @@
         name: variant.name,
         type: 'line' as const,
         showSymbol: false,
-        data: data.map(([bin, values]) => [(bin * SPREAD_BIN_MS) / 1000, mean(values)]),
+        data: data.map(([bin, values]) => [(bin * SPREAD_BIN_WIDTH_MS) / 1000, mean(values)]),
       };
     }),
   });
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -10,9 +10,9 @@
 // What a start does not need is kept out of the main file, to be read only when it is asked for.
 const libraries = ['fengari', 'hdr-histogram-js'];
 const modules = {
-  './coordination/gateway': 'gateway',
-  './command-line': 'command-line',
-  './optional-features': 'optional-features',
+  './coordination/requests/express-app': 'express-app',
+  './cli/command-line': 'command-line',
+  './startup/optional-features': 'optional-features',
 };
 const common = {
   bundle: true,
@@ -32,7 +32,7 @@
 const keepApart = {
   name: 'keep-apart',
   setup(build) {
-    const filter = new RegExp(`^(${libraries.join('|')})$|/(gateway|command-line|optional-features)$`);
+    const filter = new RegExp(`^(${libraries.join('|')})$|/(express-app|command-line|optional-features)$`);
     build.onResolve({ filter }, ({ path, kind, importer }) => {
       if (libraries.includes(path)) return { path: `./${path}.js`, external: true };
       const name = path.split('/').pop();
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -6,30 +6,38 @@
   { cause: 'recorder', frames: /recorder\.js|node:inspector|inspector_async/ },
   { cause: 'logging', frames: /\/pino\/|transport\/log\.js|sonic-boom/ },
   { cause: 'start', frames: /cjs\/loader|bootstrap|run_main/ },
-  { cause: 'placement', frames: /(chooseMachines|sorted|schedulingOrder|fill) .*coordination/ },
-  { cause: 'progress', frames: /writeProgress|(changed|recorded|progress) .*(partition|progress|job)\.js/ },
-  { cause: 'load reports', frames: /partition-load\.js/ },
   {
-    cause: 'reports',
-    frames: /report-server\.js|fair-queue\.js|workers\.js|(fastReports|answerReport) |onconnection/,
+    cause: 'placement',
+    frames: /(prioritizeMachines|jobsInSchedulingOrder|schedulingOrder|placeTasks) .*coordination/,
+  },
+  {
+    cause: 'progress',
+    frames: /writeProgress|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
+  },
+  { cause: 'partition loads', frames: /partition-load\.js/ },
+  {
+    cause: 'heartbeats',
+    frames:
+      /request-server\.js|fair-queue\.js|workers\.js|(plainHeartbeatHandler|answerHeartbeat) |onconnection/,
   },
   {
     cause: "leader's planning",
-    frames: /(leader|fleet-[a-z]+|autoscale|machine-registry|cloud-client|assignment)\.js/,
+    frames: /coordination\/(leader|fleet)\//,
   },
-  { cause: 'partition tick', frames: /partition(-actor)?\.js|tick .*controller\.js/ },
-  { cause: 'frames between controllers', frames: /peer-link\.js|peers\.js|avsc|sendStatus|fromPeer/ },
+  { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
+  { cause: 'frames between controllers', frames: /peer-link\.js|peers\.js|avsc|publishStatus|receiveFrame/ },
   {
     cause: 'watch events and refill',
-    frames: /replica-view\.js|(apply|follow|fill|whole|release|caughtUp) .*ledger\.js/,
+    frames:
+      /replica-view\.js|(apply|follow|fill|publishIfComplete|resolveWaiters|whenCaughtUp) .*state-store-client\.js/,
   },
   {
-    cause: 'submissions and questions',
-    frames: /\/express\/|gateway\.js|runs\.js|submission-batcher\.js|\/router\/|_http_server/,
+    cause: 'submissions and status queries',
+    frames: /\/express\/|express-app\.js|job-service\.js|submission-batcher\.js|\/router\/|_http_server/,
   },
   {
     cause: 'requests to the state service and the cloud',
-    frames: /ledger\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
+    frames: /state-store-client\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
   },
   {
     cause: 'sockets',
@@ -40,18 +48,18 @@
 ];
 
 /** A report is a message of the partition: its stack also holds the partition's frames. */
-const REPORT_FRAME = /(report|take|answer|isNews|adopt|exited) .*(partition|machine)\.js/;
+const HEARTBEAT_FRAME = /(report|take|answer|isNews|adopt|exited) .*(partition|machine)\.js/;
 const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
 
-function describe({ callFrame }: Node): string {
+function frameText({ callFrame }: Node): string {
   return `${callFrame.functionName} ${callFrame.url}`;
 }
 
 function causeOf(stack: readonly string[]): string {
-  if (stack.some((frame) => REPORT_FRAME.test(frame)))
-    return stack.some((frame) => PLACEMENT?.frames.test(frame)) ? 'placement' : 'reports';
+  if (stack.some((frame) => HEARTBEAT_FRAME.test(frame)))
+    return stack.some((frame) => PLACEMENT?.frames.test(frame)) ? 'placement' : 'heartbeats';
   for (const frame of stack) {
     const found = CAUSES.find(({ frames }) => frames.test(frame));
     if (found) return found.cause;
@@ -75,12 +83,12 @@
   for (const [id, us] of selfUs) {
     const stack: string[] = [];
     for (let at: number | undefined = id; at !== undefined; at = parents.get(at))
-      stack.push(describe(nodes.get(at) as Node));
-    const own = stack[0] ?? '';
-    if (own.startsWith('(idle)')) continue;
+      stack.push(frameText(nodes.get(at) as Node));
+    const ownFrame = stack[0] ?? '';
+    if (ownFrame.startsWith('(idle)')) continue;
     const cause = causeOf(stack);
     causes.set(cause, (causes.get(cause) ?? 0) + us / 1000);
-    functions.set(own, (functions.get(own) ?? 0) + us / 1000);
+    functions.set(ownFrame, (functions.get(ownFrame) ?? 0) + us / 1000);
   }
   const byTime = (a: [string, number], b: [string, number]): number => b[1] - a[1];
   return { causes: new Map([...causes].sort(byTime)), hottest: [...functions].sort(byTime) };
