--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -8,28 +8,28 @@
 import { type Profiler } from 'node:inspector';
 import { join } from 'node:path';
 import { Command } from 'commander';
-import { type HttpAnswer } from '../../src/transport/http-client';
-import { StandinCloud, type FleetHooks, type Worker } from '../../test/standin/fleet';
-import { StandinStore } from '../../test/standin/store';
+import { type HttpResponse } from '../../src/transport/http-client';
+import { FakeCloud, type FleetHooks, type FakeWorker } from '../../test/standin/fleet';
+import { FakeStateStore } from '../../test/standin/store';
 import { attribute } from './attribution';
-import { post, serveStandin } from '../../test/standin/http-front';
+import { sendRequest, serveFake } from '../../test/standin/http-front';
 import { RealTime } from '../../test/standin/real-time';
 import { type Recording } from './recorder';
 import { LoadUsers } from './users';
 
 const STORE_PORT = 21_379;
 const CLOUD_PORT = 21_443;
-const FIRST_PORT = 21_500;
-const REPORT_MS = 3000;
+const FIRST_CONTROLLER_PORT = 21_500;
+const HEARTBEAT_INTERVAL_MS = 3000;
 const LEASE_MS = 19_000;
 const BOOT_MS = 5000;
 const LIST_LAG_MS = 1000;
-const ANSWER_WITHIN_MS = 4000;
-const LARGE_PAGE = 1000;
-const WRITE_OUT_MS = 4000;
-const HOTTEST_SHOWN = 25;
+const RESPONSE_TIMEOUT_MS = 4000;
+const PAGE_ENTRY_COUNT = 1000;
+const RECORDING_WRITE_MS = 4000;
+const SHOWN_FUNCTION_COUNT = 25;
 const TEAMS = ['north', 'south', 'west', 'east'];
-const KIND = { label: 'small', cpus: 4, memory: 16 };
+const MACHINE_KIND = { label: 'small', cpus: 4, memory: 16 };
 
 interface Options {
   controllers: string;
@@ -50,10 +50,11 @@
   process: ChildProcess;
 }
 
-function settingsOf(index: number, controllers: number, machines: number): object {
-  const addressOf = (i: number, offset: number): string => `127.0.0.1:${FIRST_PORT + 2 * i + offset}`;
+function controllerSettings(index: number, controllers: number, machines: number): object {
+  const addressOf = (i: number, offset: number): string =>
+    `127.0.0.1:${FIRST_CONTROLLER_PORT + 2 * i + offset}`;
   const others = Array.from({ length: controllers }, (_, i) => i).filter((i) => i !== index);
-  const cpus = (machines * KIND.cpus) / TEAMS.length;
+  const cpus = (machines * MACHINE_KIND.cpus) / TEAMS.length;
   return {
     member: `velodrome-${index}`,
     site: 'a',
@@ -63,58 +64,59 @@
     external: { cloud: `127.0.0.1:${CLOUD_PORT}`, state: `127.0.0.1:${STORE_PORT}` },
     facts: {
       teams: TEAMS.map((name) => ({ name, cpus, cpus_max: 2 * cpus })),
-      workers: { report_s: REPORT_MS / 1000, lease_s: LEASE_MS / 1000, cancel_s: 49 },
+      workers: { report_s: HEARTBEAT_INTERVAL_MS / 1000, lease_s: LEASE_MS / 1000, cancel_s: 49 },
       state: { rps: 200, write_rps: 40, value_kb: 32, txn_ops: 24 },
       cloud: { rps: 8, list_lag_s: LIST_LAG_MS / 1000 },
     },
   };
 }
 
-class Load {
+class LoadRun {
   private readonly time = new RealTime();
-  private readonly store = new StandinStore(this.time, LARGE_PAGE);
+  private readonly store = new FakeStateStore(this.time, PAGE_ENTRY_COUNT);
   private readonly agents = new Map<string, Agent>();
-  private readonly cloud: StandinCloud;
-  private readonly running: RunningController[] = [];
+  private readonly cloud: FakeCloud;
+  private readonly controllers: RunningController[] = [];
   private readonly users: LoadUsers;
 
   constructor(private readonly options: Options) {
     const machines = Number(options.machines);
     const hooks: FleetHooks = {
-      began: () => undefined,
-      completed: () => undefined,
-      expired: () => undefined,
+      taskStarted: () => undefined,
+      taskCompleted: () => undefined,
+      leaseExpired: () => undefined,
       runMs: () => Number(options.taskSeconds) * 1000 * (0.5 + Math.random()),
-      deliver: (node, worker, report) => this.deliver(node, worker, report),
-      nodeIndex: (name) => Number(name.split('-')[1]),
-      nodes: Number(options.controllers),
-      reportMs: REPORT_MS,
+      deliver: (node, worker, heartbeat) => this.deliverHeartbeat(node, worker, heartbeat),
+      controllerIndex: (name) => Number(name.split('-')[1]),
+      controllers: Number(options.controllers),
+      heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
       leaseMs: LEASE_MS,
     };
     const zones = ['a', 'b'];
-    this.cloud = new StandinCloud(
+    this.cloud = new FakeCloud(
       this.time,
       hooks,
-      [KIND],
+      [MACHINE_KIND],
       zones,
       machines,
       LIST_LAG_MS,
       BOOT_MS,
-      LARGE_PAGE,
+      PAGE_ENTRY_COUNT,
     );
-    for (let i = 0; i < machines; i++) this.cloud.open(KIND.label, zones[i % 2] as string, true, 0);
-    const ask = (path: string, body: object, method: string): Promise<HttpAnswer | null> => {
+    for (let i = 0; i < machines; i++)
+      this.cloud.addMachine(MACHINE_KIND.label, zones[i % 2] as string, true, 0);
+    const sendUserRequest = (path: string, body: object, method: string): Promise<HttpResponse | null> => {
       const index = Math.floor(Math.random() * Number(options.controllers));
-      return post(
+      return sendRequest(
         this.agentOf(`users-${index}`),
-        FIRST_PORT + 2 * index,
+        FIRST_CONTROLLER_PORT + 2 * index,
         path,
         body,
         method,
-        ANSWER_WITHIN_MS,
+        RESPONSE_TIMEOUT_MS,
       );
     };
-    this.users = new LoadUsers(ask, TEAMS, Number(options.tasks), Number(options.taskSeconds));
+    this.users = new LoadUsers(sendUserRequest, TEAMS, Number(options.tasks), Number(options.taskSeconds));
   }
 
   private agentOf(name: string): Agent {
@@ -125,15 +127,26 @@
     return agent;
   }
 
-  private deliver(node: number, worker: Worker, report: object): Promise<HttpAnswer | null> {
-    return post(this.agentOf(worker.name), FIRST_PORT + 2 * node, '/hello', report, 'POST', ANSWER_WITHIN_MS);
+  private deliverHeartbeat(
+    node: number,
+    worker: FakeWorker,
+    heartbeat: object,
+  ): Promise<HttpResponse | null> {
+    return sendRequest(
+      this.agentOf(worker.name),
+      FIRST_CONTROLLER_PORT + 2 * node,
+      '/hello',
+      heartbeat,
+      'POST',
+      RESPONSE_TIMEOUT_MS,
+    );
   }
 
-  private start(index: number, life: number): void {
+  private startController(index: number, incarnation: number): void {
     const { out, controllers, machines, heap } = this.options;
-    const name = `controller-${index}-${life}`;
+    const name = `controller-${index}-${incarnation}`;
     const config = join(out, `${name}.settings.json`);
-    writeFileSync(config, JSON.stringify(settingsOf(index, Number(controllers), Number(machines))));
+    writeFileSync(config, JSON.stringify(controllerSettings(index, Number(controllers), Number(machines))));
     const program = join(__dirname, '..', '..', 'src', 'main.js');
     const env = {
       ...process.env,
@@ -144,7 +157,7 @@
     };
     const args = ['-r', join(__dirname, 'recorder.js'), program, 'serve', '--config', config];
     const child = spawn(process.execPath, args, { env, stdio: ['ignore', 'ignore', 'inherit'] });
-    this.running.push({ name, port: FIRST_PORT + 2 * index, process: child });
+    this.controllers.push({ name, port: FIRST_CONTROLLER_PORT + 2 * index, process: child });
   }
 
   private wait(seconds: number): Promise<void> {
@@ -154,31 +167,31 @@
   async run(): Promise<void> {
     const { options } = this;
     mkdirSync(options.out, { recursive: true });
-    serveStandin(STORE_PORT, (method, path, body) => this.store.request(method, path, body, () => false));
-    serveStandin(CLOUD_PORT, (method, path, body) => this.cloud.request(method, path, body));
-    for (let i = 0; i < Number(options.controllers); i++) this.start(i, 0);
+    serveFake(STORE_PORT, (method, path, body) => this.store.request(method, path, body, () => false));
+    serveFake(CLOUD_PORT, (method, path, body) => this.cloud.request(method, path, body));
+    for (let i = 0; i < Number(options.controllers); i++) this.startController(i, 0);
     await this.wait(Number(options.warmUp));
-    this.users.begin(Number(options.jobs));
+    this.users.start(Number(options.jobs));
     await this.wait(Number(options.seconds));
     if (options.endLeader) await this.endLeader();
     console.log(`users: ${JSON.stringify(this.users.counters)}, machines ${this.cloud.workers.size}`);
-    for (const { name, port } of this.running) {
-      const status = await post(this.agentOf(name), port, '/status', {}, 'GET', ANSWER_WITHIN_MS);
+    for (const { name, port } of this.controllers) {
+      const status = await sendRequest(this.agentOf(name), port, '/status', {}, 'GET', RESPONSE_TIMEOUT_MS);
       console.log(`${name} ${JSON.stringify(status?.body ?? null)}`);
     }
-    for (const { process: child } of this.running) child.kill('SIGTERM');
-    await this.wait(WRITE_OUT_MS / 1000 + (options.heap ? 20 : 0));
-    for (const { name } of this.running) this.print(name);
+    for (const { process: child } of this.controllers) child.kill('SIGTERM');
+    await this.wait(RECORDING_WRITE_MS / 1000 + (options.heap ? 20 : 0));
+    for (const { name } of this.controllers) this.printRecording(name);
   }
 
   /** Ends the controller that owns most, starts it again, and looks on while its partitions change hands. */
   private async endLeader(): Promise<void> {
-    const busiest = this.running[0] as RunningController;
+    const busiest = this.controllers[0] as RunningController;
     busiest.process.kill('SIGTERM');
     await this.wait(Number(this.options.seconds) / 2);
   }
 
-  private print(name: string): void {
+  private printRecording(name: string): void {
     const { out } = this.options;
     const profile = JSON.parse(readFileSync(join(out, `${name}.cpuprofile`), 'utf8')) as Profiler.Profile;
     const recording = JSON.parse(readFileSync(join(out, `${name}.json`), 'utf8')) as Recording;
@@ -190,7 +203,7 @@
     console.log(`  collections ${JSON.stringify(collections)}, loop delay ${JSON.stringify(loopDelayMs)}`);
     for (const [cause, ms] of causes) console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${cause}`);
     console.log('  by function:');
-    for (const [own, ms] of hottest.slice(0, HOTTEST_SHOWN))
+    for (const [own, ms] of hottest.slice(0, SHOWN_FUNCTION_COUNT))
       console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${own}`);
   }
 }
@@ -208,4 +221,4 @@
   .option('--end-leader', 'end one controller after that and go on for half as long', false)
   .option('--out <folder>', 'where profiles go', 'target-test/load');
 program.parse();
-void new Load(program.opts<Options>()).run().then(() => process.exit());
+void new LoadRun(program.opts<Options>()).run().then(() => process.exit());
--- a/tools/load/recorder.ts
+++ b/tools/load/recorder.ts
@@ -9,7 +9,7 @@
 import { writeHeapSnapshot } from 'node:v8';
 
 const SAMPLING_INTERVAL_US = 1000;
-const SAMPLE_EVERY_MS = 500;
+const MEMORY_SAMPLE_INTERVAL_MS = 500;
 const NS_PER_MS = 1_000_000;
 
 /** What a recorded controller leaves behind beside its profile. */
@@ -47,7 +47,7 @@
 setInterval(() => {
   const { rss, heapUsed, external } = process.memoryUsage();
   memory.push({ rssMb: mb(rss), heapUsedMb: mb(heapUsed), externalMb: mb(external) });
-}, SAMPLE_EVERY_MS).unref();
+}, MEMORY_SAMPLE_INTERVAL_MS).unref();
 
 function write(profile: Profiler.Profile): void {
   const cpu = process.cpuUsage();
--- a/tools/load/users.ts
+++ b/tools/load/users.ts
@@ -1,22 +1,22 @@
-import { type HttpAnswer } from '../../src/transport/http-client';
+import { type HttpResponse } from '../../src/transport/http-client';
 
-type Ask = (path: string, body: object, method: string) => Promise<HttpAnswer | null>;
+type SendRequest = (path: string, body: object, method: string) => Promise<HttpResponse | null>;
 
-const POLL_MS = 5000;
-const RETRY_MS = 1000;
+const POLL_INTERVAL_MS = 5000;
+const RETRY_DELAY_MS = 1000;
 
 /** Users who submit jobs at an even rate and ask about each until it is done. */
 export class LoadUsers {
   readonly counters = { submitted: 0, accepted: 0, done: 0, refused: 0, unanswered: 0 };
 
   constructor(
-    private readonly ask: Ask,
+    private readonly sendRequest: SendRequest,
     private readonly teams: readonly string[],
     private readonly tasks: number,
     private readonly taskSeconds: number,
   ) {}
 
-  begin(jobsPerMinute: number): void {
+  start(jobsPerMinute: number): void {
     setInterval(() => void this.submit(), 60_000 / jobsPerMinute);
   }
 
@@ -29,20 +29,20 @@
       ...{ loaners: true, expected_s: this.taskSeconds, snapshot_every_s: 0, snapshot_s: 0, due_s: 200 },
     };
     for (;;) {
-      const answer = await this.ask('/v2/runs', body, 'POST');
+      const answer = await this.sendRequest('/v2/runs', body, 'POST');
       if (answer === null) this.counters.unanswered++;
       if (answer?.status === 201 || answer?.status === 200) break;
       this.counters.refused++;
-      await this.pause(RETRY_MS);
+      await this.pause(RETRY_DELAY_MS);
     }
     this.counters.accepted++;
-    await this.poll(ref);
+    await this.pollUntilDone(ref);
   }
 
-  private async poll(ref: string): Promise<void> {
+  private async pollUntilDone(ref: string): Promise<void> {
     for (;;) {
-      await this.pause(POLL_MS);
-      const answer = await this.ask(`/v2/runs/${ref}`, {}, 'GET');
+      await this.pause(POLL_INTERVAL_MS);
+      const answer = await this.sendRequest(`/v2/runs/${ref}`, {}, 'GET');
       if ((answer?.body as { status?: string } | undefined)?.status === 'done') break;
     }
     this.counters.done++;
