--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,21 +1,38 @@
 import js from '@eslint/js';
 import tseslint from 'typescript-eslint';
 
-// Layers, lowest first. A file may import its own layer and those below it.
-const layers = ['transport', 'protocol', 'storage', 'coordination'];
-const layerRules = layers.slice(0, -1).map((layer, i) => ({
-  files: [`src/${layer}/**/*.ts`],
-  rules: {
-    'no-restricted-imports': [
-      'error',
-      {
-        patterns: layers
-          .slice(i + 1)
-          .map((higher) => ({ group: [`**/${higher}/*`], message: `${layer} lies below ${higher}` })),
-      },
-    ],
-  },
-}));
+// Layers, lowest first. A file may import from its own layer and those below it.
+const LAYERS = ['transport', 'protocol', 'storage', 'coordination', 'startup', 'cli'];
+
+// Folders of the coordination layer, lowest first. A file may import from its own folder and those below it.
+const COORDINATION_FOLDERS = [
+  'membership',
+  'pipeline',
+  'partition',
+  'fleet',
+  'balancing',
+  'leader',
+  'requests',
+  'controller',
+];
+
+/** Forbids imports from a lower folder of an ordered list to a higher one, and to the folders above them all. */
+function importsPointDown(root, folders, above = []) {
+  return folders.map((folder, index) => ({
+    files: [`${root}/${folder}/**/*.ts`],
+    rules: {
+      'no-restricted-imports': [
+        'error',
+        {
+          patterns: [...folders.slice(index + 1), ...above].map((higher) => ({
+            group: [`**/${higher}/*`],
+            message: `${folder} lies below ${higher}`,
+          })),
+        },
+      ],
+    },
+  }));
+}
 
 // A package knows nothing of the service, nor of other packages' insides: it declares what it needs of them.
 const packageRules = {
@@ -47,13 +64,41 @@
   '@typescript-eslint/switch-exhaustiveness-check': ['error', { considerDefaultExhaustiveForUnions: true }],
 };
 
+const naming = [
+  { selector: 'default', format: ['camelCase'] },
+  { selector: 'variable', modifiers: ['const'], format: ['camelCase', 'UPPER_CASE'] },
+  { selector: 'classProperty', modifiers: ['static', 'readonly'], format: ['camelCase', 'UPPER_CASE'] },
+  { selector: 'parameter', format: ['camelCase'], leadingUnderscore: 'allow' },
+  { selector: 'import', format: ['camelCase', 'PascalCase'] },
+  { selector: 'typeLike', format: ['PascalCase'] },
+  { selector: 'enumMember', format: ['PascalCase'] },
+  // Names that other programs set: headers, environment variables, names of cases in tables.
+  {
+    selector: ['objectLiteralProperty', 'objectLiteralMethod', 'typeProperty'],
+    modifiers: ['requiresQuotes'],
+    format: null,
+  },
+];
+
+/** Where messages, settings and stored values are read and written: the form of their keys is set elsewhere. */
+const serializedNaming = [
+  ...naming,
+  {
+    selector: ['objectLiteralProperty', 'typeProperty', 'typeMethod'],
+    format: null,
+  },
+  { selector: ['variable', 'parameter'], modifiers: ['destructured'], format: null },
+];
+
 export default tseslint.config(
   { ignores: ['target/**', 'target-test/**', 'node_modules/**', 'packages/*/index.js'] },
   js.configs.recommended,
   ...tseslint.configs.strict,
-  ...layerRules,
+  ...importsPointDown('src', LAYERS),
+  ...importsPointDown('src/coordination', COORDINATION_FOLDERS, ['startup', 'cli']),
+  { files: ['**/*.mjs'], languageOptions: { globals: { process: 'readonly', console: 'readonly' } } },
   {
-    files: ['src/**/*.ts', 'test/**/*.ts', 'tools/balance/**/*.ts'],
+    files: ['src/**/*.ts', 'test/**/*.ts', 'tools/**/*.ts'],
     languageOptions: {
       parserOptions: { project: './tsconfig.test.json', tsconfigRootDir: import.meta.dirname },
     },
@@ -62,7 +107,21 @@
   packageRules,
   { files: ['packages/**/*.ts'], rules: typeChecked },
   {
-    files: ['src/**/*.ts', 'packages/*/src/**/*.ts'],
+    files: ['src/**/*.ts', 'packages/**/*.ts', 'tools/**/*.ts'],
+    rules: { '@typescript-eslint/naming-convention': ['error', ...naming] },
+  },
+  {
+    files: [
+      'src/protocol/**/*.ts',
+      'packages/load-balancer/src/settings.ts',
+      'test/**/*.ts',
+      'packages/*/test/**/*.ts',
+      'tools/**/*.ts',
+    ],
+    rules: { '@typescript-eslint/naming-convention': ['error', ...serializedNaming] },
+  },
+  {
+    files: ['src/**/*.ts', 'packages/*/src/**/*.ts', 'tools/**/*.ts'],
     rules: {
       'max-lines': ['error', { max: 400, skipBlankLines: true, skipComments: true }],
       'max-lines-per-function': ['error', { max: 60, skipBlankLines: true, skipComments: true }],
--- a/src/protocol/policy.ts
+++ b/src/protocol/policy.ts
@@ -132,34 +132,34 @@
 const MAX_TABLE_ENTRIES = 1000;
 
 /** A Lua value as JavaScript has it; what a policy has no use for becomes null. */
-function readLuaValue(L: unknown, index: number, depth: number, machine: Lua): unknown {
+function readLuaValue(luaState: unknown, index: number, depth: number, machine: Lua): unknown {
   const { lua, to_jsstring } = machine;
   const call = (name: string, ...args: unknown[]): unknown =>
     (lua[name] as (...a: unknown[]) => unknown)(...args);
-  const at = call('lua_absindex', L, index) as number;
-  switch (call('lua_type', L, at)) {
+  const at = call('lua_absindex', luaState, index) as number;
+  switch (call('lua_type', luaState, at)) {
     case lua['LUA_TNUMBER']:
-      return call('lua_tonumber', L, at);
+      return call('lua_tonumber', luaState, at);
     case lua['LUA_TBOOLEAN']:
-      return call('lua_toboolean', L, at);
+      return call('lua_toboolean', luaState, at);
     case lua['LUA_TSTRING']:
-      return to_jsstring(call('lua_tostring', L, at) as Uint8Array);
+      return to_jsstring(call('lua_tostring', luaState, at) as Uint8Array);
     case lua['LUA_TTABLE']: {
       if (depth >= MAX_TABLE_DEPTH) return null;
       const table: Record<string, unknown> = {};
       let entries = 0;
-      call('lua_pushnil', L);
-      while (call('lua_next', L, at)) {
+      call('lua_pushnil', luaState);
+      while (call('lua_next', luaState, at)) {
         // Only text keys: asking a number for its text would change it in the middle of the walk.
-        if (call('lua_type', L, -2) === lua['LUA_TSTRING'] && entries++ < MAX_TABLE_ENTRIES) {
-          table[to_jsstring(call('lua_tostring', L, -2) as Uint8Array)] = readLuaValue(
-            L,
+        if (call('lua_type', luaState, -2) === lua['LUA_TSTRING'] && entries++ < MAX_TABLE_ENTRIES) {
+          table[to_jsstring(call('lua_tostring', luaState, -2) as Uint8Array)] = readLuaValue(
+            luaState,
             -1,
             depth + 1,
             machine,
           );
         }
-        call('lua_settop', L, -2);
+        call('lua_settop', luaState, -2);
       }
       return table;
     }
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -228,7 +228,7 @@
     return cluster.expiredLeases;
   };
   const whole = await leases();
-  const restore = patch(Reachability.prototype, 'better', { value: () => null });
+  const restore = patch(Reachability.prototype, 'betterOwner', { value: () => null });
   try {
     const without = await leases();
     assert.ok(whole < without / 2, `${whole} leases lost, ${without} without the hand-over`);
@@ -612,6 +612,7 @@
 ];
 
 function patch(target: object, key: string, descriptor: PropertyDescriptor): () => void {
+  assert.ok(key in target, `${key} is no member any more: the guard would not be taken away`);
   const real = Object.getOwnPropertyDescriptor(target, key);
   Object.defineProperty(target, key, { ...descriptor, configurable: true });
   return () => {
