--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -12,9 +12,11 @@
 import { type Policy } from '../../protocol/policy';
 import { type Settings } from '../../protocol/settings';
 import { type Heartbeat } from '../../protocol/workers';
-import { ReplicaView, type StoredPartition, type ReplicaEvent } from '../../storage/replica-view';
+import { ReplicaView, type StoredPartition } from '../../storage/replica-view';
+import { type ReplicaEvent } from '../../storage/replica-events';
 import { SubmissionBatcher } from '../../storage/submission-batcher';
-import { StateStoreClient, type StoreTransport } from '../../storage/state-store-client';
+import { StateStoreClient } from '../../storage/state-store-client';
+import { type StoreTransport } from '../../storage/store-connection';
 import { type HeartbeatReply } from '../requests/heartbeat-gateway';
 import { refreshIntervalMs, maxStalenessMs } from '../membership/staleness-bound';
 import { type Balancing } from '../balancing/balancing';
@@ -93,14 +95,16 @@
       watchHoldMs: this.maxStalenessMs / WATCHES_PER_STALENESS_BOUND_COUNT,
     };
     this.stateStore = new StateStoreClient(
-      dependencies.storeTransport,
-      dependencies.watchTransport,
-      clock,
-      log,
+      {
+        transport: dependencies.storeTransport,
+        watchTransport: dependencies.watchTransport,
+        clock,
+        log,
+        metrics: this.metrics,
+      },
       rates,
-      this.metrics,
     );
-    this.replica = new ReplicaView(this.stateStore, log);
+    this.replica = new ReplicaView(this.stateStore.replica, log);
     this.deferredHeartbeats = new DeferredHeartbeats(this.replica, clock, (heartbeat, reply) =>
       this.answerHeartbeat(heartbeat, reply, false),
     );
@@ -134,11 +138,10 @@
     });
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
     const { valueBytes, txnOps } = settings.stateStore;
-    const batcher = new SubmissionBatcher(this.stateStore, this.replica, clock, {
-      valueBytes,
-      txnOps,
-      processIncarnation: dependencies.processIncarnation,
-    });
+    const batcher = new SubmissionBatcher(
+      { stateStore: this.stateStore, replica: this.replica, clock },
+      { valueBytes, txnOps, processIncarnation: dependencies.processIncarnation },
+    );
     this.jobService = new JobService(
       this.stateStore,
       this.replica,
@@ -149,7 +152,7 @@
       this.metrics,
     );
     this.replica.events.subscribe((event) => this.forwardReplicaEvent(event));
-    this.stateStore.batches.subscribe(() => this.reconcilePartitions());
+    this.stateStore.replica.batches.subscribe(() => this.reconcilePartitions());
   }
 
   start(): void {
@@ -187,7 +190,7 @@
 
   /** Makes the partition actors those that the store says are ours; from a whole picture of it alone. */
   private reconcilePartitions(): void {
-    if (!this.stateStore.synced) return;
+    if (!this.stateStore.replica.synced) return;
     for (const [id, partition] of this.partitions) {
       const stored = this.replica.partitions.get(id);
       if (stored?.epoch === partition.core.epoch && this.isOwnedHere(stored)) continue;
@@ -316,12 +319,13 @@
       const storeOk = this.stateStore.respondedWithin(STORE_SILENCE_MS);
       const memberSeen = this.replica.members.get(member) === memberIncarnation;
       // Without a whole picture of the store we cannot say what an earlier life of ours confirmed.
-      const revisionPlausible = message.revision <= this.stateStore.revision + MAX_REVISION_LEAD_COUNT;
-      const memberKnown = memberSeen && this.stateStore.synced && revisionPlausible;
+      const revisionPlausible =
+        message.revision <= this.stateStore.replica.revision + MAX_REVISION_LEAD_COUNT;
+      const memberKnown = memberSeen && this.stateStore.replica.synced && revisionPlausible;
       const extended = this.leaseExtensions.grant(member, memberKnown, storeOk, this.clock.steady());
       const pong = { kind: 'pong' as const, member: this.settings.member, sequence, storeOk, extended };
       // An asker that is ahead of our replica still needs what we confirmed and do not see yet.
-      const since = Math.min(message.revision, this.stateStore.revision);
+      const since = Math.min(message.revision, this.stateStore.replica.revision);
       const cancelled = extended ? this.replica.cancelledSince(since) : [];
       const pages = Math.max(1, Math.ceil(cancelled.length / MAX_CANCELLATIONS_PER_PAGE));
       for (let page = 0; page < pages; page++) {
@@ -383,7 +387,7 @@
       storeOk: this.stateStore.respondedWithin(STORE_SILENCE_MS),
       memberIncarnation: this.membership.memberIncarnation,
       sinceHeartbeatMs: this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt,
-      revision: this.stateStore.synced ? this.stateStore.revision : 0,
+      revision: this.stateStore.replica.synced ? this.stateStore.replica.revision : 0,
     };
     const forLeader = { ...status, partitions, misrouted: this.deferredHeartbeats.misrouted.counts(now) };
     if (leader === this.settings.member) this.handlePeerMessage(forLeader);
@@ -426,7 +430,7 @@
   /** Owners ask what is new though nothing may be, so that an outage finds them knowing all until just before. */
   private refreshReplica(): void {
     const now = this.clock.steady();
-    const since = Math.max(this.stateStore.freshAsOf, this.refreshRequestedAt);
+    const since = Math.max(this.stateStore.replica.freshAsOf, this.refreshRequestedAt);
     if (this.partitions.size === 0 || now - since < refreshIntervalMs(this.maxStalenessMs)) return;
     this.refreshRequestedAt = now;
     void this.stateStore.ensureFresh();
@@ -437,7 +441,7 @@
    * neither store nor any peer is heard: users whose connections stayed here once got no answer for as long as that took.
    */
   ready(): boolean {
-    if (!this.stateStore.synced || this.machineTypes().size === 0) return false;
+    if (!this.stateStore.replica.synced || this.machineTypes().size === 0) return false;
     if (this.stateStore.respondedWithin(3000)) return true;
     const now = this.clock.steady();
     const { peers } = this.settings;
@@ -453,7 +457,7 @@
       member: this.settings.member,
       alive: this.membership.alive(),
       leading: this.leader.leading,
-      revision: this.stateStore.revision,
+      revision: this.stateStore.replica.revision,
       store: { ...this.stateStore.counters, changes: this.stateStore.changesByKind },
       users: this.jobService.counters,
       took: this.metrics.summary(),
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -3,8 +3,10 @@
 import { type Log } from '../../transport/log';
 import { WorkPacer } from '../../transport/work-pacer';
 import { type ReplicaView } from '../../storage/replica-view';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
-import { keys, type MachineRecord, type MemberRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
+import { type MachineRecord, type MemberRecord } from '../../protocol/records';
 import { type ListedMachine, type MachineType, type MachineRequest } from '../../protocol/cloud';
 import { DRAIN_TO_CLOUD, type PartitionLoad, type PeerMessage } from '../../protocol/peers';
 import { type Policy } from '../../protocol/policy';
@@ -186,7 +188,7 @@
 
   private async claimLeadership(): Promise<void> {
     const { member, ledger, replica } = this.deps;
-    if (this.claiming || !member.alive() || !ledger.synced) return;
+    if (this.claiming || !member.alive() || !ledger.replica.synced) return;
     const known = replica.leader;
     if (known) {
       // Our own claim, carried out although its answer was lost: without this nobody would lead for as long as we live.
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -2,12 +2,10 @@
 import { type Log } from '../../transport/log';
 import { type ReplicaView } from '../../storage/replica-view';
 import { planFleetEdit, mayBeRepeated } from '../../storage/fleets';
-import {
-  RequestPriority,
-  type StateStoreClient,
-  type TransactionResult,
-} from '../../storage/state-store-client';
-import { encodeFleet, initialFleetValueName, keys, type MachineRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
+import { encodeFleet, type MachineRecord } from '../../protocol/records';
+import { initialFleetValueName, keys } from '../../protocol/keys';
 import { type Settings } from '../../protocol/settings';
 import { type Condition, type Write } from '../../protocol/store';
 import { type Heartbeat } from '../../protocol/workers';
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -1,7 +1,9 @@
 import { type Log } from '../../transport/log';
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
-import { keys, type PartitionRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
+import { type PartitionRecord } from '../../protocol/records';
 import { type PartitionLoad, type PeerMessage } from '../../protocol/peers';
 import { type Settings, type Team } from '../../protocol/settings';
 import { Reachability } from '../membership/reachability';
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -1,8 +1,10 @@
 import { MAX_CLOCK_DRIFT_RATIO, type Clock } from '../../transport/clock';
 import { Actor } from '../../transport/actor';
 import { type Log } from '../../transport/log';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
-import { keys, type MemberRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
+import { type MemberRecord } from '../../protocol/records';
 import { type LeaseExtensions } from './lease-extension';
 
 /** How long a session lease lasts without renewal: the time in which a dead controller is noticed. */
@@ -44,7 +46,7 @@
 
   /** When we last surely knew of every cancellation that anybody had confirmed. */
   get freshAsOf(): number {
-    return Math.max(this.stateStore.freshAsOf, this.extensions.freshAsOf);
+    return Math.max(this.stateStore.replica.freshAsOf, this.extensions.freshAsOf);
   }
 
   /**
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -1,11 +1,6 @@
 import { type JobSpec } from '../../protocol/jobs';
-import {
-  decodeRanges,
-  encodeRanges,
-  INITIAL_START_WATERMARK,
-  type JobProgress,
-  type JobState,
-} from '../../protocol/records';
+import { decodeRanges, encodeRanges } from '../../protocol/task-ranges';
+import { INITIAL_START_WATERMARK, type JobProgress, type JobState } from '../../protocol/records';
 import { type MachineState } from './machine';
 
 /** A job that failed on this many machines, most of those it was on, and never succeeded is taken to be at fault itself. */
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -1,20 +1,22 @@
 import { Actor } from '../../transport/actor';
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
-import { type ReplicaView, type StoredProgress } from '../../storage/replica-view';
+import { type ReplicaView } from '../../storage/replica-view';
+import { type StoredProgress } from '../../storage/job-index';
 import { ProgressSlots } from '../../storage/progress';
 import { planAssignedEdit } from '../../storage/assigned-machines';
 import { planFleetEdit } from '../../storage/fleets';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
 import {
   encodeProgress,
-  keys,
   type FleetEntry,
   type JobProgress,
   type JobState,
   type MachineRecord,
   type PartitionRecord,
 } from '../../protocol/records';
+import { keys } from '../../protocol/keys';
 import { type JobSpec } from '../../protocol/jobs';
 import { DRAIN_TO_CLOUD } from '../../protocol/peers';
 import { type Condition, type Write } from '../../protocol/store';
@@ -230,7 +232,7 @@
     this.writingTerminalStates = true;
     const { id } = this.core;
     const last = this.replica.lastTerminalStatesIndex(id);
-    const current = this.ledger.entries.get(keys.terminalStates(id, last));
+    const current = this.ledger.replica.entries.get(keys.terminalStates(id, last));
     const full = current !== undefined && JSON.stringify(current.value).length > MAX_TERMINAL_VALUE_BYTES;
     const key = keys.terminalStates(id, full ? last + 1 : last);
     const ended = [...this.core.terminalStates].slice(
@@ -265,13 +267,12 @@
     this.writingAssigned = true;
     this.assignedWriteAt = now;
     const lives = (id: string): boolean => this.core.machines.has(id);
-    const { ids, condition, write } = planAssignedEdit(
-      this.replica,
-      this.core.id,
+    const { ids, condition, write } = planAssignedEdit(this.replica, {
+      partition: this.core.id,
       machines,
-      lives,
-      this.options.valueBytes,
-    );
+      exists: lives,
+      valueBytes: this.options.valueBytes,
+    });
     const result = await this.ledger.transact(
       [this.epochCondition, condition],
       [write],
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -1,8 +1,10 @@
 import { type Clock } from '../../transport/clock';
 import { type Metrics } from '../../transport/metrics';
-import { type ReplicaView, type StoredJob } from '../../storage/replica-view';
+import { type ReplicaView } from '../../storage/replica-view';
+import { type StoredJob } from '../../storage/replica-events';
 import { type SubmissionBatcher } from '../../storage/submission-batcher';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
 import {
   jobStatusBody,
   parseSubmission,
@@ -10,7 +12,7 @@
   type JobStatus,
   type PipelineJobStatus,
 } from '../../protocol/jobs';
-import { keys } from '../../protocol/records';
+import { keys } from '../../protocol/keys';
 import { type MachineType } from '../../protocol/cloud';
 import { type Condition } from '../../protocol/store';
 import { type Team } from '../../protocol/settings';
--- /dev/null
+++ b/src/protocol/task-ranges.ts
@@ -0,0 +1,29 @@
+/** Sets of task indices as text: ranges in ascending order, such as `0-3,7`. */
+
+/** Writes a set of task indices as ranges, leaving out the ranges that go beyond `maxLength` characters. */
+export function encodeRanges(
+  done: Uint8Array,
+  isDone: (value: number) => boolean,
+  maxLength: number,
+): string {
+  let text = '';
+  for (let first = 0; first < done.length; first++) {
+    if (!isDone(done[first] as number)) continue;
+    let last = first;
+    while (last + 1 < done.length && isDone(done[last + 1] as number)) last++;
+    const range = `${text ? ',' : ''}${first}${last > first ? `-${last}` : ''}`;
+    if (text.length + range.length > maxLength) break;
+    text += range;
+    first = last;
+  }
+  return text;
+}
+
+/** Reads ranges; the first and the last index of each. */
+export function decodeRanges(text: string): [first: number, last: number][] {
+  if (!text) return [];
+  return text.split(',').map((range) => {
+    const [first, last] = range.split('-');
+    return [Number(first), Number(last ?? first)];
+  });
+}
--- a/src/storage/fleets.ts
+++ b/src/storage/fleets.ts
@@ -1,13 +1,9 @@
-import {
-  encodeFleet,
-  leaderTermOfFleetKey,
-  keys,
-  type FleetEntry,
-  type MachineRecord,
-} from '../protocol/records';
+import { keys, leaderTermOfFleetKey } from '../protocol/keys';
+import { encodeFleet, type FleetEntry, type FleetWrite, type MachineRecord } from '../protocol/records';
 import { type Condition, type Write } from '../protocol/store';
 import { type ReplicaView } from './replica-view';
 
+/** A transaction that changes machines of a partition. */
 export interface FleetEdit {
   /** The machines that this edit changes; the others are left for the next one. */
   ids: string[];
@@ -15,64 +11,43 @@
   writes: Write[];
 }
 
+/** Limits of a stored value and of a transaction. */
 export interface FleetLimits {
   valueBytes: number;
   txnOps: number;
 }
 
-type MachineAtRevision = { record: MachineRecord; revision: number | null };
+/** The new record of each machine; null: the machine no longer exists. */
+export type FleetChanges = ReadonlyMap<string, MachineRecord | null>;
 
-/** Of a value, what the machines of one edit may take. */
+type Machines = [string, FleetWrite][];
+
+/** The part of a value that the machines of one edit may take. */
 const MAX_EDIT_SIZE_RATIO = 0.4;
+/** What an id takes beside its characters: quotes and commas. */
 const ID_OVERHEAD_BYTES = 4;
 
 /**
- * Changes many machines of a partition with few changes of the store: rewrites the values in which they stand, and puts
- * those that go to another partition into a new value there, named `name`. Machines that stay as they are keep the
- * revision at which they came to stand so, for tokens and the proof that a machine came empty hang on it. null:
- * the machine is gone.
+ * Changes many machines of a partition with few writes: rewrites the values that hold them, and puts those that go to another
+ * partition into a new value there, named `name`. Machines that stay as they are keep the revision of their last change, for
+ * fencing tokens and the proof that a machine was empty when it came depend on it.
  */
 export function planFleetEdit(
   replica: ReplicaView,
   partition: string,
-  changes: ReadonlyMap<string, MachineRecord | null>,
+  changes: FleetChanges,
   name: string,
   limits: FleetLimits,
 ): FleetEdit {
-  const ids: string[] = [];
-  const touched = new Set<string>();
-  const targets = new Map<string, [string, MachineAtRevision][]>();
-  let bytes = limits.valueBytes * MAX_EDIT_SIZE_RATIO;
-  for (const [id, change] of changes) {
-    const machine = replica.machines.get(id);
-    if (!machine || machine.record.partition !== partition) continue;
-    const keysAfter = touched.size + (touched.has(machine.key) ? 0 : 1);
-    const goesTo = change !== null && change.partition !== partition ? change.partition : null;
-    const targetsAfter = targets.size + (goesTo === null || targets.has(goesTo) ? 0 : 1);
-    bytes -= id.length + ID_OVERHEAD_BYTES;
-    if (keysAfter + targetsAfter > limits.txnOps || bytes < 0) break;
-    ids.push(id);
-    touched.add(machine.key);
-    if (goesTo === null || change === null) continue;
-    const there = targets.get(goesTo) ?? [];
-    there.push([id, { record: change, revision: null }]);
-    targets.set(goesTo, there);
-  }
-  const edited = new Set(ids);
-  const conditions = [...touched].map((key) => ({ key, revision: replica.stateStore.revisionOf(key) }));
-  const writes: Write[] = [];
-  const rest = [...touched].map((key) => ({
+  const { ids, touchedKeys, transfers } = chooseMachines(replica, partition, changes, limits);
+  const changed = new Set(ids);
+  const rest = touchedKeys.map((key) => ({
     key,
-    machines: remainingMachines(replica.fleetInKey(key), partition, changes, edited),
+    machines: remainingMachines(replica.fleetInKey(key), partition, changes, changed),
   }));
-  const together = encodeFleet(rest.flatMap((r) => r.machines));
-  // Values that are rewritten anyway become one, so that later edits touch fewer.
-  const merge = Buffer.byteLength(JSON.stringify(together)) <= limits.valueBytes * (1 - MAX_EDIT_SIZE_RATIO);
-  for (const [i, { key, machines }] of rest.entries()) {
-    const value = merge ? (i === 0 ? together : []) : encodeFleet(machines);
-    writes.push(value.length > 0 || mayBeRepeated(replica, key) ? { put: key, value } : { remove: key });
-  }
-  for (const [target, machines] of targets) {
+  const conditions = touchedKeys.map((key) => ({ key, revision: replica.store.revisionOf(key) }));
+  const writes = rewriteValues(replica, rest, limits);
+  for (const [target, machines] of transfers) {
     const key = keys.fleet(target, name);
     conditions.push({ key, revision: 0 });
     writes.push({ put: key, value: encodeFleet(machines) });
@@ -81,25 +56,71 @@
 }
 
 /**
- * Whether the transaction that first wrote this value may be carried out once more. A leader repeats one whose answer is lost,
- * and the lost one may come late; it is conditional on the absence of the key and on the leader. Were the key removed while
- * that leader leads, machines that have moved on meanwhile would stand here again: their tasks were once started a second time.
+ * Whether the transaction that first wrote this value may be carried out once more. A leader repeats one whose response is
+ * lost, and the lost one may be applied late; it is conditional on the absence of the key and on the leader. Were the key
+ * removed while that leader leads, machines that were transferred meanwhile would be in this value again, and their tasks
+ * would be started a second time.
  */
 export function mayBeRepeated(replica: ReplicaView, key: string): boolean {
   return replica.leader !== null && leaderTermOfFleetKey(key) === replica.leader.term;
 }
 
+/** The first machines that one transaction can change, the values that hold them, and who goes to which partition. */
+function chooseMachines(
+  replica: ReplicaView,
+  partition: string,
+  changes: FleetChanges,
+  limits: FleetLimits,
+): { ids: string[]; touchedKeys: string[]; transfers: ReadonlyMap<string, Machines> } {
+  const ids: string[] = [];
+  const touchedKeys = new Set<string>();
+  const transfers = new Map<string, Machines>();
+  let freeBytes = limits.valueBytes * MAX_EDIT_SIZE_RATIO;
+  for (const [id, change] of changes) {
+    const machine = replica.machines.get(id);
+    if (!machine || machine.record.partition !== partition) continue;
+    const target = change !== null && change.partition !== partition ? change.partition : null;
+    const keysAfter = touchedKeys.size + (touchedKeys.has(machine.key) ? 0 : 1);
+    const targetsAfter = transfers.size + (target === null || transfers.has(target) ? 0 : 1);
+    freeBytes -= id.length + ID_OVERHEAD_BYTES;
+    if (keysAfter + targetsAfter > limits.txnOps || freeBytes < 0) break;
+    ids.push(id);
+    touchedKeys.add(machine.key);
+    if (target === null || change === null) continue;
+    const machines = transfers.get(target) ?? [];
+    machines.push([id, { record: change, revision: null }]);
+    transfers.set(target, machines);
+  }
+  return { ids, touchedKeys: [...touchedKeys], transfers };
+}
+
+/** Writes what remains in each value; values that fit into one become one, so that later edits touch fewer. */
+function rewriteValues(
+  replica: ReplicaView,
+  values: readonly { key: string; machines: Machines }[],
+  limits: FleetLimits,
+): Write[] {
+  const merged = encodeFleet(values.flatMap(({ machines }) => machines));
+  const mergedBytes = Buffer.byteLength(JSON.stringify(merged));
+  const merge = mergedBytes <= limits.valueBytes * (1 - MAX_EDIT_SIZE_RATIO);
+  return values.map(({ key, machines }, i) => {
+    const mergedPart = i === 0 ? merged : [];
+    const value = merge ? mergedPart : encodeFleet(machines);
+    return value.length > 0 || mayBeRepeated(replica, key) ? { put: key, value } : { remove: key };
+  });
+}
+
 function remainingMachines(
   fleet: ReadonlyMap<string, FleetEntry>,
   partition: string,
-  changes: ReadonlyMap<string, MachineRecord | null>,
-  edited: ReadonlySet<string>,
-): [string, MachineAtRevision][] {
-  const kept: [string, MachineAtRevision][] = [];
+  changes: FleetChanges,
+  changed: ReadonlySet<string>,
+): Machines {
+  const remaining: Machines = [];
   for (const [id, entry] of fleet) {
-    const change = edited.has(id) ? changes.get(id) : undefined;
-    if (change === undefined) kept.push([id, entry]);
-    else if (change?.partition === partition) kept.push([id, { record: change, revision: null }]);
+    const change = changed.has(id) ? changes.get(id) : undefined;
+    if (change === undefined) remaining.push([id, entry]);
+    else if (change?.partition === partition) remaining.push([id, { record: change, revision: null }]);
   }
-  return kept;
+  return remaining;
 }
--- /dev/null
+++ b/src/storage/job-index.ts
@@ -0,0 +1,89 @@
+import { type Subject } from 'rxjs';
+import { type AcceptedJob, type JobProgress, type JobState } from '../protocol/records';
+import { type ReplicaEvent, type StoredJob } from './replica-events';
+
+/** Progress of a job and where it is stored. */
+export interface StoredProgress extends JobProgress {
+  /** The index of its partition's progress value that holds it. */
+  slot: number;
+}
+
+/** A user's cancellation of a job. */
+export interface Cancellation {
+  job: string;
+  /** Revision at which it was written. */
+  revision: number;
+}
+
+/** All jobs in the replica: their state, their progress, and the pipelines that they belong to. */
+export class JobIndex {
+  readonly jobs = new Map<string, StoredJob>();
+  /** The jobs of each pipeline. */
+  readonly pipelines = new Map<string, StoredJob[]>();
+  /** How jobs ended, also those whose batch is not known yet. */
+  private readonly terminalStates = new Map<string, JobState>();
+  private readonly cancelled = new Map<string, number>();
+  private readonly progress = new Map<string, StoredProgress>();
+
+  constructor(private readonly events: Subject<ReplicaEvent>) {}
+
+  progressOf(ref: string): StoredProgress | null {
+    return this.progress.get(ref) ?? null;
+  }
+
+  /**
+   * A job may be in two batches: its user asked a second controller before the first one's response, or a batch was applied
+   * late. The earlier one counts, for every controller alike.
+   */
+  addBatch(batch: readonly AcceptedJob[], revision: number): void {
+    for (const { spec, acceptedAt } of batch) {
+      const known = this.jobs.get(spec.ref);
+      if (known && known.revision <= revision) continue;
+      const state = known?.state ?? this.terminalStates.get(spec.ref) ?? 'open';
+      const job = { spec, acceptedAt: new Date(acceptedAt).getTime(), revision, state };
+      this.jobs.set(spec.ref, job);
+      if (spec.pipeline) this.addToPipeline(spec.pipeline.ref, job);
+      if (state === 'open') this.events.next({ kind: 'job', job });
+    }
+  }
+
+  /** Notes that a job is cancelled; a second cancellation changes nothing. */
+  cancel(ref: string, revision: number): void {
+    if (this.cancelled.has(ref)) return;
+    this.cancelled.set(ref, revision);
+    this.close(ref, 'cancelled');
+  }
+
+  /** The cancellations after a revision, as far as they are known here. */
+  cancelledSince(revision: number): Cancellation[] {
+    const found: Cancellation[] = [];
+    for (const [job, cancelledAt] of this.cancelled) {
+      if (cancelledAt > revision) found.push({ job, revision: cancelledAt });
+    }
+    return found;
+  }
+
+  /** Notes how a job ended; `done` and `cancelled` are final. */
+  close(ref: string, state: JobState): void {
+    const before = this.terminalStates.get(ref);
+    // A job that failed because of its pipeline may still be cancelled by its user, and then stays cancelled.
+    if (before === state || before === 'done' || before === 'cancelled') return;
+    this.terminalStates.set(ref, state);
+    this.progress.delete(ref);
+    const job = this.jobs.get(ref);
+    if (!job) return;
+    job.state = state;
+    this.events.next({ kind: 'closed', job });
+  }
+
+  setProgress(jobs: ReadonlyMap<string, JobProgress>, slot: number): void {
+    for (const [ref, progress] of jobs) {
+      if (!this.terminalStates.has(ref)) this.progress.set(ref, { ...progress, slot });
+    }
+  }
+
+  private addToPipeline(pipeline: string, job: StoredJob): void {
+    const others = (this.pipelines.get(pipeline) ?? []).filter((j) => j.spec.ref !== job.spec.ref);
+    this.pipelines.set(pipeline, [...others, job]);
+  }
+}
--- a/src/storage/progress.ts
+++ b/src/storage/progress.ts
@@ -1,18 +1,20 @@
 import { encodeProgress, type JobProgress } from '../protocol/records';
 
+/** One progress value of a partition, to be written. */
 export interface ProgressValue {
   slot: number;
   jobs: Map<string, JobProgress>;
+  /** The value as JSON, to tell whether it differs from what was written last. */
   text: string;
 }
 
-/** What a job takes in a value on the average; a value has as many places. */
+/** What a job takes in a value on average; this gives how many jobs a value is meant for. */
 const EXPECTED_BYTES_PER_JOB = 256;
 
 /**
- * In which of its partition's progress values each open job stands. A job keeps its place until it ends: moved from one
- * value to another it could be missing from both after a crash, and with it the start watermark that says how far its tasks may
- * have been started.
+ * Which of a partition's progress values, its slot, holds each open job. A job keeps its slot until it ends: moved from one
+ * value to another it could be missing from both after a crash, and with it the start watermark that says up to which index
+ * its tasks may have been started.
  */
 export class ProgressSlots {
   private readonly slotOf = new Map<string, number>();
@@ -21,12 +23,13 @@
 
   constructor(private readonly valueBytes: number) {}
 
-  /** The job stands there already. */
+  /** The job is in this slot in the store already. */
   assign(ref: string, slot: number): void {
     this.slotOf.set(ref, slot);
     this.jobsInSlot[slot] = (this.jobsInSlot[slot] ?? 0) + 1;
   }
 
+  /** The job has ended: its place is free for another. */
   release(ref: string): void {
     const slot = this.slotOf.get(ref);
     if (slot === undefined) return;
@@ -34,24 +37,25 @@
     this.jobsInSlot[slot] = (this.jobsInSlot[slot] ?? 1) - 1;
   }
 
-  /** The values that differ from what was last written, in the order of the jobs. */
+  /** The values that differ from what was written last, in the order of the jobs. */
   changedValues(jobs: ReadonlyMap<string, JobProgress>): ProgressValue[] {
     const values = new Map<number, Map<string, JobProgress>>();
     for (const [ref, progress] of jobs) {
       const slot = this.slotFor(ref);
-      const there = values.get(slot) ?? new Map<string, JobProgress>();
-      there.set(ref, progress);
-      values.set(slot, there);
+      const jobsInSlot = values.get(slot) ?? new Map<string, JobProgress>();
+      jobsInSlot.set(ref, progress);
+      values.set(slot, jobsInSlot);
     }
-    const found: ProgressValue[] = [];
-    for (const [slot, inSlot] of values) {
-      const fitting = this.truncateToFit(inSlot);
+    const changed: ProgressValue[] = [];
+    for (const [slot, jobsInSlot] of values) {
+      const fitting = this.truncateToFit(jobsInSlot);
       const text = JSON.stringify(encodeProgress(fitting));
-      if (text !== this.writtenTexts[slot]) found.push({ slot, jobs: fitting, text });
+      if (text !== this.writtenTexts[slot]) changed.push({ slot, jobs: fitting, text });
     }
-    return found;
+    return changed;
   }
 
+  /** The store has this value now. */
   markWritten({ slot, text }: ProgressValue): void {
     this.writtenTexts[slot] = text;
   }
@@ -59,14 +63,14 @@
   private slotFor(ref: string): number {
     const known = this.slotOf.get(ref);
     if (known !== undefined) return known;
-    const places = Math.max(1, Math.floor(this.valueBytes / EXPECTED_BYTES_PER_JOB));
+    const jobsPerValue = Math.max(1, Math.floor(this.valueBytes / EXPECTED_BYTES_PER_JOB));
     let slot = 0;
-    while ((this.jobsInSlot[slot] ?? 0) >= places) slot++;
+    while ((this.jobsInSlot[slot] ?? 0) >= jobsPerValue) slot++;
     this.assign(ref, slot);
     return slot;
   }
 
-  /** Shortens the ranges until they fit: what is left out of them is only told later. */
+  /** Shortens the ranges until they fit: what is left out is only written later. */
   private truncateToFit(jobs: Map<string, JobProgress>): Map<string, JobProgress> {
     let fitting = jobs;
     for (let maxLength = this.valueBytes; ; maxLength /= 2) {
@@ -78,6 +82,7 @@
   }
 }
 
+/** Leaves out the ranges that do not fit into `maxLength` characters. */
 function truncateRanges(ranges: string, maxLength: number): string {
   return ranges.length <= maxLength
     ? ranges
--- a/src/storage/submission-batcher.ts
+++ b/src/storage/submission-batcher.ts
@@ -1,46 +1,56 @@
 import { type Clock } from '../transport/clock';
-import { encodeAccepted, keys, type AcceptedJob } from '../protocol/records';
-import { type Write } from '../protocol/store';
+import { keys } from '../protocol/keys';
+import { encodeAccepted, type AcceptedJob } from '../protocol/records';
 import { type ReplicaView } from './replica-view';
-import { RequestPriority, type StateStoreClient } from './state-store-client';
+import { RequestPriority } from './request-queue';
+import { type StateStoreClient } from './state-store-client';
 
-/** `accepted`: by this request; `known`: it was accepted before; `failed`: nobody knows, the user asks again. */
+/** `accepted`: by this call. `known`: it was accepted before. `failed`: it is not known whether; the user asks again. */
 export type SubmitResult = 'accepted' | 'known' | 'failed';
 
-interface PendingSubmission {
-  job: AcceptedJob;
-  bytes: number;
-  resolve: (result: SubmitResult) => void;
+/** What a batcher works with. */
+export interface SubmissionBatcherDependencies {
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  clock: Clock;
 }
 
+/** Limits of a stored value and of a transaction, and the name of this process. */
 export interface SubmissionBatcherOptions {
   valueBytes: number;
   txnOps: number;
-  /** In no other process's names, of this controller's earlier lives included. */
+  /** Differs from that of any other process, also of earlier ones of the same controller: it is part of the batches' keys. */
   processIncarnation: string;
 }
 
+interface PendingSubmission {
+  job: AcceptedJob;
+  bytes: number;
+  resolve: (result: SubmitResult) => void;
+}
+
+/** Submissions are gathered for this long before they are written. */
 const BATCH_WINDOW_MS = 12;
 const WRITE_TIMEOUT_MS = 3000;
 const MAX_WRITES_IN_FLIGHT = 2;
-/** What a value costs beside the jobs in it. */
+/** What a value takes beside the jobs in it. */
 const VALUE_OVERHEAD_BYTES = 64;
+/** The comma between two jobs of a value. */
+const SEPARATOR_BYTES = 1;
 
 /**
- * Accepts jobs, many with one change: whatever comes while a write waits for its turn goes with the next one. A
- * job is accepted once its batch is in the store; if it stands in two, the earlier revision counts. So no job's
- * name needs a key of its own, and any controller may take any job.
+ * Accepts jobs, many with one transaction: whatever comes while a write waits for its turn goes with the next one. A job is
+ * accepted once its batch is in the store; if it is in two batches, the earlier revision counts. So no job needs a key of its
+ * own, and any controller may accept any job.
  */
 export class SubmissionBatcher {
   private readonly queue: PendingSubmission[] = [];
   private readonly pending = new Map<string, Promise<SubmitResult>>();
-  private inFlight = 0;
-  private batches = 0;
+  private writesInFlight = 0;
+  private batchCount = 0;
 
   constructor(
-    private readonly stateStore: StateStoreClient,
-    private readonly replica: ReplicaView,
-    private readonly clock: Clock,
+    private readonly dependencies: SubmissionBatcherDependencies,
     private readonly options: SubmissionBatcherOptions,
   ) {}
 
@@ -54,6 +64,7 @@
     return encodedBytes(job) + VALUE_OVERHEAD_BYTES <= this.options.valueBytes;
   }
 
+  /** Writes a job to the store. Never rejects; calls for a job that is being written share the result. */
   submit(job: AcceptedJob): Promise<SubmitResult> {
     const { ref } = job.spec;
     const known = this.pending.get(ref);
@@ -67,49 +78,54 @@
   }
 
   private scheduleWrite(): void {
-    if (this.inFlight >= MAX_WRITES_IN_FLIGHT || this.queue.length === 0) return;
-    this.inFlight++;
-    this.clock.schedule(BATCH_WINDOW_MS, () => {
-      void this.write().finally(() => {
-        this.inFlight--;
+    if (this.writesInFlight >= MAX_WRITES_IN_FLIGHT || this.queue.length === 0) return;
+    this.writesInFlight++;
+    this.dependencies.clock.schedule(BATCH_WINDOW_MS, () => {
+      void this.writeBatches().finally(() => {
+        this.writesInFlight--;
         this.scheduleWrite();
       });
     });
   }
 
-  private async write(): Promise<void> {
-    const values: PendingSubmission[][] = [];
-    let room = 0;
-    while (this.queue.length > 0) {
-      const next = this.queue[0] as PendingSubmission;
-      if (next.bytes + 1 > room) {
-        if (values.length === this.options.txnOps) break;
-        values.push([]);
-        room = this.options.valueBytes - VALUE_OVERHEAD_BYTES;
+  private async writeBatches(): Promise<void> {
+    const batches = this.takeBatches();
+    if (batches.length === 0) return;
+    const { stateStore, replica } = this.dependencies;
+    const writes = batches.map((batch) => ({
+      put: keys.batch(`${this.options.processIncarnation}-${++this.batchCount}`),
+      value: batch.map(({ job }) => encodeAccepted(job)),
+    }));
+    const conditions = writes.map(({ put }) => ({ key: put, revision: 0 }));
+    const result = await stateStore.transact(conditions, writes, RequestPriority.Decision, WRITE_TIMEOUT_MS);
+    // Which of two batches came first is known once the replica holds everything up to this one.
+    const revision = result.kind === 'applied' ? result.revision : null;
+    const caughtUp = revision !== null && (await stateStore.whenCaughtUp(revision, WRITE_TIMEOUT_MS));
+    for (const { job, resolve } of batches.flat()) {
+      if (!caughtUp) resolve('failed');
+      else resolve(replica.jobs.get(job.spec.ref)?.revision === revision ? 'accepted' : 'known');
+    }
+  }
+
+  /** Takes submissions off the queue, as many as fit into the values of one transaction. */
+  private takeBatches(): PendingSubmission[][] {
+    const { valueBytes, txnOps } = this.options;
+    const batches: PendingSubmission[][] = [];
+    let batch: PendingSubmission[] = [];
+    let freeBytes = 0;
+    for (let next = this.queue[0]; next !== undefined; next = this.queue[0]) {
+      const bytes = next.bytes + SEPARATOR_BYTES;
+      if (bytes > freeBytes) {
+        if (batches.length === txnOps) break;
+        batch = [];
+        batches.push(batch);
+        freeBytes = valueBytes - VALUE_OVERHEAD_BYTES;
       }
-      room -= next.bytes + 1;
-      (values[values.length - 1] as PendingSubmission[]).push(next);
+      freeBytes -= bytes;
+      batch.push(next);
       this.queue.shift();
     }
-    if (values.length === 0) return;
-    const writes: Write[] = values.map((jobs) => ({
-      put: keys.batch(`${this.options.processIncarnation}-${++this.batches}`),
-      value: jobs.map((w) => encodeAccepted(w.job)),
-    }));
-    const conditions = writes.map((w) => ({ key: 'put' in w ? w.put : '', revision: 0 }));
-    const result = await this.stateStore.transact(
-      conditions,
-      writes,
-      RequestPriority.Decision,
-      WRITE_TIMEOUT_MS,
-    );
-    // Which of two batches came first is known once the replica holds all up to ours.
-    const seen =
-      result.kind === 'applied' && (await this.stateStore.whenCaughtUp(result.revision, WRITE_TIMEOUT_MS));
-    for (const { job, resolve } of values.flat()) {
-      if (!seen || result.kind !== 'applied') resolve('failed');
-      else resolve(this.replica.jobs.get(job.spec.ref)?.revision === result.revision ? 'accepted' : 'known');
-    }
+    return batches;
   }
 }
 
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -26,5 +26,10 @@
   clock.schedule(ms, runAndReschedule);
 }
 
+/** Resolves after `ms` steady milliseconds. */
+export function pause(clock: Clock, ms: number): Promise<void> {
+  return new Promise((resolve) => clock.schedule(ms, resolve));
+}
+
 /** Steady clocks of two machines drift apart by up to this share (PROTOCOL, "The protocols"). */
 export const MAX_CLOCK_DRIFT_RATIO = 0.0005;
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import { parseSubmission } from '../src/protocol/jobs';
 import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../src/protocol/peers';
-import { decodeRanges, encodeRanges } from '../src/protocol/records';
+import { decodeRanges, encodeRanges } from '../src/protocol/task-ranges';
 import { parseSettings, type ResourceQuota } from '../src/protocol/settings';
 import { parseWatch } from '../src/protocol/store';
 import { parseHeartbeat, heartbeatResponse } from '../src/protocol/workers';
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -40,12 +40,15 @@
   teams: ReadonlyMap<string, Team>,
   types: () => ReadonlyMap<string, MachineType>,
 ): JobService {
-  const replica = new ReplicaView(ledger, log);
-  const batcher = new SubmissionBatcher(ledger, replica, clock, {
-    valueBytes: 4096,
-    txnOps: 12,
-    processIncarnation: 'a-1',
-  });
+  const replica = new ReplicaView(ledger.replica, log);
+  const batcher = new SubmissionBatcher(
+    { stateStore: ledger, replica, clock },
+    {
+      valueBytes: 4096,
+      txnOps: 12,
+      processIncarnation: 'a-1',
+    },
+  );
   return new JobService(ledger, replica, batcher, clock, teams, types, new Metrics());
 }
 
@@ -63,11 +66,14 @@
   const call = (method: string, path: string, body: unknown): ReturnType<FakeStateStore['request']> =>
     store.request(method, path, body, () => storeRefuses);
   const clock = time.clock(() => true);
-  const ledger = new StateStoreClient({ call }, { call }, clock, log, {
-    requestRate: 1e6,
-    writeRate: 1e6,
-    controllers: 1,
-  });
+  const ledger = new StateStoreClient(
+    { transport: { call }, watchTransport: { call }, clock, log },
+    {
+      requestRate: 1e6,
+      writeRate: 1e6,
+      controllers: 1,
+    },
+  );
   const limit = { cpus: 8, accelerators: 0 };
   const teams = new Map([['vision', { name: 'vision', guaranteed: limit, limit }]]);
   const jobService = jobServiceOver(ledger, clock, teams, () => new Map(types.map((t) => [t.name, t])));
@@ -220,11 +226,14 @@
 test('submissions and questions beyond what can wait for the store are shed at once', async () => {
   const never = { call: () => new Promise<never>(() => undefined) };
   const clock = time.clock(() => true);
-  const ledger = new StateStoreClient(never, never, clock, log, {
-    requestRate: 1e6,
-    writeRate: 1e6,
-    controllers: 1,
-  });
+  const ledger = new StateStoreClient(
+    { transport: never, watchTransport: never, clock, log },
+    {
+      requestRate: 1e6,
+      writeRate: 1e6,
+      controllers: 1,
+    },
+  );
   const limit = { cpus: 8, accelerators: 0 };
   const teams = new Map([['vision', { name: 'vision', guaranteed: limit, limit }]]);
   const runs = jobServiceOver(ledger, clock, teams, () => new Map([['small', type]]));
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -188,11 +188,16 @@
   const values = new Map<string, string[]>();
   const replica = {
     assignedInKey: (key: string) => values.get(key) ?? [],
-    stateStore: { revisionOf: () => 0 },
+    store: { revisionOf: () => 0 },
   } as unknown as ReplicaView;
   let left = names;
   while (left.length > 0) {
-    const { ids, write } = planAssignedEdit(replica, 'p0', left, () => true, VALUE_BYTES);
+    const { ids, write } = planAssignedEdit(replica, {
+      partition: 'p0',
+      machines: left,
+      exists: () => true,
+      valueBytes: VALUE_BYTES,
+    });
     assert.ok('put' in write && ids.length > 0);
     values.set(write.put, write.value as string[]);
     left = left.filter((id) => !ids.includes(id));
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -38,10 +38,7 @@
   const log = pino({ level: 'silent' });
   return {
     ledger: new StateStoreClient(
-      { call },
-      { call },
-      time.clock(() => true),
-      log,
+      { transport: { call }, watchTransport: { call }, clock: time.clock(() => true), log },
       rates,
     ),
     time,
@@ -99,12 +96,12 @@
     await t.test(name, async () => {
       const { ledger, time } = scriptedStateStore(pages, watches);
       const publishedRevisions: number[] = [];
-      ledger.batches.subscribe(() => publishedRevisions.push(ledger.revision));
+      ledger.replica.batches.subscribe(() => publishedRevisions.push(ledger.replica.revision));
       void ledger.follow();
       await settle();
       await time.run(3000);
       assert.deepEqual(publishedRevisions, expected);
-      assert.equal(ledger.synced, expected.length > 0);
+      assert.equal(ledger.replica.synced, expected.length > 0);
     });
   }
 });
--- a/test/partition-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -4,7 +4,7 @@
 import { PartitionCore } from '../src/coordination/partition/partition-core';
 import { PartitionActor } from '../src/coordination/partition/partition-actor';
 import { type HttpResponse } from '../src/transport/http-client';
-import { keys } from '../src/protocol/records';
+import { keys } from '../src/protocol/keys';
 import { ReplicaView } from '../src/storage/replica-view';
 import { StateStoreClient } from '../src/storage/state-store-client';
 import { settle, VirtualTime } from './standin/clock';
@@ -38,13 +38,13 @@
       return Promise.resolve(answers[Math.min(this.transactionCount++, answers.length - 1)] ?? null);
     };
     const rates = { requestRate: 1000, writeRate: 1000, controllers: 1 };
-    this.ledger = new StateStoreClient({ call }, { call }, clock, log, rates);
-    this.ledger.synced = true;
-    this.ledger.revision = 140;
-    const replica = new ReplicaView(this.ledger, log);
+    this.ledger = new StateStoreClient({ transport: { call }, watchTransport: { call }, clock, log }, rates);
+    this.ledger.replica.synced = true;
+    this.ledger.replica.revision = 140;
+    const replica = new ReplicaView(this.ledger.replica, log);
     const record = { partition: 'p0', phase: 'active' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
-    this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
+    this.ledger.replica.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
     this.core = new PartitionCore(
       'p0',
       OWNER_EPOCH,
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -8,8 +8,8 @@
   encodeAccepted,
   encodeFleet,
   encodeProgress,
-  keys,
 } from '../src/protocol/records';
+import { keys } from '../src/protocol/keys';
 
 /** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
 const status: PeerMessage = {
--- a/test/replica-view.test.ts
+++ b/test/replica-view.test.ts
@@ -6,7 +6,8 @@
 import { planAssignedEdit } from '../src/storage/assigned-machines';
 import { StateStoreClient } from '../src/storage/state-store-client';
 import { type JobSpec } from '../src/protocol/jobs';
-import { encodeAccepted, encodeFleet, keys, type MachineRecord } from '../src/protocol/records';
+import { encodeAccepted, encodeFleet, type MachineRecord } from '../src/protocol/records';
+import { keys } from '../src/protocol/keys';
 import { VirtualTime } from './standin/clock';
 
 const spec: JobSpec = {
@@ -45,12 +46,15 @@
       { write: (line: string) => void this.malformedKeys.push((JSON.parse(line) as { key: string }).key) },
     );
     const clock = new VirtualTime().clock(() => true);
-    const ledger = new StateStoreClient(never, never, clock, log, {
-      requestRate: 1,
-      writeRate: 1,
-      controllers: 1,
-    });
-    this.replica = new ReplicaView(ledger, log);
+    const ledger = new StateStoreClient(
+      { transport: never, watchTransport: never, clock, log },
+      {
+        requestRate: 1,
+        writeRate: 1,
+        controllers: 1,
+      },
+    );
+    this.replica = new ReplicaView(ledger.replica, log);
     this.replica.events.subscribe((e) => {
       if (e.kind === 'machine' || e.kind === 'gone') this.events.push(`${e.kind} ${e.id}`);
       else if (e.kind !== 'members') this.events.push(`${e.kind} ${e.job.spec.ref} ${e.job.state}`);
@@ -62,12 +66,12 @@
     this.whole = false;
     for (const change of changes) change();
     this.whole = true;
-    this.replica.stateStore.batches.next();
+    this.replica.store.batches.next();
     return this;
   }
 
   private endBatch(): this {
-    if (this.whole) this.replica.stateStore.batches.next();
+    if (this.whole) this.replica.store.batches.next();
     return this;
   }
 
@@ -75,14 +79,14 @@
     this.revision = Math.max(this.revision, revision);
     // The wire gives back what JSON keeps.
     const v = JSON.parse(JSON.stringify(value)) as unknown;
-    this.replica.stateStore.entries.set(key, { key, value: v, revision, leaseId: null });
-    this.replica.stateStore.changes.next({ key, value: v, revision });
+    this.replica.store.entries.set(key, { key, value: v, revision, leaseId: null });
+    this.replica.store.changes.next({ key, value: v, revision });
     return this.endBatch();
   }
 
   remove(key: string): this {
-    this.replica.stateStore.entries.delete(key);
-    this.replica.stateStore.changes.next({ key, deleted: true, revision: ++this.revision });
+    this.replica.store.entries.delete(key);
+    this.replica.store.changes.next({ key, deleted: true, revision: ++this.revision });
     return this.endBatch();
   }
 
@@ -297,17 +301,16 @@
     await t.test(name, () => {
       const harness = new ReplicaHarness();
       for (const [n, ids] of listed.entries()) harness.change(keys.assignedMachines('p0', n), ids);
-      const { ids, condition, write } = planAssignedEdit(
-        harness.replica,
-        'p0',
-        open,
-        (id) => !gone?.includes(id),
-        bytes,
-      );
+      const { ids, condition, write } = planAssignedEdit(harness.replica, {
+        partition: 'p0',
+        machines: open,
+        exists: (id) => !gone?.includes(id),
+        valueBytes: bytes,
+      });
       const key = keys.assignedMachines('p0', expect.n);
       assert.deepEqual(ids, expect.ids);
       assert.deepEqual(write, { put: key, value: expect.value });
-      assert.deepEqual(condition, { key, revision: harness.replica.stateStore.revisionOf(key) });
+      assert.deepEqual(condition, { key, revision: harness.replica.store.revisionOf(key) });
       assert.deepEqual([...harness.replica.assignedInPartition('p0')], listed.flat());
       assert.equal(harness.replica.assignedInPartition('p1').size, 0);
     });
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -28,8 +28,7 @@
   { cause: 'frames between controllers', frames: /peer-link\.js|peers\.js|avsc|publishStatus|receiveFrame/ },
   {
     cause: 'watch events and refill',
-    frames:
-      /replica-view\.js|(apply|follow|fill|publishIfComplete|resolveWaiters|whenCaughtUp) .*state-store-client\.js/,
+    frames: /(replica-feed|store-replica|replica-view|job-index|fleet-index)\.js/,
   },
   {
     cause: 'submissions and status queries',
@@ -37,7 +36,8 @@
   },
   {
     cause: 'requests to the state service and the cloud',
-    frames: /state-store-client\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
+    frames:
+      /(state-store-client|store-connection|request-queue|fresh-read-batcher)\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
   },
   {
     cause: 'sockets',
