--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -89,6 +89,11 @@
   return read.success ? read.data.permit : null;
 }
 
+/** The body of a request for a lease that ends after `ttlMs` without renewal. */
+export function leaseBody(ttlMs: number): object {
+  return { ttl_ms: ttlMs };
+}
+
 export function transactionBody(conditions: Condition[], writes: Write[]): object {
   return {
     if: conditions.map((c) => ({ path: c.key, stamp: c.revision })),
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -8,6 +8,7 @@
   parseLease,
   parseRevision,
   paths,
+  leaseBody,
   transactionBody,
   type Condition,
   type Entry,
@@ -175,7 +176,7 @@
     const outcome = await this.connection.send({
       method: 'POST',
       path: paths.leases,
-      body: { ttl_ms: ttlMs },
+      body: leaseBody(ttlMs),
       priority: RequestPriority.Lease,
       withinMs: OPEN_LEASE_TIMEOUT_MS,
     });
