--- /dev/null
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -0,0 +1,98 @@
+/** Brings workers' heartbeats to whoever may answer them. */
+import { type Clock } from '../../transport/clock';
+import { type Metrics } from '../../transport/metrics';
+import { type MisroutedCount } from '../../protocol/peers';
+import { type Heartbeat } from '../../protocol/workers';
+import { type ReplicaView } from '../../storage/replica-view';
+import { type Leader } from '../leader/leader';
+import { type Membership } from '../membership/membership';
+import { DeferredHeartbeats } from '../requests/deferred-heartbeats';
+import { type HeartbeatReply } from '../requests/heartbeat-gateway';
+import { type OwnedPartitions } from './owned-partitions';
+
+export interface HeartbeatRouterDependencies {
+  /** The name of this controller. */
+  member: string;
+  clock: Clock;
+  metrics: Metrics;
+  replica: ReplicaView;
+  membership: Membership;
+  leader: Leader;
+  partitions: OwnedPartitions;
+}
+
+/**
+ * Routes each heartbeat by the recorded partition of its machine: to the partition's actor where it is owned here, else
+ * back to the worker with the name of the owner. Every heartbeat is replied to exactly once.
+ */
+export class HeartbeatRouter {
+  private readonly deferred: DeferredHeartbeats;
+  /** On the steady clock; null: none has come since the start of the process. */
+  private lastHeartbeatAt: number | null = null;
+
+  constructor(private readonly deps: HeartbeatRouterDependencies) {
+    this.deferred = new DeferredHeartbeats(deps.replica, deps.clock, (heartbeat, reply) =>
+      this.answerHeartbeat(heartbeat, reply, false),
+    );
+  }
+
+  receiveHeartbeat(heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void): void {
+    const { clock, metrics } = this.deps;
+    const receivedAt = clock.steady();
+    this.lastHeartbeatAt = receivedAt;
+    this.answerHeartbeat(heartbeat, reply, true);
+    metrics.record('report', clock.steady() - receivedAt);
+  }
+
+  /** Answers deferred heartbeats of partitions whose owner has changed. */
+  ownersChanged(): void {
+    this.deferred.ownersChanged();
+  }
+
+  /** Milliseconds since the last heartbeat of any machine, -1: none has come yet. */
+  sinceHeartbeatMs(now: number): number {
+    return this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt;
+  }
+
+  /** How many machines of other owners' partitions came here lately. */
+  misroutedCounts(now: number): MisroutedCount[] {
+    return this.deferred.misrouted.counts(now);
+  }
+
+  private answerHeartbeat(
+    heartbeat: Heartbeat,
+    reply: (reply: HeartbeatReply) => void,
+    mayDefer: boolean,
+  ): void {
+    const { membership, replica, partitions } = this.deps;
+    if (!membership.alive()) return reply({ kind: 'busy' });
+    const machine = replica.machines.get(heartbeat.machine);
+    if (!machine) return this.answerUnknownMachine(heartbeat, reply);
+    const partition = partitions.get(machine.record.partition);
+    if (partition?.active) {
+      partition.send({
+        kind: 'report',
+        report: heartbeat,
+        reply: (answer) => reply(answer ? { kind: 'answer', ...answer } : { kind: 'busy' }),
+      });
+      return;
+    }
+    const stored = replica.partitions.get(machine.record.partition);
+    if (stored && mayDefer && this.deferred.defer(heartbeat, reply, stored)) return;
+    reply({ kind: 'redirect', owner: this.redirectTarget(stored?.record.owner) });
+  }
+
+  /** A machine without a record is the leader's to register. */
+  private answerUnknownMachine(heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void): void {
+    const { leader, replica } = this.deps;
+    if (!leader.leading)
+      return reply({ kind: 'redirect', owner: this.redirectTarget(replica.leader?.member) });
+    leader.send({ kind: 'unknown-machine-heartbeat', report: heartbeat });
+    reply({ kind: 'busy' });
+  }
+
+  /** Null: there is no other controller to name. */
+  private redirectTarget(owner: string | undefined): string | null {
+    return owner !== undefined && owner !== this.deps.member ? owner : null;
+  }
+}
--- /dev/null
+++ b/src/coordination/controller/status-publisher.ts
@@ -0,0 +1,91 @@
+/** Tells the other controllers, and the leader above all, how this one fares. */
+import { type Clock } from '../../transport/clock';
+import { WorkPacer } from '../../transport/work-pacer';
+import { type PartitionLoad } from '../../protocol/peers';
+import { type ReplicaView } from '../../storage/replica-view';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { type LeaseExtensions } from '../membership/lease-extension';
+import { type Membership } from '../membership/membership';
+import { type HeartbeatRouter } from './heartbeat-router';
+import { type OwnedPartitions } from './owned-partitions';
+import { type PeerMessenger } from './peer-messenger';
+import { STORE_SILENCE_MS } from './readiness';
+
+/** Between two loads of the partitions: the leader plans with nothing much older than the upper bound. */
+const LOAD_INTERVAL_MS = { min: 450, max: 1800 };
+/** The share of the time that computing and sending loads may take. */
+const LOAD_TIME_RATIO = 0.08;
+
+export interface StatusPublisherDependencies {
+  /** The name of this controller. */
+  member: string;
+  peers: readonly string[];
+  clock: Clock;
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  membership: Membership;
+  leaseExtensions: LeaseExtensions;
+  partitions: OwnedPartitions;
+  heartbeats: HeartbeatRouter;
+  messenger: PeerMessenger;
+}
+
+/**
+ * Sends a status to all controllers, which also asks them for lease extensions. The leader's copy holds the loads of the
+ * partitions owned here as well, as often as their cost allows.
+ */
+export class StatusPublisher {
+  private readonly loadPacer = new WorkPacer({
+    minIntervalMs: LOAD_INTERVAL_MS.min,
+    maxIntervalMs: LOAD_INTERVAL_MS.max,
+    share: LOAD_TIME_RATIO,
+  });
+  private readonly loadPublishedAt = new Map<string, number>();
+
+  constructor(private readonly deps: StatusPublisherDependencies) {}
+
+  publishStatus(): void {
+    const { member, peers, clock, replica, leaseExtensions, heartbeats, messenger } = this.deps;
+    const { stateStore, membership } = this.deps;
+    const leader = replica.leader?.member;
+    const now = clock.steady();
+    const loadsDue = this.loadPacer.isDue(now);
+    const partitions = loadsDue ? this.duePartitionLoads(now) : [];
+    const status = {
+      kind: 'status' as const,
+      member,
+      sequence: leaseExtensions.recordRequest(now),
+      storeOk: stateStore.respondedWithin(STORE_SILENCE_MS),
+      memberIncarnation: membership.memberIncarnation,
+      sinceHeartbeatMs: heartbeats.sinceHeartbeatMs(now),
+      revision: stateStore.synced ? stateStore.revision : 0,
+    };
+    const forLeader = { ...status, partitions, misrouted: heartbeats.misroutedCounts(now) };
+    const forPeer = { ...status, partitions: [], misrouted: [] };
+    if (leader === member) messenger.send(member, forLeader);
+    for (const peer of peers) messenger.send(peer, peer === leader ? forLeader : forPeer);
+    if (!loadsDue) return;
+    if (leader !== undefined) this.publishLoadSummaries(leader, now);
+    this.loadPacer.record(now, clock.steady());
+  }
+
+  private publishLoadSummaries(leader: string, now: number): void {
+    for (const { active, balancing } of this.deps.partitions.values())
+      if (active && balancing)
+        this.deps.messenger.send(leader, { kind: 'balance', summary: balancing.summary(now) });
+  }
+
+  /** Loads of the active partitions; of one that is recovering rarely, for its first answers to workers need the time more. */
+  private duePartitionLoads(now: number): PartitionLoad[] {
+    const loads: PartitionLoad[] = [];
+    for (const partition of this.deps.partitions.values()) {
+      if (!partition.active) continue;
+      const { id } = partition.core;
+      const publishedAt = this.loadPublishedAt.get(id) ?? Number.NEGATIVE_INFINITY;
+      if (partition.recovering(now) && now - publishedAt < LOAD_INTERVAL_MS.max) continue;
+      this.loadPublishedAt.set(id, now);
+      loads.push(partition.core.load(now));
+    }
+    return loads;
+  }
+}
