--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -55,12 +55,11 @@
   const apiAddress = parseAddress(settings.listen);
   plainServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
   const peerAddress = parseAddress(settings.peerListen);
-  listenForPeers(
-    peerAddress.host,
-    peerAddress.port,
-    (bytes, answer) => controller.receiveFrame(bytes, answer),
-    (error) => log.error({ error }, 'cannot listen for peers'),
-  );
+  listenForPeers({
+    ...peerAddress,
+    onFrame: (bytes, answer) => controller.receiveFrame(bytes, answer),
+    onError: (error) => log.error({ error }, 'cannot listen for peers'),
+  });
   for (const { member, address } of settings.peers) {
     peerLinks.set(
       member,
--- a/src/transport/fair-queue.ts
+++ b/src/transport/fair-queue.ts
@@ -1,42 +1,50 @@
-/** How long reports are answered at a stretch before the sockets are looked at again. */
+/** How long requests are answered at a stretch before the sockets are read again. */
 const WORK_SLICE_MS = 5;
-/** So many connections are taken in a row before the next stretch: about as much work, so neither waits for the other. */
+/** So many connections are accepted in a row before the next stretch: about as much work, so neither waits for the other. */
 const MAX_ACCEPTS_PER_ROUND = 16;
+
 interface PendingRequest {
+  /** Whether its sender still waits for the response. */
   isAlive: () => boolean;
   run: () => void;
 }
 
 /**
- * Requests that wait for their turn, the newest first, behind the connections that wait to be taken. After a start or a
- * take-over more machines report than can be answered in time. In their order every answer would come just after the
- * machine has given up and asked elsewhere, and none would be heard for as long as that goes on; the newest is the one
- * whose sender surely still listens. Between two stretches the sockets are read, so those that were given up are known
- * and cost nothing more. Node takes one connection each time it looks at the sockets: were reports answered meanwhile,
- * machines would wait longer to be taken than they wait for an answer.
+ * Requests that wait for their turn, the newest first, behind the connections that wait to be accepted.
+ *
+ * After a start or a failover more workers send heartbeats than can be answered in time. First in, first out, every response
+ * would come just after its sender has given up and asked elsewhere, and none would arrive for as long as that goes on; the
+ * newest request is the one whose sender certainly still listens. Between two stretches of work the sockets are read, so
+ * requests that were given up are recognised and cost nothing more. Node accepts one connection each time it polls the
+ * sockets: were requests answered meanwhile, workers would wait longer to be accepted than they wait for a response.
  */
 export class NewestFirstQueue {
-  /** The first requests of their connections, and others. */
+  /** The first requests of their connections. */
   private readonly firstRequests: PendingRequest[] = [];
   private readonly laterRequests: PendingRequest[] = [];
   private scheduled = false;
   private connectionAccepted = false;
   private acceptsInARow = 0;
 
+  /** `now`: steady milliseconds. `defer` runs an action after the sockets have been read. */
   constructor(
     private readonly now: () => number,
     private readonly defer: (action: () => void) => void,
   ) {}
 
-  /** A connection was taken: more may wait behind it. */
+  /** A connection was accepted: more may wait behind it. */
   onConnectionAccepted(): void {
     this.connectionAccepted = true;
     this.scheduleRound();
   }
 
-  /** `first`: nothing was answered on this connection yet. Its sender has waited longest, whatever it has sent since. */
+  /**
+   * Adds a request. `first`: nothing was answered on this connection yet. Its sender has waited longest, whatever it has
+   * sent since, so it goes before the others.
+   */
   add(isAlive: () => boolean, run: () => void, first = false): void {
-    (first ? this.firstRequests : this.laterRequests).push({ isAlive, run });
+    const queue = first ? this.firstRequests : this.laterRequests;
+    queue.push({ isAlive, run });
     this.scheduleRound();
   }
 
@@ -54,16 +62,20 @@
     }
     this.connectionAccepted = false;
     this.acceptsInARow = 0;
-    const until = this.now() + WORK_SLICE_MS;
-    for (let next = this.next(); next; next = this.next()) {
-      if (!next.isAlive()) continue;
-      next.run();
-      if (this.now() >= until) break;
-    }
+    this.runForASlice();
     if (this.firstRequests.length + this.laterRequests.length > 0) this.scheduleRound();
   }
 
-  private next(): PendingRequest | undefined {
+  private runForASlice(): void {
+    const sliceEnd = this.now() + WORK_SLICE_MS;
+    for (let request = this.takeNewest(); request; request = this.takeNewest()) {
+      if (!request.isAlive()) continue;
+      request.run();
+      if (this.now() >= sliceEnd) break;
+    }
+  }
+
+  private takeNewest(): PendingRequest | undefined {
     return this.firstRequests.pop() ?? this.laterRequests.pop();
   }
 }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,31 +1,32 @@
 import { createConnection, type Socket } from 'node:net';
 import { ResponseReader } from './http-response';
 
+/** A whole response. */
 export interface HttpResponse {
   status: number;
   /** The parsed body, or undefined if it was not JSON. */
   body: unknown;
 }
 
-/** What a path may hold as it stands: anything else would end the request line early. */
+/** Characters that a path may hold as they stand: any other would end the request line early. */
 const SAFE_PATH_PATTERN = /^[\x21-\x7e]+$/;
 
-/** A request that waits for a connection or for its answer. */
+/** A request that waits for a connection or for its response. */
 interface PendingCall {
   text: string;
-  finish: (answer: HttpResponse | null) => void;
+  /** Resolves the caller's promise; calls after the first do nothing. */
+  finish: (response: HttpResponse | null) => void;
   finished: boolean;
 }
 
 /**
- * Requests to one server over a few kept connections, one at a time on each. No answer in time is `null`, never an exception.
- * Written on plain sockets: a dozen requests a second go out all the time, and a general client took a fifth of what a
- * small controller has (see "Libraries" in docs/design.md).
+ * Sends requests to one server over a few kept connections, one at a time on each. Written on plain sockets, because a
+ * general client costs a small controller a large part of its processor time (see "Libraries" in docs/design.md).
  */
 export class HttpClient {
   private readonly host: string;
   private readonly port: number;
-  /** The one used last comes first, so that those not needed any more can time out. */
+  /** The connection used last is used first, so that those not needed any more can time out. */
   private readonly idleConnections: Connection[] = [];
   private readonly openConnections = new Set<Connection>();
   private readonly pendingCalls: PendingCall[] = [];
@@ -39,14 +40,21 @@
     this.port = Number(address.slice(colon + 1));
   }
 
-  /** Lets the process end: kept connections would hold it. */
+  /** Ends all connections; requests under way resolve to null. Kept connections would keep the process alive. */
   close(): void {
     for (const connection of this.openConnections) connection.destroy();
   }
 
+  /**
+   * Sends a request, with `body` as JSON unless it is undefined. Resolves to null if no whole response came within
+   * `timeoutMs`: the request may have been carried out, or may yet be.
+   *
+   * @throws (as a rejection) TypeError if the path holds characters that must be escaped.
+   */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse | null> {
-    if (!SAFE_PATH_PATTERN.test(path))
+    if (!SAFE_PATH_PATTERN.test(path)) {
       return Promise.reject(new TypeError(`path holds unescaped characters: ${path}`));
+    }
     return new Promise((resolve) => {
       const call: PendingCall = {
         text: this.requestText(method, path, body),
@@ -54,11 +62,11 @@
         finish: () => undefined,
       };
       const deadline = setTimeout(() => this.timeOut(call), timeoutMs);
-      call.finish = (answer): void => {
+      call.finish = (response): void => {
         if (call.finished) return;
         call.finished = true;
         clearTimeout(deadline);
-        resolve(answer);
+        resolve(response);
       };
       this.pendingCalls.push(call);
       this.dispatchPending();
@@ -73,7 +81,7 @@
     return `${head}Content-Type: application/json\r\nContent-Length: ${length}\r\n\r\n${payload}`;
   }
 
-  /** Gives waiting calls to connections that are free, or new ones. */
+  /** Gives pending calls to idle connections, or to new ones as long as there may be more. */
   private dispatchPending(): void {
     while (this.pendingCalls.length > 0) {
       const connection = this.idleConnections.pop() ?? this.connect();
@@ -100,7 +108,7 @@
     return connection;
   }
 
-  /** Its time is over. What was sent may still be carried out; the connection would carry a late answer, so it goes. */
+  /** The connection of a call that has timed out would carry a late response, so it is ended. */
   private timeOut(call: PendingCall): void {
     const i = this.pendingCalls.indexOf(call);
     if (i >= 0) this.pendingCalls.splice(i, 1);
@@ -109,6 +117,13 @@
   }
 }
 
+/** What a connection tells its client. */
+interface ConnectionListener {
+  /** It may carry another request. */
+  free: () => void;
+  ended: () => void;
+}
+
 /** One connection with at most one request under way. */
 class Connection {
   private call: PendingCall | null = null;
@@ -116,7 +131,7 @@
 
   constructor(
     private readonly socket: Socket,
-    private readonly listener: { free: () => void; ended: () => void },
+    private readonly listener: ConnectionListener,
   ) {
     socket.setNoDelay(true);
     socket.on('data', (bytes: Buffer) => this.onData(bytes));
@@ -144,7 +159,7 @@
   }
 
   private onData(bytes: Buffer): void {
-    // Nothing was asked on it: whatever this is, the next answer could not be told from it.
+    // No request is under way: whatever this is, the next response could not be told from it.
     if (!this.call) return this.destroy();
     const progress = this.reader.push(bytes);
     if (progress === 'malformed') this.destroy();
--- a/src/transport/http-response.ts
+++ b/src/transport/http-response.ts
@@ -2,16 +2,16 @@
 const LINE_END = Buffer.from('\r\n');
 const MAX_HEAD_BYTES = 16 * 1024;
 const MAX_CHUNK_LINE_BYTES = 1024;
-/** Far beyond what any server of ours sends: a broken one must not fill the memory. */
+/** Far beyond what the servers here send: a broken one must not fill the memory. */
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 const STATUS_LINE_PATTERN = /^HTTP\/1\.([01]) ([1-5][0-9]{2})(?: |$)/;
 const STATUS_NO_CONTENT = 204;
 const STATUS_NOT_MODIFIED = 304;
 
-/** `complete`: `status` and `body` hold the response. `malformed`: the connection is of no use any more. */
+/** `more`: bytes are missing. `complete`: `status` and `body` hold the response. `malformed`: the connection is unusable. */
 export type ReadProgress = 'more' | 'complete' | 'malformed';
 
-/** How the end of a body is told. */
+/** How the end of a body is marked. */
 type Framing = { kind: 'length'; length: number } | { kind: 'chunked' } | { kind: 'until-close' };
 
 interface Head {
@@ -22,20 +22,21 @@
 
 /**
  * Reads one HTTP/1.1 response from the bytes of a connection, however they are split. Kept to what a JSON service may send:
- * bodies with a length, in chunks, or up to the end of the connection; interim responses are passed over.
+ * bodies with a length, in chunks, or up to the end of the connection; interim responses are skipped.
  */
 export class ResponseReader {
   status = 0;
   body: Buffer = Buffer.alloc(0);
   /** Whether the connection may carry another request after this response. */
   keepAlive = false;
-  /** Bytes that came after the response: nobody asked for them. */
+  /** Whether bytes came after the response, though there was no other request. */
   hasTrailingBytes = false;
   private head: Head | null = null;
   private buffered: Buffer = Buffer.alloc(0);
   private readonly chunks: Buffer[] = [];
   private chunksLength = 0;
 
+  /** Takes the next bytes of the connection. Not to be called again after `complete` or `malformed`. */
   push(bytes: Buffer): ReadProgress {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
     if (this.head === null) {
@@ -45,7 +46,7 @@
     return this.readBody(this.head as unknown as Head);
   }
 
-  /** The other side has ended the connection. */
+  /** The server has ended the connection, which completes a body without a length. */
   end(): ReadProgress {
     if (this.head?.framing.kind !== 'until-close') return 'malformed';
     return this.finish(this.buffered, this.buffered.length);
@@ -97,7 +98,7 @@
     }
   }
 
-  /** Fields after the last chunk are passed over, up to an empty line. */
+  /** Fields after the last chunk are skipped, up to an empty line. */
   private readTrailer(start: number): ReadProgress {
     for (let from = start; ;) {
       const lineEnd = this.buffered.indexOf(LINE_END, from);
--- a/src/transport/metrics.ts
+++ b/src/transport/metrics.ts
@@ -2,9 +2,11 @@
 
 const US_PER_MS = 1000;
 const MAX_DURATION_US = 60_000 * US_PER_MS;
-/** What is kept until the histograms are loaded. */
+/** How many values are kept until the histograms are loaded; later ones are dropped. */
 const MAX_EARLY_SAMPLES = 2000;
+const SIGNIFICANT_DIGITS = 2;
 
+/** How long one operation took, over the life of the process. */
 export interface LatencySummary {
   count: number;
   p50Ms: number;
@@ -14,42 +16,37 @@
 }
 
 /**
- * How long things take, for the operators. The library is loaded only when asked for, some time after the start:
- * a start has better things to do with its first tenths of a second.
+ * How long operations take, for the operators. The library of histograms is loaded when they are first needed, not at the
+ * start of the process, where the time to load it would delay the first responses.
  */
 export class Metrics {
   private readonly histograms = new Map<string, Histogram>();
-  private earlySamples: [string, number][] | null = [];
+  /** Values recorded before the histograms are loaded; null afterwards. */
+  private earlySamples: [operation: string, ms: number][] | null = [];
 
+  /** Records that an operation took `ms`; values are kept between a microsecond and a minute. */
   record(operation: string, ms: number): void {
     if (this.earlySamples) {
       if (this.earlySamples.length < MAX_EARLY_SAMPLES) this.earlySamples.push([operation, ms]);
       return;
     }
-    this.histogram(operation).recordValue(Math.min(MAX_DURATION_US, Math.max(1, Math.round(ms * US_PER_MS))));
+    const us = Math.min(MAX_DURATION_US, Math.max(1, Math.round(ms * US_PER_MS)));
+    this.histogram(operation).recordValue(us);
   }
 
-  /** From now on values go into histograms; those that came before as well. */
+  /** From now on values go into histograms, and those recorded before as well. */
   load(): void {
-    const early = this.earlySamples ?? [];
+    const samples = this.earlySamples ?? [];
     this.earlySamples = null;
-    for (const [operation, ms] of early) this.record(operation, ms);
+    for (const [operation, ms] of samples) this.record(operation, ms);
   }
 
+  /** A summary for each operation. */
   summary(): Record<string, LatencySummary> {
     if (this.earlySamples) this.load();
-    const all: Record<string, LatencySummary> = {};
-    for (const [operation, h] of this.histograms) {
-      const at = (percent: number): number => h.getValueAtPercentile(percent) / US_PER_MS;
-      all[operation] = {
-        count: h.totalCount,
-        p50Ms: at(50),
-        p95Ms: at(95),
-        p99Ms: at(99),
-        maxMs: h.maxValue / US_PER_MS,
-      };
-    }
-    return all;
+    const summaries: Record<string, LatencySummary> = {};
+    for (const [operation, histogram] of this.histograms) summaries[operation] = summarize(histogram);
+    return summaries;
   }
 
   private histogram(operation: string): Histogram {
@@ -57,12 +54,23 @@
     if (known) return known;
     // eslint-disable-next-line @typescript-eslint/no-require-imports
     const { build } = require('hdr-histogram-js') as typeof import('hdr-histogram-js');
-    const made = build({
+    const histogram = build({
       highestTrackableValue: MAX_DURATION_US,
-      numberOfSignificantValueDigits: 2,
+      numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
       useWebAssembly: false,
     });
-    this.histograms.set(operation, made);
-    return made;
+    this.histograms.set(operation, histogram);
+    return histogram;
   }
 }
+
+function summarize(histogram: Histogram): LatencySummary {
+  const percentileMs = (percent: number): number => histogram.getValueAtPercentile(percent) / US_PER_MS;
+  return {
+    count: histogram.totalCount,
+    p50Ms: percentileMs(50),
+    p95Ms: percentileMs(95),
+    p99Ms: percentileMs(99),
+    maxMs: histogram.maxValue / US_PER_MS,
+  };
+}
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,78 +1,112 @@
-import { createServer, createConnection, type Socket } from 'node:net';
+import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { type Clock } from './clock';
 
-/** Of a frame between controllers, in bytes: the load of some forty thousand machines. */
+/*
+ * Frames between controllers: four bytes of length, big endian, and as many bytes of content, over TCP.
+ */
+
+/** The largest frame between controllers: the load of some forty thousand machines. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-function readFrames(socket: Socket, frame: (bytes: Buffer) => void): void {
+const LENGTH_BYTES = 4;
+/** A connection on which nothing was received for so long is opened anew: a cut connection reports no error. */
+const SILENCE_LIMIT_MS = 3000;
+const RECONNECT_MS = 500;
+/** Frames are dropped while a peer has not taken this much. */
+const MAX_UNSENT_BYTES = 256 * 1024;
+
+/** Calls `onFrame` with the content of each frame; ends the connection at a frame that is too large. */
+function readFrames(socket: Socket, onFrame: (content: Buffer) => void): void {
   let buffered: Buffer = Buffer.alloc(0);
   socket.on('data', (chunk: Buffer) => {
     buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
-    while (buffered.length >= 4) {
-      const size = buffered.readUInt32BE(0);
-      if (size > MAX_FRAME_BYTES) {
+    while (buffered.length >= LENGTH_BYTES) {
+      const length = buffered.readUInt32BE(0);
+      if (length > MAX_FRAME_BYTES) {
         socket.destroy();
         return;
       }
-      if (buffered.length < 4 + size) return;
-      frame(buffered.subarray(4, 4 + size));
-      buffered = buffered.subarray(4 + size);
+      const end = LENGTH_BYTES + length;
+      if (buffered.length < end) return;
+      onFrame(buffered.subarray(LENGTH_BYTES, end));
+      buffered = buffered.subarray(end);
     }
   });
 }
 
-function writeFrame(socket: Socket, bytes: Buffer): void {
-  const head = Buffer.alloc(4);
-  head.writeUInt32BE(bytes.length, 0);
-  socket.write(Buffer.concat([head, bytes]));
+function writeFrame(socket: Socket, content: Buffer): void {
+  const length = Buffer.alloc(LENGTH_BYTES);
+  length.writeUInt32BE(content.length, 0);
+  socket.write(Buffer.concat([length, content]));
+}
+
+/** Where to listen for peers and who is told what comes. */
+export interface PeerServerOptions {
+  host: string;
+  port: number;
+  /** Called with each frame; `reply` sends a frame back on the same connection, unless it has ended. */
+  onFrame: (content: Buffer, reply: (content: Buffer) => void) => void;
+  /** The server could not listen, or has stopped doing so. */
+  onError: (error: Error) => void;
 }
 
-/** Takes frames from the other controllers; `answer` may send frames back on the same connection. */
-export function listenForPeers(
-  host: string,
-  port: number,
-  receive: (bytes: Buffer, reply: (bytes: Buffer) => void) => void,
-  onError: (error: Error) => void,
-): void {
+/** Takes frames from the other controllers until the returned server is closed. */
+export function listenForPeers({ host, port, onFrame, onError }: PeerServerOptions): Server {
   const server = createServer((socket) => {
     socket.setNoDelay(true);
     socket.on('error', () => socket.destroy());
-    readFrames(socket, (bytes) =>
-      receive(bytes, (reply) => {
+    readFrames(socket, (content) =>
+      onFrame(content, (reply) => {
         if (!socket.destroyed) writeFrame(socket, reply);
       }),
     );
   });
   server.on('error', onError);
   server.listen(port, host);
+  return server;
 }
 
-/** One outgoing connection to a peer, opened again after it breaks. Frames are dropped while it is down. */
+/** One outgoing connection to a peer, opened again after it breaks. Frames sent while it is down are dropped. */
 export class PeerLink {
+  private readonly host: string;
+  private readonly port: number;
   private socket: Socket | null = null;
   private connected = false;
+  private closed = false;
   private lastReceivedAt: number;
+  private cancelReconnect: (() => void) | null = null;
 
+  /** `address`: host and port. `onFrame` is called with the content of each frame that the peer sends back. */
   constructor(
-    private readonly address: string,
+    address: string,
     private readonly clock: Clock,
-    private readonly receive: (bytes: Buffer) => void,
+    private readonly onFrame: (content: Buffer) => void,
   ) {
+    const colon = address.lastIndexOf(':');
+    this.host = address.slice(0, colon);
+    this.port = Number(address.slice(colon + 1));
     this.lastReceivedAt = clock.steady();
     this.open();
   }
 
-  send(bytes: Buffer): void {
-    // A cut is silent: a connection that has answered nothing for a while is opened anew.
-    if (this.clock.steady() - this.lastReceivedAt > 3000) this.socket?.destroy();
+  /** Sends a frame, or drops it if the peer cannot be reached or does not take what was sent before. */
+  send(content: Buffer): void {
+    if (this.clock.steady() - this.lastReceivedAt > SILENCE_LIMIT_MS) this.socket?.destroy();
     // What a silent peer does not take must not pile up here.
-    if (this.connected && this.socket && this.socket.writableLength < 256 * 1024)
-      writeFrame(this.socket, bytes);
+    if (this.connected && this.socket && this.socket.writableLength < MAX_UNSENT_BYTES) {
+      writeFrame(this.socket, content);
+    }
+  }
+
+  /** Ends the connection for good. */
+  close(): void {
+    this.closed = true;
+    this.cancelReconnect?.();
+    this.socket?.destroy();
   }
 
   private open(): void {
-    const colon = this.address.lastIndexOf(':');
-    const socket = createConnection(Number(this.address.slice(colon + 1)), this.address.slice(0, colon));
+    const socket = createConnection(this.port, this.host);
     this.socket = socket;
     this.lastReceivedAt = this.clock.steady();
     socket.setNoDelay(true);
@@ -80,14 +114,14 @@
       this.connected = true;
       this.lastReceivedAt = this.clock.steady();
     });
-    readFrames(socket, (bytes) => {
+    readFrames(socket, (content) => {
       this.lastReceivedAt = this.clock.steady();
-      this.receive(bytes);
+      this.onFrame(content);
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
       this.connected = false;
-      this.clock.schedule(500, () => this.open());
+      if (!this.closed) this.cancelReconnect = this.clock.schedule(RECONNECT_MS, () => this.open());
     });
   }
 }
--- a/src/transport/plain-request.ts
+++ b/src/transport/plain-request.ts
@@ -3,17 +3,17 @@
 const REQUEST_LINE_PATTERN = /^(GET|POST) ([\x21-\x7e]+) HTTP\/1\.1$/;
 const JSON_CONTENT_TYPE_PATTERN = /^application\/json(?:;\s*charset=utf-8)?$/i;
 
-/** What matters of a request's head. */
+/** The head of a plain request: GET or POST, HTTP/1.1, a JSON body of known length or none. */
 export interface PlainRequest {
   method: string;
   path: string;
-  /** Of the body; 0 if there is none. */
+  /** Bytes of the body; 0 if there is none. */
   contentLength: number;
-  /** Its sender wants the connection closed after the answer. */
+  /** The sender wants the connection closed after the response. */
   closeConnection: boolean;
 }
 
-/** Reads a head; null if it holds anything that a plain request does not: then a general server is to read it. */
+/** Reads a head; null if it holds anything that a plain request does not, and is thus for a general server to read. */
 export function parsePlainHead(text: string): PlainRequest | null {
   const lines = text.split('\r\n');
   const [, method, path] = REQUEST_LINE_PATTERN.exec(lines[0] ?? '') ?? [];
@@ -47,13 +47,11 @@
   return request;
 }
 
-/**
- * Remembers heads that come again and again: a machine sends the same few all day, and to take one apart costs a tenth of
- * what a report does.
- */
+/** Keeps the heads that were parsed: a worker sends the same few all day, and parsing is a good part of a heartbeat's cost. */
 export class PlainHeadCache {
   private readonly cached = new Map<string, PlainRequest>();
 
+  /** As `parsePlainHead`. The result may be shared with other calls and must not be changed. */
   parse(text: string): PlainRequest | null {
     const known = this.cached.get(text);
     if (known) return known;
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -3,6 +3,7 @@
 import { NewestFirstQueue } from './fair-queue';
 import { PlainHeadCache, type PlainRequest } from './plain-request';
 
+/** A response to a plain request. */
 export interface PlainResponse {
   status: number;
   /** JSON. */
@@ -11,20 +12,21 @@
   retryAfterS?: number | undefined;
 }
 
-/** Takes the body of a request and answers once, at once or later. */
+/** Takes the body of a request and calls `respond` exactly once, at once or later. */
 export type PlainHandler = (body: string, response: (response: PlainResponse) => void) => void;
 
-/** Who answers a plain request. */
+/** How a plain request is handled. */
 export type PlainRoute =
-  /** Answered in turn, the newest first (see NewestFirstQueue). */
+  /** In turn, the newest request first (see NewestFirstQueue). */
   | { kind: 'queued'; handle: PlainHandler }
-  /** Answered as soon as it is read. */
+  /** As soon as it is read. */
   | { kind: 'direct'; handle: PlainHandler };
 
+/** Who handles the requests of a server. */
 export interface PlainServerOptions {
-  /** Null: a general server is to answer it. */
+  /** Null: the general server handles it. */
   route: (request: PlainRequest) => PlainRoute | null;
-  /** Serves whatever is not plain. Asked for only then: to load it takes longer than most starts have. */
+  /** Serves whatever is not plain. Called only when such a request comes, as loading it would delay the start. */
   generalServer: () => Promise<Server>;
   maxBodyBytes: number;
 }
@@ -43,36 +45,41 @@
 ]);
 
 /**
- * Connections that may wait to be taken. They are taken in their order, so with more of them than a second's work each
- * would be given up by the time it is its turn; one that finds no place costs nothing and comes again.
+ * Connections that may wait to be accepted. They are accepted in their order, so if there were more of them than a second's
+ * work, each would be given up by the time it is its turn; one that finds no place costs nothing and comes again.
  */
 export const MAX_PENDING_CONNECTIONS = 128;
 
 /**
- * One port for all callers. What comes all the time, machines' reports and users' submissions and questions, is plain and
- * read here, straight from the socket, at a tenth of what a general HTTP server costs. A connection whose next request is
- * anything else, or not as plain, is handed to the general server with what was read of it.
+ * A server for one port and all callers. What comes all the time, heartbeats of workers, submissions and status queries of
+ * users, is plain and read here, straight from the socket, at a small part of the cost of a general HTTP server. A connection
+ * whose next request is anything else is handed to the general server with what was read of it.
  */
 export function servePlainRequests(options: PlainServerOptions): NetServer {
   const queue = new NewestFirstQueue(() => performance.now(), setImmediate);
-  const heads = new PlainHeadCache();
+  const shared: SharedState = { options, queue, heads: new PlainHeadCache() };
   return createNetServer((socket) => {
     queue.onConnectionAccepted();
-    new PlainConnection(socket, options, queue, heads);
+    new PlainConnection(socket, shared);
   });
 }
 
-/** One caller's connection, with at most one request being answered. */
+/** What the connections of one server share. */
+interface SharedState {
+  options: PlainServerOptions;
+  queue: NewestFirstQueue;
+  heads: PlainHeadCache;
+}
+
+/** One caller's connection, with at most one request being handled. */
 class PlainConnection {
   private buffered: Buffer = Buffer.alloc(0);
-  private answering = false;
+  private handling = false;
   private firstRequest = true;
 
   constructor(
     private readonly socket: Socket,
-    private readonly options: PlainServerOptions,
-    private readonly queue: NewestFirstQueue,
-    private readonly heads: PlainHeadCache,
+    private readonly shared: SharedState,
   ) {
     socket.setNoDelay(true);
     socket.on('data', this.onData);
@@ -81,36 +88,48 @@
 
   private readonly onData = (chunk: Buffer): void => {
     this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
-    if (!this.answering) this.readNext();
+    if (!this.handling) this.readNext();
   };
 
   private readonly onError = (): void => void this.socket.destroy();
 
   private readNext(): void {
     if (this.buffered.length === 0) return;
-    const end = this.buffered.indexOf(HEAD_END);
-    if (end < 0) return this.buffered.length > MAX_HEAD_BYTES ? this.handToGeneralServer() : undefined;
-    const request = this.heads.parse(this.buffered.toString('latin1', 0, end));
-    const route = request && this.options.route(request);
-    if (!request || !route || request.contentLength > this.options.maxBodyBytes)
-      return this.handToGeneralServer();
-    const start = end + HEAD_END.length;
-    // Bodies mostly come with their heads; else the head is read again once the rest is here.
-    if (this.buffered.length < start + request.contentLength) return;
-    const body = this.buffered.toString('utf8', start, start + request.contentLength);
-    // A general server says in its own words what is wrong with it.
+    const { options, heads } = this.shared;
+    const headEnd = this.buffered.indexOf(HEAD_END);
+    if (headEnd < 0) {
+      if (this.buffered.length > MAX_HEAD_BYTES) this.handToGeneralServer();
+      return;
+    }
+    const request = heads.parse(this.buffered.toString('latin1', 0, headEnd));
+    const route = request && options.route(request);
+    if (!request || !route || request.contentLength > options.maxBodyBytes) return this.handToGeneralServer();
+    const bodyStart = headEnd + HEAD_END.length;
+    const bodyEnd = bodyStart + request.contentLength;
+    // Bodies mostly come with their heads; otherwise the head is read again once the rest is here.
+    if (this.buffered.length < bodyEnd) return;
+    const body = this.buffered.toString('utf8', bodyStart, bodyEnd);
+    // The general server says in its own words what is wrong with the body.
     if (route.kind === 'direct' && request.contentLength > 0 && !isJson(body))
       return this.handToGeneralServer();
-    this.buffered = this.buffered.subarray(start + request.contentLength);
-    this.answering = true;
-    const run = (): void => route.handle(body, (response) => this.respond(response, request.closeConnection));
+    this.buffered = this.buffered.subarray(bodyEnd);
+    this.handle(route, body, request.closeConnection);
+  }
+
+  private handle(route: PlainRoute, body: string, close: boolean): void {
+    this.handling = true;
+    const run = (): void => route.handle(body, (response) => this.respond(response, close));
     if (route.kind === 'direct') return run();
-    this.queue.add(() => !this.socket.destroyed && !this.socket.readableEnded, run, this.firstRequest);
+    this.shared.queue.add(() => this.isAlive(), run, this.firstRequest);
     this.firstRequest = false;
   }
 
+  private isAlive(): boolean {
+    return !this.socket.destroyed && !this.socket.readableEnded;
+  }
+
   private respond(response: PlainResponse, close: boolean): void {
-    this.answering = false;
+    this.handling = false;
     if (this.socket.destroyed) return;
     this.socket.write(responseText(response, close));
     if (close) this.socket.end();
@@ -120,10 +139,10 @@
   private handToGeneralServer(): void {
     const { socket } = this;
     // Nothing more is read meanwhile.
-    this.answering = true;
+    this.handling = true;
     socket.off('data', this.onData);
     socket.pause();
-    void this.options.generalServer().then((general) => {
+    void this.shared.options.generalServer().then((general) => {
       socket.off('error', this.onError);
       if (socket.destroyed) return;
       if (this.buffered.length > 0) socket.unshift(this.buffered);
@@ -143,9 +162,9 @@
 }
 
 function responseText({ status, body, retryAfterS }: PlainResponse, close: boolean): string {
-  const pause = retryAfterS === undefined ? '' : `Retry-After: ${retryAfterS}\r\n`;
+  const retryAfter = retryAfterS === undefined ? '' : `Retry-After: ${retryAfterS}\r\n`;
   return (
-    `HTTP/1.1 ${status} ${REASON_PHRASES.get(status) ?? ''}\r\nContent-Type: application/json\r\n${pause}` +
+    `HTTP/1.1 ${status} ${REASON_PHRASES.get(status) ?? ''}\r\nContent-Type: application/json\r\n${retryAfter}` +
     `Content-Length: ${Buffer.byteLength(body)}\r\n${close ? 'Connection: close\r\n' : ''}\r\n${body}`
   );
 }
