--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -3,12 +3,8 @@
 import { Metrics } from '../../transport/metrics';
 import { WorkPacer } from '../../transport/work-pacer';
 import { type MachineType } from '../../protocol/cloud';
-import {
-  decodePeerMessage,
-  encodePeerMessage,
-  type PartitionLoad,
-  type PeerMessage,
-} from '../../protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
+import { type PartitionLoad, type PeerMessage } from '../../protocol/peers';
 import { type Policy } from '../../protocol/policy';
 import { type Settings } from '../../protocol/settings';
 import { type Heartbeat } from '../../protocol/workers';
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,5 +1,12 @@
 import { z } from 'zod';
 
+/*
+ * Requests to the cloud and its responses. Wire terms: `models` machine types, `label` name of a type, `yards` zones, `rate`
+ * price, `ready_s` time to boot, `local_gb` cache for images, `velodromes` machines, `ref` machine id, `loaners` spot,
+ * `hire_order` id of a request, `rentals` machines provisioned. Parsers return null for a malformed body.
+ */
+
+/** A kind of machine that the cloud offers. Stored as it is under the catalog's key. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -9,6 +16,7 @@
   fetchGbPerS: number;
   price: number;
   spotPrice: number;
+  /** Seconds from the request until its worker may run tasks. */
   bootS: number;
   zones: string[];
 }
@@ -26,6 +34,7 @@
   yards: z.array(z.string()),
 });
 
+/** The machine types of the cloud's catalog. */
 export function parseCatalog(body: unknown): MachineType[] | null {
   const read = z.object({ models: z.array(machineTypeSchema) }).safeParse(body);
   if (!read.success) return null;
@@ -67,6 +76,9 @@
   truncated: z.boolean().nullish(),
 });
 
+const LIST_PAGE_MACHINES = 500;
+
+/** One page of the cloud's list; `more`: machines follow the last one. */
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const read = machineListSchema.safeParse(body);
   if (!read.success) return null;
@@ -83,11 +95,12 @@
   };
 }
 
+/** The path of a page of machines: those after an id, '' for the first ones. */
 export function machineListPath(after: string): string {
-  return `/rentals?limit=500${after ? `&from=${encodeURIComponent(after)}` : ''}`;
+  return `/rentals?limit=${LIST_PAGE_MACHINES}${after ? `&from=${encodeURIComponent(after)}` : ''}`;
 }
 
-/** An order for machines of one kind. */
+/** A request for machines of one kind. */
 export interface MachineRequest {
   type: string;
   zone: string;
@@ -95,6 +108,7 @@
   count: number;
 }
 
+/** The body of a request for machines. A repeated request with one id provisions once. */
 export function provisionBody(requestId: string, request: MachineRequest): object {
   return {
     hire_order: requestId,
@@ -105,11 +119,13 @@
   };
 }
 
+/** The ids of machines that were provisioned. */
 export function parseProvisioned(body: unknown): string[] | null {
   const read = z.object({ velodromes: z.array(z.string()) }).safeParse(body);
   return read.success ? read.data.velodromes : null;
 }
 
+/** The body of a request that gives machines back. */
 export function deprovisionBody(machines: string[]): object {
   return { velodromes: machines };
 }
--- a/src/protocol/features.ts
+++ b/src/protocol/features.ts
@@ -2,13 +2,21 @@
 import { balancerSettingsSchema } from '@heathbridge/load-balancer';
 import { parse } from 'smol-toml';
 import { z } from 'zod';
+import { ConfigError } from './config-error';
 
-/** The file of features: one table a feature. A feature whose table is missing is off. */
+/** The features file: one table a feature. A feature whose table is missing is off. */
 export const featuresSchema = z
   .strictObject({ load_balancer: balancerSettingsSchema.optional() })
   .meta({ title: 'heathbridge features', description: 'What a controller does beyond its first purpose.' });
 
-/** Checked features. */
+/** The features file cannot be used; the message names the file and the first field that is wrong. */
+export class FeaturesError extends ConfigError {
+  constructor(message: string, cause?: unknown) {
+    super('ERR_INVALID_FEATURES', message, cause);
+  }
+}
+
+/** The optional features of a controller, each with its settings. */
 export type Features = z.infer<typeof featuresSchema>;
 
 /** The published schema of the file, as JSON Schema. */
@@ -16,24 +24,32 @@
   return z.toJSONSchema(featuresSchema, { io: 'input' });
 }
 
-/** Reads a file of features; throws an error that names the file and the first field that is wrong. */
+/**
+ * Reads a features file.
+ *
+ * @throws FeaturesError if its content is wrong; an error of the file system if it cannot be read.
+ */
 export function loadFeatures(path: string): Features {
   return checkFeatures(path, readFileSync(path, 'utf8'));
 }
 
-/** Checks the text of a file of features. */
+/**
+ * Checks the text of a features file; `path` names it in errors.
+ *
+ * @throws FeaturesError if the text is not TOML or a field is unknown or wrong.
+ */
 export function checkFeatures(path: string, text: string): Features {
   let content: unknown;
   try {
     content = parse(text);
   } catch (error) {
     const [firstLine] = (error as Error).message.split('\n');
-    throw new Error(`${path}: ${firstLine}`);
+    throw new FeaturesError(`${path}: ${firstLine}`, error);
   }
   const result = featuresSchema.safeParse(content);
   if (result.success) return result.data;
   const issue = result.error.issues[0];
-  throw new Error(`${path}: ${issue ? describe(issue) : 'not valid'}`);
+  throw new FeaturesError(`${path}: ${issue ? describe(issue) : 'not valid'}`, result.error);
 }
 
 function describe(issue: z.core.$ZodIssue): string {
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -1,27 +1,34 @@
 import { z } from 'zod';
 
-/** Urgencies from the most to the least pressing; the index is the rank. */
+/*
+ * Submissions of users and the responses to them. Wire terms: `crew` team, `urgency` priority, `pieces` tasks, `build` image,
+ * `models` machine types, `yard` zone, `together` all tasks in one zone, `apart` at most half of the tasks in one zone,
+ * `loaners` spot, `snapshot_every_s` interval of checkpoints, `snapshot_s` duration of one, `due_s` deadline.
+ */
+
+/** Priorities from the most to the least urgent; `JobSpec.priority` is an index. */
 export const PRIORITIES = ['prod', 'urgent', 'normal', 'idle'] as const;
 
+/** How a job of a pipeline depends on an earlier one. */
 export const EDGE_KINDS = ['begin_on_commit', 'abort', 'force_begin_on_abort'] as const;
 export type EdgeKind = (typeof EDGE_KINDS)[number];
 
-/** How a job hangs together with earlier jobs of its pipeline. */
+/** How a job depends on earlier jobs of its pipeline. Stored as it is. */
 export interface PipelineLink {
   ref: string;
   after: { job: string; kind: EdgeKind }[];
   /** Whether it may be run again after its tasks were interrupted. */
   reExecutable: boolean;
-  /** The job that this one stands in for should it fail. */
+  /** The job that this one replaces should it fail. */
   alternateFor: string | null;
 }
 
-/** A job as its user described it, in the project's own words. */
+/** A job as its user described it. */
 export interface JobSpec {
   ref: string;
   workload: string;
   team: string;
-  /** Index into URGENCIES. */
+  /** Index into PRIORITIES. */
   priority: number;
   tasks: number;
   cpus: number;
@@ -32,23 +39,36 @@
   /** Allowed machine types; null: any. */
   machineTypes: string[] | null;
   zone: string | null;
+  /** All tasks must be in one zone. */
   singleZone: boolean;
+  /** At most half of the tasks, rounded up, may be in one zone. */
   spreadZones: boolean;
+  /** Whether it may run on spot machines. */
   spot: boolean;
   expectedS: number;
   checkpointIntervalS: number;
   checkpointDurationS: number;
   deadlineS: number | null;
-  /** Null: it stands alone. */
+  /** Null: it belongs to no pipeline. */
   pipeline: PipelineLink | null;
 }
 
+/** The form of a job's ref. */
 export const JOB_REF_PATTERN = /^job-[0-9]{1,18}$/;
 
 const amount = z.number().nonnegative();
 const name = z.string().min(1).max(200);
 const jobRef = z.string().regex(JOB_REF_PATTERN, 'must look like job-000412');
-const submission = z.object({
+const pipelineSchema = z.object({
+  ref: name,
+  after: z
+    .array(z.object({ job: jobRef, type: z.enum(EDGE_KINDS) }))
+    .max(100)
+    .nullish(),
+  re_executable: z.boolean().nullish(),
+  alternate_for: jobRef.nullish(),
+});
+const submissionSchema = z.object({
   ref: jobRef,
   workload: name,
   crew: name,
@@ -69,77 +89,71 @@
   snapshot_every_s: amount,
   snapshot_s: amount,
   due_s: amount.nullish(),
-  pipeline: z
-    .object({
-      ref: name,
-      after: z
-        .array(z.object({ job: jobRef, type: z.enum(EDGE_KINDS) }))
-        .max(100)
-        .nullish(),
-      re_executable: z.boolean().nullish(),
-      alternate_for: jobRef.nullish(),
-    })
-    .nullish(),
+  pipeline: pipelineSchema.nullish(),
 });
 
+/** `reason`: one line that names the first field that is wrong. */
 export type SubmissionResult = { ok: true; spec: JobSpec } | { ok: false; reason: string };
 
-/** Checks a submission field by field; the reason names the first bad one on one line. */
+/** Checks a submission field by field; unknown fields are ignored. */
 export function parseSubmission(body: unknown): SubmissionResult {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return { ok: false, reason: 'not a JSON object' };
   }
-  const read = submission.safeParse(body);
+  const read = submissionSchema.safeParse(body);
   if (!read.success) {
     const issue = read.error.issues[0];
     return { ok: false, reason: `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'invalid'}` };
   }
-  const s = read.data;
+  return { ok: true, spec: toJobSpec(read.data) };
+}
+
+function toJobSpec(submission: z.infer<typeof submissionSchema>): JobSpec {
+  return {
+    ref: submission.ref,
+    workload: submission.workload,
+    team: submission.crew,
+    priority: PRIORITIES.indexOf(submission.urgency),
+    tasks: submission.pieces,
+    cpus: submission.cpus,
+    accelerators: submission.accelerators,
+    memoryGb: submission.memory_gb,
+    image: submission.build,
+    imageGb: submission.image_gb,
+    machineTypes: submission.models ?? null,
+    zone: submission.yard ?? null,
+    singleZone: submission.together,
+    spreadZones: submission.apart,
+    spot: submission.loaners,
+    expectedS: submission.expected_s,
+    checkpointIntervalS: submission.snapshot_every_s,
+    checkpointDurationS: submission.snapshot_s,
+    deadlineS: submission.due_s ?? null,
+    pipeline: submission.pipeline ? toPipelineLink(submission.pipeline) : null,
+  };
+}
+
+function toPipelineLink(link: z.infer<typeof pipelineSchema>): PipelineLink {
   return {
-    ok: true,
-    spec: {
-      ref: s.ref,
-      workload: s.workload,
-      team: s.crew,
-      priority: PRIORITIES.indexOf(s.urgency),
-      tasks: s.pieces,
-      cpus: s.cpus,
-      accelerators: s.accelerators,
-      memoryGb: s.memory_gb,
-      image: s.build,
-      imageGb: s.image_gb,
-      machineTypes: s.models ?? null,
-      zone: s.yard ?? null,
-      singleZone: s.together,
-      spreadZones: s.apart,
-      spot: s.loaners,
-      expectedS: s.expected_s,
-      checkpointIntervalS: s.snapshot_every_s,
-      checkpointDurationS: s.snapshot_s,
-      deadlineS: s.due_s ?? null,
-      pipeline: s.pipeline
-        ? {
-            ref: s.pipeline.ref,
-            after: (s.pipeline.after ?? []).map(({ job, type }) => ({ job, kind: type })),
-            reExecutable: s.pipeline.re_executable ?? true,
-            alternateFor: s.pipeline.alternate_for ?? null,
-          }
-        : null,
-    },
+    ref: link.ref,
+    after: (link.after ?? []).map(({ job, type }) => ({ job, kind: type })),
+    reExecutable: link.re_executable ?? true,
+    alternateFor: link.alternate_for ?? null,
   };
 }
 
+/** The status of a job as users see it. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** How a job of a pipeline stands there; `because` names what it waits for or what decided over it. */
+/** The state of a job within its pipeline, shown to users as it is; `because` names what it waits for or what decided it. */
 export interface PipelineJobStatus {
   state: 'ready' | 'waiting' | 'not_needed' | 'done' | 'failed' | 'dropped' | 'cancelled';
   because: string | null;
-  /** The pipeline as a whole has failed: something in it did, and nothing that stands in for it may mend that. */
+  /** The pipeline as a whole has failed: a job of it did, and no alternate job can replace it. */
   failed: boolean;
 }
 
-/** The answer to a user's question about a job. */
+/** The response to a user's status query for a job. */
 export function jobStatusBody(
   ref: string,
   status: JobStatus,
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -1,24 +1,27 @@
-import avro from 'avsc';
 import type { LoadSummary } from '@heathbridge/load-balancer';
 
-/** What waiting tasks of one shape ask for. */
+/*
+ * What controllers tell each other; `peer-codec.ts` encodes it. Arrays by priority are indexed like PRIORITIES.
+ */
+
+/** What pending tasks of one shape ask for. */
 export interface Demand {
   workload: string;
   cpus: number;
   accelerators: number;
   memoryGb: number;
   machineTypes: string[] | null;
-  /** Where a task of it may start now, null: anywhere. */
+  /** Zones in which a task of it may start now; null: any. */
   zones: string[] | null;
   spot: boolean;
   priority: number;
-  /** How many tasks of this shape wait and may run within their team's limit. */
+  /** How many pending tasks of this shape may run within their team's limit. */
   tasks: number;
-  /** How long one of them is expected to run. */
+  /** How long one of them is expected to run, in seconds. */
   expectedS: number;
 }
 
-/** How a partition's owner sees one of its machines. */
+/** One machine, as the owner of its partition sees it. */
 export interface MachineLoad {
   machine: string;
   tasks: number;
@@ -26,40 +29,42 @@
   freeMemoryGb: number;
   freeAccelerators: number;
   idleMs: number;
-  /** Time since the last report; -1: it has never reported to this owner. */
+  /** Time since its last heartbeat; -1: this owner has received none. */
   sinceHeartbeatMs: number;
   quarantined: boolean;
   preemptionNotice: boolean;
-  /** The partition that gets it once it is empty, LEAVES_FLEET if the cloud does, or null. */
+  /** The partition that gets it once it is empty, DRAIN_TO_CLOUD if it goes back to the cloud, null if it stays. */
   transferTarget: string | null;
   /** Seconds until its last task is expected to end. */
   emptyInS: number;
 }
 
-/** Stands for a partition where an emptied machine is to go back to the cloud. */
+/** In place of a partition: the machine goes back to the cloud once it is empty. */
 export const DRAIN_TO_CLOUD = '';
 
+/** The load of one partition, as its owner reports it to the leader. */
 export interface PartitionLoad {
   partition: string;
   epoch: number;
   demands: Demand[];
   machines: MachineLoad[];
-  /** Machines that have not spoken since it was taken over. */
+  /** How many machines have sent no heartbeat since the failover to this owner. */
   unconfirmed: number;
-  /** CPU seconds that the tasks now out are expected to take still, by urgency. */
+  /** CPU seconds that the started tasks are still expected to take, by priority. */
   remainingWork: number[];
-  /** CPU seconds that wait, also beyond what the teams' limits allow now, by urgency. */
+  /** CPU seconds of pending tasks, also beyond what the teams' limits allow now, by priority. */
   backlog: number[];
-  /** Seconds since a job last came. */
+  /** Seconds since the last job was submitted. */
   sinceLastJobS: number;
 }
 
-/** How many machines of a partition came to a controller that does not own it. */
+/** How many machines of a partition sent heartbeats to a controller that does not own it. */
 export interface MisroutedCount {
   partition: string;
   machines: number;
 }
 
+/** A message from one controller to another. */
 export type PeerMessage =
   | {
       kind: 'status';
@@ -69,14 +74,15 @@
       memberIncarnation: number;
       partitions: PartitionLoad[];
       misrouted: MisroutedCount[];
-      /** Time since the sender last heard any machine, -1: never. */
+      /** Time since the sender received a heartbeat of any machine; -1: never. */
       sinceHeartbeatMs: number;
-      /** The sender's replica holds everything up to this revision of the store. */
+      /** The sender's replica holds everything up to this revision; 0: it is no snapshot. */
       revision: number;
     }
   /**
-   * Answers status `seq`; `extended`: not to take anything of the asker's over for EXTENSION_MS from now. With an extension goes
-   * every cancellation that the granter has seen or confirmed beyond the asker's revision, on as many pages as it takes.
+   * The response to the status message with this sequence number. `extended`: the sender takes over nothing of the receiver's
+   * for the time of a lease extension from now. With an extension goes every cancellation that the sender has seen or confirmed
+   * after the receiver's revision, on as many pages as it takes.
    */
   | {
       kind: 'pong';
@@ -89,130 +95,13 @@
       cancelled: { job: string; revision: number }[];
     }
   /**
-   * `drain`: the machine may be in use; nothing new is to be put on it, and it moves once it is empty. Naming
-   * the partition where it is takes that back.
+   * The leader tells an owner to transfer a machine. `drain`: the machine may be in use; nothing new is to be started on it, and
+   * it is transferred once it is empty. Naming the partition that it is in cancels that.
    */
   | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
+  /** The leader tells an owner to give a machine up to the cloud; `force`: also if tasks run on it. */
   | { kind: 'retire'; machine: string; reason: string; force: boolean }
+  /** The leader tells an owner to hand a partition to another member. */
   | { kind: 'handover'; partition: string; to: string }
-  /** How the load of a partition stands, where load is balanced. Controllers of earlier versions drop it. */
+  /** The load of a partition, where load balancing is on. Controllers of versions without it drop the message. */
   | { kind: 'balance'; summary: LoadSummary };
-
-function record(name: string, fields: Record<string, unknown>): object {
-  return {
-    name,
-    type: 'record',
-    fields: Object.entries(fields).map(([field, type]) => ({ name: field, type })),
-  };
-}
-
-const listOf = (items: unknown): object => ({ type: 'array', items });
-const textType = 'string';
-const amountType = 'double';
-
-const demandType = record('Demand', {
-  workload: textType,
-  ...{
-    cpus: amountType,
-    accelerators: amountType,
-    memoryGb: amountType,
-    machineTypes: ['null', listOf(textType)],
-    zones: ['null', listOf(textType)],
-  },
-  ...{
-    spot: 'boolean',
-    priority: 'int',
-    tasks: 'int',
-    expectedS: amountType,
-  },
-});
-const machineLoadType = record('MachineLoad', {
-  ...{
-    machine: textType,
-    tasks: 'int',
-    freeCpus: amountType,
-    freeMemoryGb: amountType,
-    freeAccelerators: amountType,
-  },
-  ...{
-    idleMs: amountType,
-    sinceHeartbeatMs: amountType,
-    quarantined: 'boolean',
-    preemptionNotice: 'boolean',
-    transferTarget: ['null', textType],
-  },
-  emptyInS: amountType,
-});
-const partitionLoadType = record('PartitionLoad', {
-  ...{
-    partition: textType,
-    epoch: 'long',
-    remainingWork: listOf(amountType),
-    backlog: listOf(amountType),
-    sinceLastJobS: amountType,
-    unconfirmed: 'int',
-  },
-  ...{ demands: listOf(demandType), machines: listOf(machineLoadType) },
-});
-const misroutedCountType = record('MisroutedCount', { partition: textType, machines: 'int' });
-const countOf = (name: string, what: string): object =>
-  listOf(record(name, { [what]: textType, count: 'long' }));
-const loadSummaryType = record('LoadSummary', {
-  ...{ partition: textType, epoch: 'long', sequence: 'long', ageMs: amountType },
-  ...{ cpus: amountType, freeCpus: amountType, largestFreeCpus: amountType },
-  ...{ running: listOf(amountType), waiting: listOf(amountType), trendPerS: amountType },
-  teams: listOf(record('TeamLoad', { team: textType, running: amountType, waiting: amountType })),
-  moves: record('MoveCounts', {
-    ...{ planned: 'long', begun: 'long', completed: 'long', abandoned: 'long', inFlight: 'long' },
-  }),
-  refusals: countOf('RefusalCount', 'reason'),
-});
-const messageFields: Record<PeerMessage['kind'], Record<string, unknown>> = {
-  status: {
-    ...{
-      member: textType,
-      sequence: 'long',
-      storeOk: 'boolean',
-      memberIncarnation: 'long',
-      partitions: listOf(partitionLoadType),
-    },
-    ...{ misrouted: listOf(misroutedCountType), sinceHeartbeatMs: amountType, revision: 'long' },
-  },
-  // New fields come last: a frame of an earlier version is then cut short for us, and ours too long for it.
-  pong: {
-    ...{
-      member: textType,
-      sequence: 'long',
-      storeOk: 'boolean',
-      extended: 'boolean',
-      page: 'int',
-      pages: 'int',
-    },
-    cancelled: listOf(record('Cancellation', { job: textType, revision: 'long' })),
-  },
-  move: { machine: textType, toPartition: textType, drain: 'boolean' },
-  retire: { machine: textType, reason: textType, force: 'boolean' },
-  handover: { partition: textType, to: textType },
-  // New kinds come last: the kinds before keep their numbers on the wire.
-  balance: { summary: loadSummaryType },
-};
-const peerMessageType = avro.Type.forSchema(
-  Object.entries(messageFields).map(([kind, fields]) => record(kind, fields)) as unknown as avro.Schema,
-  { wrapUnions: 'auto' } as never,
-);
-
-export function encodePeerMessage(message: PeerMessage): Buffer {
-  const { kind, ...fields } = message;
-  return peerMessageType.toBuffer({ [kind]: fields });
-}
-
-/** Reads a frame of a peer; null if it is malformed. */
-export function decodePeerMessage(bytes: Buffer): PeerMessage | null {
-  try {
-    const branch = peerMessageType.fromBuffer(bytes) as Record<string, object>;
-    const kind = Object.keys(branch)[0];
-    return kind ? ({ kind, ...branch[kind] } as PeerMessage) : null;
-  } catch {
-    return null;
-  }
-}
--- /dev/null
+++ b/src/protocol/policy-script.ts
@@ -0,0 +1,158 @@
+/**
+ * Runs the Lua script of a policy file. A script can only compute: it reaches no files, network or other code, and is ended
+ * if it takes too many steps or too much memory.
+ */
+
+/** What a script returned, or the one-line message with which it failed; that names the file and, if known, the line. */
+export type ScriptOutcome = { ok: true; value: unknown } | { ok: false; message: string };
+
+/** More than any sensible policy needs, and over in a fraction of a second. */
+const MAX_SCRIPT_STEPS = 200_000;
+const MAX_SCRIPT_BYTES = 64 * 1024 * 1024;
+const LIMIT_CHECK_INTERVAL_STEPS = 10;
+const MAX_TABLE_DEPTH = 4;
+const MAX_TABLE_ENTRIES = 1000;
+
+/**
+ * Removed from the script's globals: functions that lead to files or other code, those that work for long inside one step,
+ * where no step is counted, and those that would catch the error that ends a script.
+ */
+const FORBIDDEN_GLOBALS = [
+  'dofile',
+  'loadfile',
+  'load',
+  'require',
+  'print',
+  'collectgarbage',
+  'pcall',
+  'xpcall',
+  'getmetatable',
+  'setmetatable',
+];
+
+type LuaFunction = (...args: unknown[]) => unknown;
+
+/** The part of fengari that is used here; the package brings no types. */
+interface Fengari {
+  lua: Record<string, LuaFunction> & Record<string, number>;
+  lauxlib: Record<string, LuaFunction>;
+  lualib: Record<string, LuaFunction>;
+  to_luastring: (text: string) => Uint8Array;
+  to_jsstring: (text: Uint8Array) => string;
+}
+
+/** Runs the text of a script; `path` names it in messages. Never throws because of the script. */
+export function runPolicyScript(path: string, text: string): ScriptOutcome {
+  // Loaded only if there is a policy, as loading it would delay every start.
+  // eslint-disable-next-line @typescript-eslint/no-require-imports
+  const machine = new LuaMachine(require('fengari') as Fengari);
+  machine.openLibraries();
+  machine.limitResources();
+  return machine.run(path, text);
+}
+
+/** A Lua state and its stack; indices are those of the Lua C API, -1 the top of the stack. */
+class LuaMachine {
+  private readonly state: unknown;
+
+  constructor(private readonly fengari: Fengari) {
+    this.state = this.auxiliary('luaL_newstate');
+  }
+
+  /** Opens the base and the math library, without the globals that a script may not use. */
+  openLibraries(): void {
+    const { lualib } = this.fengari;
+    this.openLibrary('_G', lualib['luaopen_base']);
+    this.openLibrary('math', lualib['luaopen_math']);
+    for (const name of FORBIDDEN_GLOBALS) {
+      this.call('lua_pushnil');
+      this.call('lua_setglobal', this.text(name));
+    }
+  }
+
+  /** From now on a script that takes too many steps or too much memory fails. */
+  limitResources(): void {
+    const { lua } = this.fengari;
+    let steps = 0;
+    const bytesBefore = memoryUsedBytes();
+    const checkLimits = (): void => {
+      steps += LIMIT_CHECK_INTERVAL_STEPS;
+      if (steps <= MAX_SCRIPT_STEPS && memoryUsedBytes() - bytesBefore < MAX_SCRIPT_BYTES) return;
+      this.auxiliary('luaL_where', this.state, 0);
+      this.call('lua_pushstring', this.text('the script takes too long or too much memory'));
+      this.call('lua_concat', 2);
+      this.call('lua_error');
+    };
+    this.call('lua_sethook', checkLimits, lua['LUA_MASKCOUNT'], LIMIT_CHECK_INTERVAL_STEPS);
+  }
+
+  run(path: string, text: string): ScriptOutcome {
+    const ok = this.fengari.lua['LUA_OK'];
+    const source = this.text(text);
+    const chunkName = this.text(`@${path}`);
+    const loaded = this.auxiliary('luaL_loadbuffer', this.state, source, source.length, chunkName) === ok;
+    if (loaded && this.call('lua_pcall', 0, 1, 0) === ok) return { ok: true, value: this.valueAt(-1) };
+    const message = this.call('lua_tostring', -1) as Uint8Array | null;
+    return { ok: false, message: message ? this.fengari.to_jsstring(message) : `${path}: failed` };
+  }
+
+  /** The value at an index as JavaScript has it; null for what a policy has no use for, such as functions. */
+  private valueAt(index: number, depth = 0): unknown {
+    const { lua } = this.fengari;
+    switch (this.call('lua_type', index)) {
+      case lua['LUA_TNUMBER']:
+        return this.call('lua_tonumber', index);
+      case lua['LUA_TBOOLEAN']:
+        return this.call('lua_toboolean', index);
+      case lua['LUA_TSTRING']:
+        return this.stringAt(index);
+      case lua['LUA_TTABLE']:
+        return depth < MAX_TABLE_DEPTH ? this.tableAt(index, depth) : null;
+      default:
+        return null;
+    }
+  }
+
+  private tableAt(index: number, depth: number): Record<string, unknown> {
+    const stringType = this.fengari.lua['LUA_TSTRING'];
+    const tableIndex = this.call('lua_absindex', index);
+    const table: Record<string, unknown> = {};
+    let entries = 0;
+    this.call('lua_pushnil');
+    while (this.call('lua_next', tableIndex)) {
+      // Only string keys: reading a number as a string would change it, and end the iteration.
+      if (this.call('lua_type', -2) === stringType && entries++ < MAX_TABLE_ENTRIES) {
+        table[this.stringAt(-2)] = this.valueAt(-1, depth + 1);
+      }
+      this.call('lua_settop', -2);
+    }
+    return table;
+  }
+
+  private stringAt(index: number): string {
+    return this.fengari.to_jsstring(this.call('lua_tostring', index) as Uint8Array);
+  }
+
+  private openLibrary(name: string, opener: unknown): void {
+    this.auxiliary('luaL_requiref', this.state, this.text(name), opener, 1);
+    this.call('lua_settop', 0);
+  }
+
+  private text(text: string): Uint8Array {
+    return this.fengari.to_luastring(text);
+  }
+
+  /** Calls a function of the Lua C API with this machine's state. */
+  private call(name: string, ...args: unknown[]): unknown {
+    return (this.fengari.lua[name] as LuaFunction)(this.state, ...args);
+  }
+
+  private auxiliary(name: string, ...args: unknown[]): unknown {
+    return this.fengari.lauxlib[name]?.(...args);
+  }
+}
+
+function memoryUsedBytes(): number {
+  const { heapUsed, arrayBuffers } = process.memoryUsage();
+  return heapUsed + arrayBuffers;
+}
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,4 +1,11 @@
 import { z } from 'zod';
+import { ConfigError } from './config-error';
+
+/*
+ * The platform's settings, which it writes as JSON for each controller. Field names are the platform's: `serve_on` the
+ * address for users and workers, `cluster_listen` the one for peers, `external` the addresses of cloud and state store,
+ * `facts` what holds for the whole cluster, `report_s` the interval of heartbeats.
+ */
 
 const address = z.string().regex(/^[0-9.]+:[0-9]+$/, 'must be an IPv4 address and a port');
 const amount = z.number().nonnegative();
@@ -47,28 +54,33 @@
   }),
 });
 
-/** A value that fills its limit to the last byte was once refused as too large. */
+type RawSettings = z.infer<typeof settingsSchema>;
+
+/** Values stay below the store's limit by this much: the store may refuse one that fills it to the last byte. */
 const VALUE_MARGIN_BYTES = 64;
 
+/** A team and its share of the cluster. */
 export interface Team {
   name: string;
   guaranteed: ResourceQuota;
+  /** What its running tasks may use in all; infinite where nothing limits it. */
   limit: ResourceQuota;
 }
 
-/** What the platform's teams share out. */
+/** The resources that the cluster is divided by between teams. */
 export interface ResourceQuota {
   cpus: number;
   accelerators: number;
 }
 
-/** What the operator expects of a class of jobs; other kinds of objective say nothing of single jobs. */
+/** What the operator expects of a workload; other kinds of objective concern no single job and are ignored. */
 export type Objective =
   | { kind: 'deadline'; workload: string; times: number }
   | { kind: 'finished'; workload: string; withinS: number }
-  /** Of all classes: work within its team's guarantee is to begin so soon. */
+  /** Of all workloads: a task within its team's guarantee is to start within this time. */
   | { kind: 'guarantee'; withinS: number };
 
+/** The settings of one controller. Rates are per second and shared by all controllers. */
 export interface Settings {
   member: string;
   listen: string;
@@ -80,7 +92,7 @@
   objectives: Objective[];
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** After its user was told, a cancelled job's tasks must be gone within this time. */
+  /** A cancelled job's tasks must have ended within this time after its user got the response. */
   cancelMs: number;
   stateStore: { requestRate: number; writeRate: number; valueBytes: number; txnOps: number };
   cloudRequestRate: number;
@@ -88,27 +100,39 @@
 }
 
 /**
- * A guest team comes with zeros alone: it is guaranteed nothing, and nothing limits it but what others leave unused. A
- * team with a limit of CPUs and none of accelerators may have no accelerators.
+ * A team whose limits are all zero is a guest: it is guaranteed nothing, and nothing limits it but what others leave unused.
+ * A team with a limit of CPUs and none of accelerators may use no accelerators.
  */
 function limitOf(cpus: number, accelerators: number): ResourceQuota {
   return cpus === 0 ? { cpus: Infinity, accelerators: accelerators || Infinity } : { cpus, accelerators };
 }
 
-export class SettingsError extends Error {}
+/** The settings cannot be used; the message names the first field that is wrong. */
+export class SettingsError extends ConfigError {
+  constructor(message: string, cause?: unknown) {
+    super('ERR_INVALID_SETTINGS', message, cause);
+  }
+}
 
-/** Reads the platform's settings; unknown fields are ignored, the first bad one is named. */
+/**
+ * Reads the platform's settings; unknown fields are ignored.
+ *
+ * @throws SettingsError if the text is not JSON or a field is missing or wrong.
+ */
 export function parseSettings(text: string): Settings {
   let json: unknown;
   try {
     json = JSON.parse(text);
   } catch (error) {
-    throw new SettingsError(`not JSON: ${(error as Error).message}`);
+    throw new SettingsError(`not JSON: ${(error as Error).message}`, error);
   }
   const read = settingsSchema.safeParse(json);
   if (!read.success) {
     const issue = read.error.issues[0];
-    throw new SettingsError(`${issue?.path.join('.') || 'settings'}: ${issue?.message ?? 'invalid'}`);
+    throw new SettingsError(
+      `${issue?.path.join('.') || 'settings'}: ${issue?.message ?? 'invalid'}`,
+      read.error,
+    );
   }
   const s = read.data;
   return {
@@ -118,21 +142,8 @@
     peers: s.peers.map((p) => ({ member: p.member, address: p.addr })),
     cloudAddress: s.external.cloud,
     stateStoreAddress: s.external.state,
-    teams: s.facts.teams.map((t) => ({
-      name: t.name,
-      guaranteed: { cpus: t.cpus, accelerators: t.gpus },
-      limit: limitOf(t.cpus_max, t.gpus_max),
-    })),
-    objectives: s.facts.objectives.flatMap((o): Objective[] => {
-      if (o.kind === 'guarantee' && o.within_s !== undefined)
-        return [{ kind: 'guarantee', withinS: o.within_s }];
-      if (o.class === undefined) return [];
-      if (o.kind === 'deadline') return [{ kind: 'deadline', workload: o.class, times: o.times ?? 1 }];
-      if (o.kind === 'finished' && o.within_s !== undefined) {
-        return [{ kind: 'finished', workload: o.class, withinS: o.within_s }];
-      }
-      return [];
-    }),
+    teams: s.facts.teams.map(toTeam),
+    objectives: s.facts.objectives.flatMap(toObjectives),
     heartbeatIntervalMs: s.facts.workers.report_s * 1000,
     leaseMs: s.facts.workers.lease_s * 1000,
     cancelMs: s.facts.workers.cancel_s * 1000,
@@ -146,3 +157,16 @@
     cloudListLagMs: s.facts.cloud.list_lag_s * 1000,
   };
 }
+
+function toTeam({ name, cpus, cpus_max, gpus, gpus_max }: RawSettings['facts']['teams'][number]): Team {
+  return { name, guaranteed: { cpus, accelerators: gpus }, limit: limitOf(cpus_max, gpus_max) };
+}
+
+function toObjectives(raw: RawSettings['facts']['objectives'][number]): Objective[] {
+  const { kind, class: workload, within_s: withinS, times } = raw;
+  if (kind === 'guarantee' && withinS !== undefined) return [{ kind, withinS }];
+  if (workload === undefined) return [];
+  if (kind === 'deadline') return [{ kind, workload, times: times ?? 1 }];
+  if (kind === 'finished' && withinS !== undefined) return [{ kind, workload, withinS }];
+  return [];
+}
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,24 +1,48 @@
 import { z } from 'zod';
 
-/** One entry of the state service: `version` is the revision at which it last changed. */
+/*
+ * Requests to the state store and its responses. Wire terms: `path` key, `v` value, `stamp` revision at which a key last
+ * changed, `ledger_rev` revision of the store, `permit` lease, `pairs` entries, `news` changes, `set` and `delete` the key
+ * that is written or removed, `if` conditions, `apply` writes, `grants` leases. Parsers return null for a malformed body.
+ */
+
+/** A key and its value; `revision` is the one at which it last changed. */
 export interface Entry {
   key: string;
   value: unknown;
   revision: number;
+  /** The lease that the key ends with; null: none. */
   leaseId: number | null;
 }
 
+/** One change of a key, as a watch reports it. */
 export type Change =
   { key: string; value: unknown; revision: number } | { key: string; deleted: true; revision: number };
 
+/** A transaction is carried out only if each key last changed at the given revision. */
 export interface Condition {
   key: string;
   /** 0: the key does not exist. */
   revision: number;
 }
 
+/** One write of a transaction. A key written with a lease is removed when the lease ends. */
 export type Write = { put: string; value: unknown; leaseId?: number } | { remove: string };
 
+/** One page of a scan. */
+export interface ScanPage {
+  entries: Entry[];
+  /** Whether keys follow the last entry. */
+  more: boolean;
+  revision: number;
+}
+
+/** What a watch reports: the changes up to `revision`, in order. */
+export interface WatchResult {
+  changes: Change[];
+  revision: number;
+}
+
 const entrySchema = z.object({
   path: z.string(),
   v: z.unknown().optional(),
@@ -31,20 +55,24 @@
   truncated: z.boolean().nullish(),
   ledger_rev: z.number(),
 });
-const watchSchema = z.object({
-  ledger_rev: z.number(),
-  news: z.array(
-    z.object({
-      set: z.string().nullish(),
-      delete: z.string().nullish(),
-      v: z.unknown().optional(),
-      stamp: z.number(),
-    }),
-  ),
+const changeSchema = z.object({
+  set: z.string().nullish(),
+  delete: z.string().nullish(),
+  v: z.unknown().optional(),
+  stamp: z.number(),
 });
+const watchSchema = z.object({ ledger_rev: z.number(), news: z.array(changeSchema) });
+const failedSchema = z.object({ failed: z.array(z.string()) });
+const leaseSchema = z.object({ permit: z.number() });
+
+function toEntry({ path, v, stamp, permit }: z.infer<typeof entrySchema>): Entry {
+  return { key: path, value: v, revision: stamp, leaseId: permit ?? null };
+}
 
-function toEntry(e: z.infer<typeof entrySchema>): Entry {
-  return { key: e.path, value: e.v, revision: e.stamp, leaseId: e.permit ?? null };
+function toChange(change: z.infer<typeof changeSchema>): Change | null {
+  if (typeof change.set === 'string') return { key: change.set, value: change.v, revision: change.stamp };
+  if (typeof change.delete === 'string') return { key: change.delete, deleted: true, revision: change.stamp };
+  return null;
 }
 
 export function parseEntry(body: unknown): Entry | null {
@@ -52,7 +80,7 @@
   return read.success ? toEntry(read.data) : null;
 }
 
-export function parseScan(body: unknown): { entries: Entry[]; more: boolean; revision: number } | null {
+export function parseScan(body: unknown): ScanPage | null {
   const read = scanSchema.safeParse(body);
   if (!read.success) return null;
   return {
@@ -62,52 +90,70 @@
   };
 }
 
-export function parseWatch(body: unknown): { changes: Change[]; revision: number } | null {
+export function parseWatch(body: unknown): WatchResult | null {
   const read = watchSchema.safeParse(body);
   if (!read.success) return null;
   const changes: Change[] = [];
-  for (const n of read.data.news) {
-    if (typeof n.set === 'string') changes.push({ key: n.set, value: n.v, revision: n.stamp });
-    else if (typeof n.delete === 'string') changes.push({ key: n.delete, deleted: true, revision: n.stamp });
-    else return null;
+  for (const reported of read.data.news) {
+    const change = toChange(reported);
+    if (change === null) return null;
+    changes.push(change);
   }
   return { changes, revision: read.data.ledger_rev };
 }
 
+/** The store's revision, which most bodies hold, also that of a read of a key that is not there. */
 export function parseRevision(body: unknown): number | null {
   const read = revisionSchema.safeParse(body);
   return read.success ? read.data.ledger_rev : null;
 }
 
+/** The keys whose conditions did not hold. */
 export function parseFailedKeys(body: unknown): string[] | null {
-  const read = z.object({ failed: z.array(z.string()) }).safeParse(body);
+  const read = failedSchema.safeParse(body);
   return read.success ? read.data.failed : null;
 }
 
+/** The id of a new lease. */
 export function parseLease(body: unknown): number | null {
-  const read = z.object({ permit: z.number() }).safeParse(body);
+  const read = leaseSchema.safeParse(body);
   return read.success ? read.data.permit : null;
 }
 
+/** The body of a transaction. */
 export function transactionBody(conditions: Condition[], writes: Write[]): object {
   return {
-    if: conditions.map((c) => ({ path: c.key, stamp: c.revision })),
-    apply: writes.map((w) =>
-      'put' in w
-        ? { set: w.put, v: w.value, ...(w.leaseId === undefined ? {} : { permit: w.leaseId }) }
-        : { delete: w.remove },
-    ),
+    if: conditions.map(({ key, revision }) => ({ path: key, stamp: revision })),
+    apply: writes.map(wireWrite),
   };
 }
 
+function wireWrite(write: Write): object {
+  if ('remove' in write) return { delete: write.remove };
+  const { put, value, leaseId } = write;
+  return { set: put, v: value, ...(leaseId === undefined ? {} : { permit: leaseId }) };
+}
+
+/** The body of a request for a lease that ends unless it is renewed within `ttlMs`. */
+export function openLeaseBody(ttlMs: number): object {
+  return { ttl_ms: ttlMs };
+}
+
+const SCAN_PAGE_ENTRIES = 1000;
+
+/** Paths of the store's requests. */
 export const paths = {
   entry: (key: string): string => `/store/${key}`,
-  scan: (prefix: string, after: string): string =>
-    `/store?prefix=${encodeURIComponent(prefix)}&limit=1000${after ? `&from=${encodeURIComponent(after)}` : ''}`,
+  /** The entries after a key, '' for the first ones. */
+  scan: (prefix: string, after: string): string => {
+    const from = after ? `&from=${encodeURIComponent(after)}` : '';
+    return `/store?prefix=${encodeURIComponent(prefix)}&limit=${SCAN_PAGE_ENTRIES}${from}`;
+  },
   transaction: '/multi',
   leases: '/grants',
-  renewLease: (lease: number): string => `/grants/${lease}/touch`,
-  lease: (lease: number): string => `/grants/${lease}`,
+  renewLease: (leaseId: number): string => `/grants/${leaseId}/touch`,
+  lease: (leaseId: number): string => `/grants/${leaseId}`,
+  /** The changes after a revision; without any, the response is held back for `holdMs`. */
   watch: (prefix: string, after: number, holdMs: number): string =>
     `/watch?prefix=${encodeURIComponent(prefix)}&from=${after}&hold_ms=${holdMs}`,
 };
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,52 +1,67 @@
+/*
+ * Heartbeats of workers and the responses to them. Wire terms: `velodrome` machine, `model` machine type, `yard` zone,
+ * `loaners` spot, `shift` epoch of the agent, `tick` sequence number, `baton` fencing token, `recall_s` seconds until the
+ * machine is preempted, `pieces` tasks, `piece` job and task index, `try` attempt, `orders` commands, `kill` stop, `reap`
+ * forget, `wind_down_s` grace period, `dispatcher` owner.
+ */
+
 export type TaskPhase = 'fetching' | 'running' | 'checkpointing' | 'exited';
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown' | 'other';
 
+/** A task as its worker sees it. */
 export interface HeartbeatTask {
   ref: string;
   index: number;
   attempt: number;
   phase: TaskPhase;
+  /** Null until it has exited. */
   exit: ExitReason | null;
 }
 
-/** A worker's report. The larger (session, seq) is the newer one. */
+/** A worker's heartbeat. The one with the larger (agentEpoch, sequence) is the newer one. */
 export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
+  /** Larger after each start of the worker's agent. */
   agentEpoch: number;
   sequence: number;
+  /** The newest fencing token that the worker has received. */
   token: number;
+  /** Seconds until the machine is preempted; null: no notice. */
   preemptionNoticeS: number | null;
   tasks: HeartbeatTask[];
 }
 
+/** What a worker is to do; `forget`: not to report the exited task any more. */
 export type Command =
   | { op: 'start'; ref: string; index: number; attempt: number }
   | { op: 'stop'; ref: string; index: number; attempt: number; gracePeriodS: number }
   | { op: 'forget'; ref: string; index: number; attempt: number };
 
-const TASK_PHASES = new Map<string, TaskPhase>(
-  Object.entries({
-    pulling: 'fetching',
-    waiting: 'fetching',
-    running: 'running',
-    flushing: 'checkpointing',
-    ended: 'exited',
-  }),
-);
-const EXIT_REASONS = new Map<string, ExitReason>(
-  Object.entries({
-    done: 'done',
-    stopped: 'stopped',
-    error: 'error',
-    full: 'no_room',
-    busy: 'busy',
-    no_such: 'unknown',
-  }),
-);
+/** Phases by their words on the wire. */
+const TASK_PHASES = new Map<string, TaskPhase>([
+  ['pulling', 'fetching'],
+  ['waiting', 'fetching'],
+  ['running', 'running'],
+  ['flushing', 'checkpointing'],
+  ['ended', 'exited'],
+]);
+
+/** Reasons of exits by their words on the wire; `full`: the machine lacks the resources, `no_such`: it has no such task. */
+const EXIT_REASONS = new Map<string, ExitReason>([
+  ['done', 'done'],
+  ['stopped', 'stopped'],
+  ['error', 'error'],
+  ['full', 'no_room'],
+  ['busy', 'busy'],
+  ['no_such', 'unknown'],
+]);
+
+/** Commands by their words on the wire. */
+const WIRE_ORDERS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
 
 interface WirePiece {
   piece: string;
@@ -78,61 +93,68 @@
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
-function absent(value: unknown): boolean {
+function isAbsent(value: unknown): boolean {
   return value === undefined || value === null;
 }
 
+function isName(value: unknown): value is string {
+  return isText(value) && value.length > 0 && value.length <= MAX_NAME_LENGTH;
+}
+
 function isWireHeartbeat(body: unknown): body is WireHeartbeat {
   if (typeof body !== 'object' || body === null) return false;
-  const r = body as Record<string, unknown>;
-  const name = r['velodrome'];
+  const fields = body as Record<string, unknown>;
   return (
-    isText(name) &&
-    name.length > 0 &&
-    name.length <= MAX_NAME_LENGTH &&
-    isText(r['address']) &&
-    isText(r['model']) &&
-    isText(r['yard']) &&
-    typeof r['loaners'] === 'boolean' &&
-    isCount(r['shift']) &&
-    isCount(r['tick']) &&
-    isCount(r['baton']) &&
-    (absent(r['recall_s']) || Number.isFinite(r['recall_s'])) &&
-    (absent(r['pieces']) || Array.isArray(r['pieces']))
+    isName(fields['velodrome']) &&
+    isText(fields['address']) &&
+    isText(fields['model']) &&
+    isText(fields['yard']) &&
+    typeof fields['loaners'] === 'boolean' &&
+    isCount(fields['shift']) &&
+    isCount(fields['tick']) &&
+    isCount(fields['baton']) &&
+    (isAbsent(fields['recall_s']) || Number.isFinite(fields['recall_s'])) &&
+    (isAbsent(fields['pieces']) || Array.isArray(fields['pieces']))
   );
 }
 
 function isWirePiece(value: unknown): value is WirePiece {
   if (typeof value !== 'object' || value === null) return false;
-  const p = value as Record<string, unknown>;
+  const fields = value as Record<string, unknown>;
   return (
-    isText(p['piece']) &&
-    isCount(p['try']) &&
-    isText(p['status']) &&
-    (absent(p['exit_reason']) || isText(p['exit_reason']))
+    isText(fields['piece']) &&
+    isCount(fields['try']) &&
+    isText(fields['status']) &&
+    (isAbsent(fields['exit_reason']) || isText(fields['exit_reason']))
   );
 }
 
+function toTask(piece: unknown): HeartbeatTask | null {
+  if (!isWirePiece(piece)) return null;
+  const slash = piece.piece.lastIndexOf('/');
+  const index = Number(piece.piece.slice(slash + 1));
+  const phase = TASK_PHASES.get(piece.status);
+  if (slash <= 0 || !isCount(index) || !phase) return null;
+  return {
+    ref: piece.piece.slice(0, slash),
+    index,
+    attempt: piece.try,
+    phase,
+    exit: phase === 'exited' ? (EXIT_REASONS.get(piece.exit_reason ?? '') ?? 'other') : null,
+  };
+}
+
 /**
- * Reads a report; null if it is not one. Checked by hand: hundreds come a second, and a general schema took a third of
- * what a report costs, most of it in the seconds after a start when every first answer counts.
+ * Reads a heartbeat; null if it is malformed. Checked by hand, not with a schema: hundreds come each second, and a general
+ * schema costs more than the rest of the work on a heartbeat, most of all right after a start.
  */
 export function parseHeartbeat(body: unknown): Heartbeat | null {
   if (!isWireHeartbeat(body)) return null;
   const tasks: HeartbeatTask[] = [];
   for (const piece of body.pieces ?? []) {
-    if (!isWirePiece(piece)) return null;
-    const slash = piece.piece.lastIndexOf('/');
-    const index = Number(piece.piece.slice(slash + 1));
-    const phase = TASK_PHASES.get(piece.status);
-    if (slash <= 0 || !isCount(index) || !phase) return null;
-    tasks.push({
-      ref: piece.piece.slice(0, slash),
-      index,
-      attempt: piece.try,
-      phase,
-      exit: phase === 'exited' ? (EXIT_REASONS.get(piece.exit_reason ?? '') ?? 'other') : null,
-    });
+    const task = toTask(piece);
+    if (task === null) return null;
+    tasks.push(task);
   }
   return {
     machine: body.velodrome,
@@ -148,18 +170,19 @@
   };
 }
 
-/** The body of an accepted report's answer. */
+/** The body of the response to an accepted heartbeat. */
 export function heartbeatResponse(token: number, commands: Command[]): object {
-  return {
-    baton: token,
-    orders: commands.map((c) => {
-      const order = { order: WIRE_ORDERS[c.op], piece: `${c.ref}/${c.index}`, try: c.attempt };
-      return c.op === 'stop' ? { ...order, wind_down_s: c.gracePeriodS } : order;
-    }),
-  };
+  return { baton: token, orders: commands.map(wireOrder) };
 }
 
-const WIRE_ORDERS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
+function wireOrder(command: Command): object {
+  const order = {
+    order: WIRE_ORDERS[command.op],
+    piece: `${command.ref}/${command.index}`,
+    try: command.attempt,
+  };
+  return command.op === 'stop' ? { ...order, wind_down_s: command.gracePeriodS } : order;
+}
 
 /** Sends a worker to the controller that owns its machine, or on to the next one if that is not known. */
 export function redirectResponse(owner: string | null): object {
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -3,6 +3,7 @@
 import { type Log } from '../transport/log';
 import { Metrics } from '../transport/metrics';
 import {
+  openLeaseBody,
   parseEntry,
   parseFailedKeys,
   parseLease,
@@ -175,7 +176,7 @@
     const outcome = await this.connection.send({
       method: 'POST',
       path: paths.leases,
-      body: { ttl_ms: ttlMs },
+      body: openLeaseBody(ttlMs),
       priority: RequestPriority.Lease,
       withinMs: OPEN_LEASE_TIMEOUT_MS,
     });
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -6,7 +6,7 @@
 import { PartitionCore } from '../src/coordination/partition/partition-core';
 import { Reachability } from '../src/coordination/membership/reachability';
 import { LeaseExtensions } from '../src/coordination/membership/lease-extension';
-import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-codec';
 import { type JobProgress } from '../src/protocol/records';
 import { ReplicaView } from '../src/storage/replica-view';
 import { VirtualCluster } from './standin/world';
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -7,7 +7,7 @@
 import Ajv2020 from 'ajv/dist/2020';
 import { parse } from 'smol-toml';
 import { checkFeatures, featuresJsonSchema } from '../src/protocol/features';
-import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-codec';
 import { balance } from '../src/cli/balance-command';
 import { EXIT_CODES } from '../src/cli/client';
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -5,12 +5,8 @@
 import { PartitionCore } from '../src/coordination/partition/partition-core';
 import { type MachineType } from '../src/protocol/cloud';
 import { type JobSpec } from '../src/protocol/jobs';
-import {
-  decodePeerMessage,
-  encodePeerMessage,
-  type PartitionLoad,
-  type PeerMessage,
-} from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-codec';
+import { type PartitionLoad, type PeerMessage } from '../src/protocol/peers';
 import { DEFAULT_POLICY } from '../src/protocol/policy';
 import { type MachineRecord } from '../src/protocol/records';
 import { type Heartbeat, type HeartbeatTask } from '../src/protocol/workers';
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-codec';
+import { type PeerMessage } from '../src/protocol/peers';
 import {
   decodeBatch,
   decodeFleet,
