--- /dev/null
+++ b/test/config-errors.test.ts
@@ -0,0 +1,77 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { ConfigError, type ConfigErrorCode } from '../src/protocol/config-error';
+import { checkFeatures } from '../src/protocol/features';
+import { loadPolicy, parsePolicy } from '../src/protocol/policy';
+import { parseSettings } from '../src/protocol/settings';
+
+test('errors in configuration files have a code and, where something failed, its cause', async (t) => {
+  const cases: {
+    name: string;
+    read: () => unknown;
+    code: ConfigErrorCode;
+    message: RegExp;
+    cause: boolean;
+  }[] = [
+    {
+      name: 'settings that are not JSON',
+      read: () => parseSettings('{'),
+      code: 'ERR_INVALID_SETTINGS',
+      message: /^not JSON: /,
+      cause: true,
+    },
+    {
+      name: 'settings without fields',
+      read: () => parseSettings('{}'),
+      code: 'ERR_INVALID_SETTINGS',
+      message: /^member: /,
+      cause: true,
+    },
+    {
+      name: 'a policy that is not there',
+      read: () => loadPolicy('/nowhere/p.lua'),
+      code: 'ERR_INVALID_POLICY',
+      message: /^\/nowhere\/p\.lua: ENOENT/,
+      cause: true,
+    },
+    {
+      name: 'a policy whose script fails',
+      read: () => parsePolicy('p.lua', 'return 1 + nil'),
+      code: 'ERR_INVALID_POLICY',
+      message: /^p\.lua:1: /,
+      cause: false,
+    },
+    {
+      name: 'a policy with a value out of bounds',
+      read: () => parsePolicy('p.lua', 'return { headroom = 9 }'),
+      code: 'ERR_INVALID_POLICY',
+      message: /^p\.lua:1: headroom: /,
+      cause: true,
+    },
+    {
+      name: 'features that are not TOML',
+      read: () => checkFeatures('f.toml', '[load_balancer'),
+      code: 'ERR_INVALID_FEATURES',
+      message: /^f\.toml: /,
+      cause: true,
+    },
+    {
+      name: 'a feature that is unknown',
+      read: () => checkFeatures('f.toml', '[other]'),
+      code: 'ERR_INVALID_FEATURES',
+      message: /^f\.toml: other: unknown field$/,
+      cause: true,
+    },
+  ];
+  for (const { name, read, code, message, cause } of cases) {
+    await t.test(name, () => {
+      assert.throws(read, (error) => {
+        assert.ok(error instanceof ConfigError);
+        assert.equal(error.code, code);
+        assert.match(error.message, message);
+        assert.equal(error.cause !== undefined, cause);
+        return true;
+      });
+    });
+  }
+});
