--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -1,7 +1,8 @@
 /** Messages between controllers: encoding, decoding, and the actors that they are for. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
-import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../../protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
+import { type PeerMessage } from '../../protocol/peers';
 import { type ReplicaView } from '../../storage/replica-view';
 import { type StateStoreClient } from '../../storage/state-store-client';
 import { type Leader } from '../leader/leader';
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -3,12 +3,12 @@
 import { type Log } from '../transport/log';
 import { Metrics } from '../transport/metrics';
 import {
+  openLeaseBody,
   parseEntry,
   parseFailedKeys,
   parseLease,
   parseRevision,
   paths,
-  leaseBody,
   transactionBody,
   type Condition,
   type Entry,
@@ -176,7 +176,7 @@
     const outcome = await this.connection.send({
       method: 'POST',
       path: paths.leases,
-      body: leaseBody(ttlMs),
+      body: openLeaseBody(ttlMs),
       priority: RequestPriority.Lease,
       withinMs: OPEN_LEASE_TIMEOUT_MS,
     });
