--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -9,7 +9,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peers';
 import { type JobProgress } from '../src/protocol/records';
 import { ReplicaView } from '../src/storage/replica-view';
-import { VirtualCluster } from './standin/world';
+import { VirtualCluster } from './cluster/virtual-cluster';
 
 const DAY_MS = 280_000;
 const FAULTS_END_MS = 150_000;
@@ -102,10 +102,10 @@
     if (worker) worker.failsAllTasks = true;
   },
   'changes are carried out late': (cluster) => {
-    cluster.delayOneWriteIn = 3;
+    cluster.network.delayOneWriteIn = 3;
     cluster.time.at(
       cluster.time.now + 10_000 + cluster.randomInt(10_000),
-      () => (cluster.delayOneWriteIn = 0),
+      () => (cluster.network.delayOneWriteIn = 0),
     );
   },
   'users cancel what runs while a machine hangs': (cluster) => {
@@ -116,7 +116,7 @@
       cluster.time.now + 3000 + cluster.randomInt(12_000),
       () => worker && (worker.hung = false),
     );
-    cluster.cancelRunningJobs(2);
+    cluster.users.cancelRunningJobs(2);
   },
   'cloud down': (cluster) => {
     cluster.cloud.unavailable = true;
@@ -126,10 +126,10 @@
 
 async function faultDay(seed: number, perDay: number): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed);
-  cluster.faultsEndAt = FAULTS_END_MS + 20_000;
+  cluster.users.faultsEndAt = FAULTS_END_MS + 20_000;
   const names = Object.keys(faults);
   for (let n = 0; n < 26; n++) {
-    cluster.time.at(2500 + cluster.randomInt(FAULTS_END_MS - 10_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(FAULTS_END_MS - 10_000), () => cluster.users.submitRandomJob(n));
   }
   for (let n = 0; n < perDay; n++) {
     const fault = faults[names[cluster.randomInt(names.length)] as string] as Fault;
@@ -152,10 +152,10 @@
   ] as const) {
     await t.test(`seed ${seed}, ${perDay} faults`, async () => {
       const cluster = await faultDay(seed, perDay);
-      assert.deepEqual(cluster.violations, []);
-      const open = cluster.jobs.filter((j) => j.terminalStatus === null).map((j) => j.ref);
+      assert.deepEqual(cluster.rules.violations, []);
+      const open = cluster.jobs.list.filter((j) => j.terminalStatus === null).map((j) => j.ref);
       assert.deepEqual(open, [], 'unfinished jobs');
-      assert.ok(cluster.startedTasks >= cluster.jobs.length);
+      assert.ok(cluster.rules.startedTasks >= cluster.jobs.list.length);
     });
   }
 });
@@ -164,9 +164,9 @@
 test('five controllers and two hundred machines: rules kept, work bounded', async () => {
   const cluster = new VirtualCluster(11, { controllers: 5, maxMachines: 200, teamLimitFactor: 20 });
   const jobs = 120;
-  cluster.faultsEndAt = 50_000;
+  cluster.users.faultsEndAt = 50_000;
   for (let n = 0; n < jobs; n++)
-    cluster.time.at(2500 + cluster.randomInt(n < 60 ? 1000 : 40_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(n < 60 ? 1000 : 40_000), () => cluster.users.submitRandomJob(n));
   for (const [at, name] of [
     [15_000, 'machine taken'],
     [20_000, 'crash'],
@@ -177,9 +177,9 @@
   }
   const day = 110_000;
   await cluster.runUntil(day);
-  assert.deepEqual(cluster.violations, []);
+  assert.deepEqual(cluster.rules.violations, []);
   assert.deepEqual(
-    cluster.jobs.filter((j) => j.terminalStatus === null).map((j) => j.ref),
+    cluster.jobs.list.filter((j) => j.terminalStatus === null).map((j) => j.ref),
     [],
   );
   assert.ok(cluster.cloud.workers.size + cluster.cloud.terminatedCount > 60, 'a fleet came together');
@@ -199,7 +199,7 @@
 async function directedDay(seed: number, fault: Fault): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed);
   for (let n = 0; n < 40; n++)
-    cluster.time.at(2500 + cluster.randomInt(100_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(100_000), () => cluster.users.submitRandomJob(n));
   for (const at of [30_000, 75_000]) cluster.time.at(at, () => fault(cluster));
   await cluster.runUntil(DAY_MS);
   return cluster;
@@ -224,7 +224,7 @@
 test('machines whose owner is cut from them alone keep their leases', async () => {
   const leases = async (): Promise<number> => {
     const cluster = await directedDay(3, (cluster) => cutOwnerFromWorkers(cluster, 30_000));
-    assert.deepEqual(cluster.violations, []);
+    assert.deepEqual(cluster.rules.violations, []);
     return cluster.expiredLeases;
   };
   const whole = await leases();
@@ -244,9 +244,9 @@
 async function outageAfterRefusalDay(seed: number, between: Fault): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed, { ...LONG_TASKS });
   for (let n = 0; n < 16; n++)
-    cluster.time.at(2500 + cluster.randomInt(20_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(20_000), () => cluster.users.submitRandomJob(n));
   cluster.time.at(40_000, () => refuseStoreToOwner(cluster, 14_000));
-  for (const at of [40_300, 40_900, 41_500]) cluster.time.at(at, () => cluster.cancelRunningJobs(3));
+  for (const at of [40_300, 40_900, 41_500]) cluster.time.at(at, () => cluster.users.cancelRunningJobs(3));
   cluster.time.at(42_000, () => cluster.store.startOutage(61_000));
   cluster.time.at(41_200, () => between(cluster));
   await cluster.runUntil(130_000);
@@ -257,13 +257,13 @@
 async function hangingWatchDay(seed: number): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed, { ...LONG_TASKS });
   for (let n = 0; n < 16; n++)
-    cluster.time.at(2500 + cluster.randomInt(20_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(20_000), () => cluster.users.submitRandomJob(n));
   cluster.time.at(40_000, () => {
     const node = randomOwner(cluster);
     node.watchHangs = true;
     cluster.time.at(cluster.time.now + 60_000, () => (node.watchHangs = false));
   });
-  for (const at of [40_500, 42_000]) cluster.time.at(at, () => cluster.cancelRunningJobs(4));
+  for (const at of [40_500, 42_000]) cluster.time.at(at, () => cluster.users.cancelRunningJobs(4));
   await cluster.runUntil(120_000);
   return cluster;
 }
@@ -283,8 +283,8 @@
   'a peer ends and is back within a second': (cluster) => crashNonOwner(cluster, 300),
   'a peer ends and is back within the outage': (cluster) => crashNonOwner(cluster, 3000),
   'answers to the cancelling writes are lost': (cluster) => {
-    cluster.delayOneWriteIn = 2;
-    cluster.time.at(cluster.time.now + 800, () => (cluster.delayOneWriteIn = 0));
+    cluster.network.delayOneWriteIn = 2;
+    cluster.time.at(cluster.time.now + 800, () => (cluster.network.delayOneWriteIn = 0));
   },
 };
 
@@ -293,9 +293,9 @@
     for (const seed of [1, 2, 3]) {
       await t.test(`${name}, seed ${seed}`, async () => {
         const cluster = await outageAfterRefusalDay(seed, between);
-        assert.deepEqual(cluster.violations, []);
+        assert.deepEqual(cluster.rules.violations, []);
         assert.ok(
-          cluster.jobs.some((j) => j.cancelledAt !== null && j.cancelledAt < 42_000),
+          cluster.jobs.list.some((j) => j.cancelledAt !== null && j.cancelledAt < 42_000),
           'something was cancelled before the outage',
         );
       });
@@ -308,22 +308,22 @@
     await t.test(`seed ${seed}`, async () => {
       const cluster = new VirtualCluster(seed);
       for (let n = 0; n < 12; n++)
-        cluster.time.at(2500 + cluster.randomInt(60_000), () => cluster.submitRandomJob(n));
+        cluster.time.at(2500 + cluster.randomInt(60_000), () => cluster.users.submitRandomJob(n));
       cluster.time.at(20_000, () => {
-        cluster.delayOneWriteIn = 1;
+        cluster.network.delayOneWriteIn = 1;
         cluster.crash(
           cluster.nodes.findIndex((n) => (n.controller?.status() as Status).leading),
           30_000,
         );
       });
-      cluster.time.at(26_000, () => (cluster.delayOneWriteIn = 0));
+      cluster.time.at(26_000, () => (cluster.network.delayOneWriteIn = 0));
       await cluster.runUntil(49_000);
       const leading = cluster.nodes.filter((n) => n.up && (n.controller?.status() as Status).leading);
       assert.equal(leading.length, 1);
       await cluster.runUntil(200_000);
-      assert.deepEqual(cluster.violations, []);
+      assert.deepEqual(cluster.rules.violations, []);
       assert.deepEqual(
-        cluster.jobs.filter((j) => j.terminalStatus === null).map((j) => j.ref),
+        cluster.jobs.list.filter((j) => j.terminalStatus === null).map((j) => j.ref),
         [],
       );
     });
@@ -350,18 +350,18 @@
 /** Two troubles at once, as the operators met them; each day plays its meeting twice. */
 const combinedFaults: Record<string, Fault> = {
   'transactions carried out late while leaders change': (cluster) => {
-    cluster.delayOneWriteIn = 3;
+    cluster.network.delayOneWriteIn = 3;
     for (const s of [0, 7, 14])
       cluster.time.at(cluster.time.now + s * 1000, () =>
         cluster.crash(Math.max(0, leaderIndex(cluster)), 400),
       );
-    cluster.time.at(cluster.time.now + 20_000, () => (cluster.delayOneWriteIn = 0));
+    cluster.time.at(cluster.time.now + 20_000, () => (cluster.network.delayOneWriteIn = 0));
   },
   'a leader cut from state service and peers, jobs cancelled through the new one': (cluster) => {
     const node = cluster.nodes[Math.max(0, leaderIndex(cluster))] as VirtualCluster['nodes'][number];
     node.isolated = true;
     for (const s of [5, 9, 15])
-      cluster.time.at(cluster.time.now + s * 1000, () => cluster.cancelRunningJobs(2));
+      cluster.time.at(cluster.time.now + s * 1000, () => cluster.users.cancelRunningJobs(2));
     cluster.time.at(cluster.time.now + 30_000, () => (node.isolated = false));
   },
   'all controllers away for longer than a lease': (cluster) =>
@@ -375,7 +375,7 @@
   },
   'machines that reach nobody while their jobs are cancelled': (cluster) => {
     setOnHalfOfWorkers(cluster, 'heartbeatsLost', 20_000);
-    cluster.cancelRunningJobs(3);
+    cluster.users.cancelRunningJobs(3);
   },
   'a leader ends while machines cannot be reached or hear nothing': (cluster) => {
     setOnHalfOfWorkers(cluster, 'responsesLost', 17_000);
@@ -392,27 +392,27 @@
     setOnHalfOfWorkers(cluster, 'heartbeatsLost', 15_000);
     cluster.nodes.forEach((_, i) => cluster.crash(i, 500 + 100 * i));
     for (const s of [2, 4, 6])
-      cluster.time.at(cluster.time.now + s * 1000, () => cluster.cancelRunningJobs(2));
+      cluster.time.at(cluster.time.now + s * 1000, () => cluster.users.cancelRunningJobs(2));
   },
   'a zone with workers and a controller cut off for longer than a lease': (cluster) => {
-    cluster.isolatedZone = 'a';
-    cluster.time.at(cluster.time.now + 6000, () => cluster.cancelRunningJobs(3));
-    cluster.time.at(cluster.time.now + 25_000, () => (cluster.isolatedZone = null));
+    cluster.network.isolatedZone = 'a';
+    cluster.time.at(cluster.time.now + 6000, () => cluster.users.cancelRunningJobs(3));
+    cluster.time.at(cluster.time.now + 25_000, () => (cluster.network.isolatedZone = null));
   },
   'jobs bound to zones lose machines': (cluster) => {
     for (const name of [...cluster.cloud.workers.keys()])
       if (cluster.randomInt(3) === 0) cluster.cloud.terminateMachine(name);
   },
   'cancellations, questions and repeats at the end of the last task': (cluster) => {
-    cluster.raceWithCompletion = true;
-    cluster.time.at(cluster.time.now + 30_000, () => (cluster.raceWithCompletion = false));
+    cluster.users.raceWithCompletion = true;
+    cluster.time.at(cluster.time.now + 30_000, () => (cluster.users.raceWithCompletion = false));
   },
   'odd requests, also in an outage and just after a start': (cluster) => {
-    cluster.sendInvalidRequests();
+    cluster.users.sendInvalidRequests();
     cluster.store.startOutage(8000);
-    cluster.time.at(cluster.time.now + 3000, () => cluster.sendInvalidRequests());
+    cluster.time.at(cluster.time.now + 3000, () => cluster.users.sendInvalidRequests());
     cluster.time.at(cluster.time.now + 10_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 300)));
-    cluster.time.at(cluster.time.now + 11_000, () => cluster.sendInvalidRequests());
+    cluster.time.at(cluster.time.now + 11_000, () => cluster.users.sendInvalidRequests());
   },
 };
 
@@ -427,13 +427,13 @@
           extraRunMs: 4000,
           zoneConstraints: true,
         });
-        cluster.faultsEndAt = 130_000;
+        cluster.users.faultsEndAt = 130_000;
         for (let n = 0; n < 32; n++)
-          cluster.time.at(2500 + cluster.randomInt(80_000), () => cluster.submitRandomJob(n));
+          cluster.time.at(2500 + cluster.randomInt(80_000), () => cluster.users.submitRandomJob(n));
         for (const at of [25_000, 75_000]) cluster.time.at(at, () => fault(cluster));
         await cluster.runUntil(340_000);
-        assert.deepEqual(cluster.violations, []);
-        const open = cluster.jobs.filter((j) => j.terminalStatus === null).map((j) => j.ref);
+        assert.deepEqual(cluster.rules.violations, []);
+        const open = cluster.jobs.list.filter((j) => j.terminalStatus === null).map((j) => j.ref);
         assert.deepEqual(open, [], 'unfinished jobs');
       });
     }
@@ -442,7 +442,7 @@
 
 test('an extension is given to what a peer can be, and to nothing else', async (t) => {
   const cluster = new VirtualCluster(1);
-  for (let n = 0; n < 8; n++) cluster.time.at(2500 + 500 * n, () => cluster.submitRandomJob(n));
+  for (let n = 0; n < 8; n++) cluster.time.at(2500 + 500 * n, () => cluster.users.submitRandomJob(n));
   cluster.time.at(20_000, () => cluster.store.startOutage(60_000));
   await cluster.runUntil(24_000);
   const [asked, asker] = cluster.nodes.map((n) => n.controller);
@@ -625,12 +625,12 @@
   for (const { name, apply, trouble: fault, breaks, day: played = directedDay } of removedGuards) {
     await t.test(name, async () => {
       const whole = await played(1, fault);
-      assert.deepEqual(whole.violations, [], 'with the guard in place');
+      assert.deepEqual(whole.rules.violations, [], 'with the guard in place');
       const restore = apply();
       try {
         const found: string[] = [];
         for (let seed = 1; seed <= 8 && !found.some((b) => breaks.test(b)); seed++) {
-          found.push(...(await played(seed, fault)).violations);
+          found.push(...(await played(seed, fault)).rules.violations);
         }
         assert.ok(
           found.some((b) => breaks.test(b)),
--- /dev/null
+++ b/test/cluster/virtual-cluster.ts
@@ -0,0 +1,190 @@
+import pino from 'pino';
+import { Controller } from '../../src/coordination/controller/controller';
+import { DEFAULT_POLICY } from '../../src/protocol/policy';
+import { parseSettings } from '../../src/protocol/settings';
+import { type StoreTransport } from '../../src/storage/state-store-client';
+import { settle, VirtualTime } from '../standin/clock';
+import { FakeCloud, type FakeWorker, type FleetHooks } from '../standin/fleet';
+import { FakeStateStore } from '../standin/store';
+import {
+  controllerIndex,
+  DEFAULT_OPTIONS,
+  HEARTBEAT_INTERVAL_MS,
+  LEASE_MS,
+  MACHINE_TYPES,
+  settingsOf,
+  teamsOf,
+  ZONES,
+  type VirtualClusterOptions,
+} from './cluster-options';
+import { emptyNode, type ControllerNode } from './controller-node';
+import { RandomSource } from './random-source';
+import { RuleChecker } from './rule-checker';
+import { SimulatedNetwork, type Endpoint } from './simulated-network';
+import { SimulatedUsers } from './simulated-users';
+import { SubmittedJobs } from './submitted-jobs';
+import { TaskDurations } from './task-durations';
+
+const LIST_LAG_MS = 3000;
+const BOOT_MS = 5000;
+const RULE_CHECK_INTERVAL_MS = 250;
+/** By how much the clocks of two neighbouring controllers differ. */
+const CLOCK_RATE_STEP = 0.0004;
+
+/** A few controllers in one process under virtual time, with users, workers, cloud and state service around. */
+export class VirtualCluster {
+  readonly time = new VirtualTime();
+  readonly store = new FakeStateStore(this.time);
+  readonly cloud: FakeCloud;
+  readonly nodes: ControllerNode[] = [];
+  readonly jobs = new SubmittedJobs();
+  readonly network: SimulatedNetwork;
+  readonly rules: RuleChecker;
+  readonly users: SimulatedUsers;
+  /** Leases that ran out on machines with tasks. */
+  expiredLeases = 0;
+  private readonly random: RandomSource;
+  private readonly durations: TaskDurations;
+  private processCount = 0;
+
+  constructor(
+    seed: number,
+    private readonly options: VirtualClusterOptions = DEFAULT_OPTIONS,
+  ) {
+    const { time, nodes, jobs } = this;
+    this.random = new RandomSource(seed);
+    this.durations = new TaskDurations(jobs, options.extraRunMs ?? 0);
+    this.network = new SimulatedNetwork(time, this.random, nodes);
+    this.cloud = new FakeCloud(
+      time,
+      this.fleetHooks(),
+      options.machineTypes ?? MACHINE_TYPES,
+      ZONES,
+      options.maxMachines,
+      LIST_LAG_MS,
+      BOOT_MS,
+    );
+    const { workers } = this.cloud;
+    this.rules = new RuleChecker(jobs, teamsOf(options), workers, () => time.now);
+    this.users = new SimulatedUsers({
+      time,
+      random: this.random,
+      nodes,
+      workers,
+      jobs,
+      rules: this.rules,
+      options,
+    });
+    this.addInitialMachines();
+    for (let index = 0; index < options.controllers; index++) {
+      nodes.push(emptyNode());
+      this.startController(index);
+    }
+    time.at(RULE_CHECK_INTERVAL_MS, () => this.checkPeriodically());
+  }
+
+  private fleetHooks(): FleetHooks {
+    return {
+      taskStarted: (worker, taskId) => this.taskStarted(worker, taskId),
+      taskCompleted: (taskId) => this.taskCompleted(taskId),
+      taskStopped: (taskId, ranMs, saved) => this.taskStopped(taskId, ranMs, saved),
+      leaseExpired: () => this.expiredLeases++,
+      runMs: (taskId) => this.durations.runMs(taskId),
+      checkpointMs: (taskId) => this.durations.checkpointMs(taskId),
+      imageFetchMs: (worker, taskId) => this.durations.imageFetchMs(worker, taskId, this.time.now),
+      deliver: (index, worker, heartbeat) => this.network.deliverHeartbeat(index, worker, heartbeat),
+      controllerIndex,
+      controllers: this.options.controllers,
+      heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
+      leaseMs: LEASE_MS,
+    };
+  }
+
+  private addInitialMachines(): void {
+    for (const { kind, count } of this.options.initialMachines ?? [{ kind: 'small', count: 3 }])
+      for (let i = 0; i < count; i++) this.cloud.addMachine(kind, i === 0 ? 'a' : 'b', false, 0);
+  }
+
+  private checkPeriodically(): void {
+    this.rules.checkCancelledJobs();
+    this.network.replayHeartbeats();
+    this.time.at(this.time.now + RULE_CHECK_INTERVAL_MS, () => this.checkPeriodically());
+  }
+
+  private taskStarted(worker: FakeWorker, taskId: string): void {
+    this.options.taskListener?.started(taskId, this.time.now);
+    this.rules.taskStarted(worker, taskId);
+  }
+
+  private taskCompleted(taskId: string): void {
+    this.jobs.completedTasks.add(taskId);
+    this.options.taskListener?.completed(taskId, this.time.now);
+    this.users.taskCompleted(taskId);
+  }
+
+  private taskStopped(taskId: string, ranMs: number, saved: boolean): void {
+    if (saved) this.durations.checkpointed(taskId, ranMs);
+    this.options.taskListener?.stopped(taskId, ranMs, saved);
+  }
+
+  /** A whole number from 0 to `bound` - 1. */
+  randomInt(bound: number): number {
+    return this.random.int(bound);
+  }
+
+  /** Starts a new process of this controller. */
+  startController(index: number): void {
+    const node = this.nodes[index] as ControllerNode;
+    node.up = true;
+    let process: Controller | null = null;
+    const isUp = (): boolean => node.up && node.controller === process;
+    process = this.newController({ node, index, isUp });
+    node.controller = process;
+    process.start();
+  }
+
+  private newController(endpoint: Endpoint): Controller {
+    const { node, index, isUp } = endpoint;
+    const { network, store, cloud } = this;
+    const storeTransport: StoreTransport = {
+      call: (method, path, body, timeoutMs) =>
+        network.requestStore(endpoint, path, timeoutMs, (refused) =>
+          store.request(method, path, body, refused),
+        ),
+    };
+    const cloudTransport: StoreTransport = {
+      call: (method, path, body, timeoutMs) =>
+        network.requestCloud(endpoint, timeoutMs, () => cloud.request(method, path, body)),
+    };
+    const clockRate = 1 + (index - 1) * CLOCK_RATE_STEP;
+    return new Controller(
+      parseSettings(settingsOf(index, this.options)),
+      DEFAULT_POLICY,
+      this.time.clock(isUp, clockRate, () => node.pausedUntil),
+      pino({ level: 'silent' }),
+      {
+        storeTransport,
+        watchTransport: storeTransport,
+        cloudTransport,
+        processIncarnation: `velodrome-${index}-${++this.processCount}`,
+        balancing: this.options.balancing?.(this.time.clock(isUp)) ?? null,
+        sendToPeer: (member, frame) => network.sendFrame(endpoint, controllerIndex(member), frame),
+      },
+    );
+  }
+
+  /** Ends a controller's process; another starts after so long. */
+  crash(index: number, downMs: number): void {
+    const node = this.nodes[index] as ControllerNode;
+    if (!node.up) return;
+    node.up = false;
+    node.controller = null;
+    this.time.at(this.time.now + downMs, () => this.startController(index));
+  }
+
+  /** Runs the cluster until this moment of virtual time. */
+  async runUntil(end: number): Promise<void> {
+    await settle();
+    await this.time.run(end);
+  }
+}
--- a/test/operations.test.ts
+++ b/test/operations.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Membership } from '../src/coordination/membership/membership';
-import { VirtualCluster } from './standin/world';
+import { VirtualCluster } from './cluster/virtual-cluster';
 
 type Node = VirtualCluster['nodes'][number];
 type Fault = (cluster: VirtualCluster) => void;
@@ -30,7 +30,7 @@
 /** Users cancel what runs, through whatever controller answers, during a silence and just after it. */
 function cancelDuringSilence(cluster: VirtualCluster): void {
   for (const afterMs of [500, 6000, 20_000, SILENCE_MS + 200])
-    cluster.time.at(cluster.time.now + afterMs, () => cluster.cancelRunningJobs(2));
+    cluster.time.at(cluster.time.now + afterMs, () => cluster.users.cancelRunningJobs(2));
 }
 
 function pauseProcess(cluster: VirtualCluster, node: Node): void {
@@ -75,9 +75,9 @@
     extraRunMs: 6000,
     zoneConstraints: true,
   });
-  cluster.faultsEndAt = FAULT_AT_MS + SILENCE_MS + 30_000;
+  cluster.users.faultsEndAt = FAULT_AT_MS + SILENCE_MS + 30_000;
   for (let n = 0; n < 28; n++)
-    cluster.time.at(2500 + cluster.randomInt(100_000), () => cluster.submitRandomJob(n));
+    cluster.time.at(2500 + cluster.randomInt(100_000), () => cluster.users.submitRandomJob(n));
   cluster.time.at(FAULT_AT_MS, () => {
     silence(cluster);
     cancelDuringSilence(cluster);
@@ -87,7 +87,7 @@
 }
 
 function unfinishedJobs(cluster: VirtualCluster): string[] {
-  return cluster.jobs.filter((job) => job.terminalStatus === null).map((job) => job.ref);
+  return cluster.jobs.list.filter((job) => job.terminalStatus === null).map((job) => job.ref);
 }
 
 test('a controller is silent for over a minute: rules kept, all work done', async (t) => {
@@ -95,7 +95,7 @@
     for (const seed of [1, 2]) {
       await t.test(`${name}, seed ${seed}`, async () => {
         const cluster = await silentDay(seed, silence);
-        assert.deepEqual(cluster.violations, []);
+        assert.deepEqual(cluster.rules.violations, []);
         assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
       });
     }
@@ -104,21 +104,21 @@
 
 test('the queue moves and users are answered while the leader stands still', async () => {
   const cluster = new VirtualCluster(3, { controllers: 3, maxMachines: 12, teamLimitFactor: 2 });
-  for (let n = 0; n < 20; n++) cluster.time.at(2500 + 4000 * n, () => cluster.submitRandomJob(n));
+  for (let n = 0; n < 20; n++) cluster.time.at(2500 + 4000 * n, () => cluster.users.submitRandomJob(n));
   cluster.time.at(FAULT_AT_MS, () => pauseProcess(cluster, leaderOf(cluster)));
   const settledMs = FAULT_AT_MS + 15_000;
   await cluster.runUntil(settledMs);
-  const before = cluster.completedTasks.size;
+  const before = cluster.jobs.completedTasks.size;
   const end = FAULT_AT_MS + SILENCE_MS - 1000;
   await cluster.runUntil(end);
   assert.ok(
-    cluster.completedTasks.size > before + 10,
-    `${cluster.completedTasks.size - before} tasks done in the silence`,
+    cluster.jobs.completedTasks.size > before + 10,
+    `${cluster.jobs.completedTasks.size - before} tasks done in the silence`,
   );
-  const open = cluster.jobs.filter((job) => job.accepted && job.terminalStatus === null);
+  const open = cluster.jobs.list.filter((job) => job.accepted && job.terminalStatus === null);
   const oldest = Math.min(end, ...open.map((job) => job.lastAnsweredAt));
   assert.ok(end - oldest < 20_000, `a job was last answered ${end - oldest} ms ago`);
-  assert.deepEqual(cluster.violations, []);
+  assert.deepEqual(cluster.rules.violations, []);
 });
 
 // Before it has heard or read anything anew: what it knew when it stopped entitles it to nothing.
@@ -129,7 +129,7 @@
     teamLimitFactor: 2,
     extraRunMs: 6000,
   });
-  for (let n = 0; n < 12; n++) cluster.time.at(2500 + 1500 * n, () => cluster.submitRandomJob(n));
+  for (let n = 0; n < 12; n++) cluster.time.at(2500 + 1500 * n, () => cluster.users.submitRandomJob(n));
   await cluster.runUntil(FAULT_AT_MS);
   const node = ownerOf(cluster);
   const { membership: member } = node.controller as unknown as { membership: Membership };
@@ -139,7 +139,7 @@
   assert.deepEqual([member.alive(), member.mayRenewLeases()], [false, false]);
   await cluster.runUntil(FAULT_AT_MS + SILENCE_MS + 20_000);
   assert.deepEqual([member.alive(), member.mayRenewLeases()], [true, true], 'it has joined anew');
-  assert.deepEqual(cluster.violations, []);
+  assert.deepEqual(cluster.rules.violations, []);
 });
 
 /** How machines that are rented during the trouble come up, `n` counting them. */
@@ -159,15 +159,15 @@
           teamLimitFactor: 2,
           extraRunMs: 3000,
         });
-        cluster.faultsEndAt = 140_000;
+        cluster.users.faultsEndAt = 140_000;
         let rented = 0;
         cluster.cloud.bootFactor = (): number => factor(rented++);
         cluster.time.at(100_000, () => (cluster.cloud.bootFactor = (): number => 1));
         for (let n = 0; n < 24; n++)
-          cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.submitRandomJob(n));
+          cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.users.submitRandomJob(n));
         cluster.time.at(45_000, () => cluster.crash(cluster.nodes.indexOf(leaderOf(cluster)), 3000));
         await cluster.runUntil(DAY_MS);
-        assert.deepEqual(cluster.violations, []);
+        assert.deepEqual(cluster.rules.violations, []);
         assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
         assert.ok(rented > 2, 'machines were rented');
         assert.equal(cluster.cloud.bootingCount, 0, 'none that never came up is still paid for');
@@ -186,9 +186,9 @@
         teamLimitFactor: 2,
         extraRunMs: 3000,
       });
-      cluster.faultsEndAt = 140_000;
+      cluster.users.faultsEndAt = 140_000;
       for (let n = 0; n < 24; n++)
-        cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.submitRandomJob(n));
+        cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.users.submitRandomJob(n));
       const hung = new Set<string>();
       for (const at of [20_000, 40_000, 60_000, 80_000])
         cluster.time.at(at, () => {
@@ -199,7 +199,7 @@
         });
       cluster.time.at(41_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 1000)));
       await cluster.runUntil(DAY_MS);
-      assert.deepEqual(cluster.violations, []);
+      assert.deepEqual(cluster.rules.violations, []);
       assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
       assert.ok(hung.size > 0);
       assert.deepEqual(
@@ -214,9 +214,9 @@
 // An empty value stays while its first write may still be carried out once more; it must not stay for good.
 test('values that hold no machine any more are swept away', async () => {
   const cluster = new VirtualCluster(5, { controllers: 3, maxMachines: 14, teamLimitFactor: 2 });
-  for (let n = 0; n < 24; n++) cluster.time.at(2500 + 4000 * n, () => cluster.submitRandomJob(n));
+  for (let n = 0; n < 24; n++) cluster.time.at(2500 + 4000 * n, () => cluster.users.submitRandomJob(n));
   await cluster.runUntil(DAY_MS);
-  assert.deepEqual(cluster.violations, []);
+  assert.deepEqual(cluster.rules.violations, []);
   const values = [...cluster.store.keys].filter(([key]) => key.startsWith('hb/fleet/'));
   const empty = values.filter(([, entry]) => (entry.v as unknown[]).length === 0);
   assert.ok(cluster.cloud.terminatedCount > 5, 'machines came and went');
@@ -232,17 +232,17 @@
         teamLimitFactor: 2,
         extraRunMs: 3000,
       });
-      cluster.faultsEndAt = 130_000;
+      cluster.users.faultsEndAt = 130_000;
       for (let n = 0; n < 24; n++)
-        cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.submitRandomJob(n));
-      cluster.time.at(25_000, () => (cluster.queryRateFactor = 8));
-      cluster.time.at(100_000, () => (cluster.queryRateFactor = 1));
+        cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.users.submitRandomJob(n));
+      cluster.time.at(25_000, () => (cluster.users.queryRateFactor = 8));
+      cluster.time.at(100_000, () => (cluster.users.queryRateFactor = 1));
       cluster.time.at(30_000, () => cluster.crash(cluster.nodes.indexOf(leaderOf(cluster)), 6000));
       cluster.time.at(45_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 2000 + 300 * i)));
       cluster.time.at(60_000, () => cluster.store.startOutage(20_000));
-      cluster.time.at(61_000, () => cluster.cancelRunningJobs(3));
+      cluster.time.at(61_000, () => cluster.users.cancelRunningJobs(3));
       await cluster.runUntil(DAY_MS);
-      assert.deepEqual(cluster.violations, []);
+      assert.deepEqual(cluster.rules.violations, []);
       assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
     });
   }
--- a/test/overlaps.test.ts
+++ b/test/overlaps.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { VirtualCluster } from './standin/world';
+import { VirtualCluster } from './cluster/virtual-cluster';
 
 type Fault = (cluster: VirtualCluster) => void;
 
@@ -37,64 +37,69 @@
 /** Troubles that meet, as the operators listed them; each is played twice a day. */
 const overlappingFaults: Record<string, Fault> = {
   'changes are made at once, their answers are lost, and others read them while users cancel': (cluster) => {
-    cluster.loseOneResponseIn = 3;
-    cluster.queryAllControllers = true;
-    for (const ms of [1000, 5000, 9000]) later(cluster, ms, () => cluster.cancelRunningJobs(3));
+    cluster.network.loseOneResponseIn = 3;
+    cluster.users.queryAllControllers = true;
+    for (const ms of [1000, 5000, 9000]) later(cluster, ms, () => cluster.users.cancelRunningJobs(3));
     later(cluster, 6000, () => cluster.crash(leaderIndex(cluster), 500));
-    later(cluster, 25_000, () => (cluster.loseOneResponseIn = 0));
-    later(cluster, 30_000, () => (cluster.queryAllControllers = false));
+    later(cluster, 25_000, () => (cluster.network.loseOneResponseIn = 0));
+    later(cluster, 30_000, () => (cluster.users.queryAllControllers = false));
   },
   'new machines are up at once and get work while writes lag, and the leader ends': (cluster) => {
     cluster.cloud.bootFactor = (): number => 0.05;
-    cluster.delayOneWriteIn = 3;
+    cluster.network.delayOneWriteIn = 3;
     for (const name of [...cluster.cloud.workers.keys()])
       if (cluster.randomInt(2) === 0) cluster.cloud.terminateMachine(name);
     for (const ms of [4000, 9000])
       later(cluster, ms, () => cluster.crash(leaderIndex(cluster), 300 + cluster.randomInt(3000)));
     later(cluster, 20_000, () => {
-      cluster.delayOneWriteIn = 0;
+      cluster.network.delayOneWriteIn = 0;
       cluster.cloud.bootFactor = (): number => 1;
     });
   },
   'old reports reach every controller just as a new leader begins': (cluster) => {
-    cluster.replayHeartbeatsToNextLeader = true;
+    cluster.network.replayHeartbeatsToNextLeader = true;
     for (const ms of [6000, 14_000]) later(cluster, ms, () => cluster.crash(leaderIndex(cluster), 1000));
     later(cluster, 20_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 800 + 100 * i)));
-    later(cluster, 30_000, () => (cluster.replayHeartbeatsToNextLeader = false));
+    later(cluster, 30_000, () => (cluster.network.replayHeartbeatsToNextLeader = false));
   },
   'jobs are cancelled in the seconds in which work changes hands': (cluster) => {
     const node = cluster.nodes[ownerIndex(cluster)] as VirtualCluster['nodes'][number];
     node.cutFromWorkers = true;
-    for (let ms = 3000; ms < 13_000; ms += 500) later(cluster, ms, () => cluster.cancelRunningJobs(1));
+    for (let ms = 3000; ms < 13_000; ms += 500) later(cluster, ms, () => cluster.users.cancelRunningJobs(1));
     later(cluster, 13_000, () => (node.cutFromWorkers = false));
     later(cluster, 14_000, () => cluster.crash(ownerIndex(cluster), 400));
-    for (let ms = 14_000; ms < 20_000; ms += 500) later(cluster, ms, () => cluster.cancelRunningJobs(1));
+    for (let ms = 14_000; ms < 20_000; ms += 500)
+      later(cluster, ms, () => cluster.users.cancelRunningJobs(1));
   },
   'users ask at all controllers within milliseconds of each answer while leaders change': (cluster) => {
-    cluster.queryAllControllers = true;
-    cluster.raceWithCompletion = true;
+    cluster.users.queryAllControllers = true;
+    cluster.users.raceWithCompletion = true;
     for (const ms of [3000, 10_000, 17_000])
       later(cluster, ms, () => cluster.crash(leaderIndex(cluster), 300));
-    for (const ms of [4000, 11_000, 18_000]) later(cluster, ms, () => cluster.cancelRunningJobs(2));
+    for (const ms of [4000, 11_000, 18_000]) later(cluster, ms, () => cluster.users.cancelRunningJobs(2));
     later(cluster, 12_000, () => cluster.store.startOutage(5000));
-    later(cluster, 30_000, () => (cluster.queryAllControllers = cluster.raceWithCompletion = false));
+    later(
+      cluster,
+      30_000,
+      () => (cluster.users.queryAllControllers = cluster.users.raceWithCompletion = false),
+    );
   },
   'machines come up late while an owner stands still and answers are lost': (cluster) => {
     cluster.cloud.bootFactor = (): number => (cluster.randomInt(2) === 0 ? Infinity : 3);
-    cluster.loseOneResponseIn = 4;
+    cluster.network.loseOneResponseIn = 4;
     (cluster.nodes[ownerIndex(cluster)] as VirtualCluster['nodes'][number]).pausedUntil =
       cluster.time.now + 30_000;
-    later(cluster, 1000, () => cluster.cancelRunningJobs(4));
+    later(cluster, 1000, () => cluster.users.cancelRunningJobs(4));
     later(cluster, 31_000, () => cluster.crash(leaderIndex(cluster), 400));
     later(cluster, 35_000, () => {
-      cluster.loseOneResponseIn = 0;
+      cluster.network.loseOneResponseIn = 0;
       cluster.cloud.bootFactor = (): number => 1;
     });
   },
 };
 
 function unfinishedJobs(cluster: VirtualCluster): string[] {
-  return cluster.jobs.filter((job) => job.terminalStatus === null).map((job) => job.ref);
+  return cluster.jobs.list.filter((job) => job.terminalStatus === null).map((job) => job.ref);
 }
 
 test('troubles that overlap: no rule is broken, and all work is done', async (t) => {
@@ -108,12 +113,12 @@
           extraRunMs: 4000,
           zoneConstraints: true,
         });
-        cluster.faultsEndAt = 135_000;
+        cluster.users.faultsEndAt = 135_000;
         for (let n = 0; n < 32; n++)
-          cluster.time.at(2500 + cluster.randomInt(80_000), () => cluster.submitRandomJob(n));
+          cluster.time.at(2500 + cluster.randomInt(80_000), () => cluster.users.submitRandomJob(n));
         for (const at of [25_000, 78_000]) cluster.time.at(at, () => fault(cluster));
         await cluster.runUntil(DAY_MS);
-        assert.deepEqual(cluster.violations, []);
+        assert.deepEqual(cluster.rules.violations, []);
         assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
       });
     }
@@ -122,18 +127,19 @@
 
 test('jobs of one task come four a second for minutes, a quarter of them cancelled, and the leader ends', async () => {
   const cluster = new VirtualCluster(7, { controllers: 3, maxMachines: 16, teamLimitFactor: 4 });
-  cluster.faultsEndAt = 150_000;
+  cluster.users.faultsEndAt = 150_000;
   for (let n = 0; n < 400; n++) {
-    cluster.time.at(3000 + 250 * n, () => cluster.submitRandomJob(n, 1));
-    if (n % 4 === 0) cluster.time.at(3000 + 250 * n + cluster.randomInt(6000), () => cluster.cancelJob(n));
+    cluster.time.at(3000 + 250 * n, () => cluster.users.submitRandomJob(n, 1));
+    if (n % 4 === 0)
+      cluster.time.at(3000 + 250 * n + cluster.randomInt(6000), () => cluster.users.cancelJob(n));
   }
   for (const at of [30_000, 60_000, 61_000])
     cluster.time.at(at, () => cluster.crash(leaderIndex(cluster), 500));
   await cluster.runUntil(DAY_MS);
-  assert.deepEqual(cluster.violations, []);
+  assert.deepEqual(cluster.rules.violations, []);
   assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
   assert.ok(
-    cluster.jobs.filter((job) => job.terminalStatus === 'aborted').length > 20,
+    cluster.jobs.list.filter((job) => job.terminalStatus === 'aborted').length > 20,
     'some were cancelled in time',
   );
 });
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -1,7 +1,8 @@
 import prand from 'pure-rand';
 import { balancerSettingsSchema, coefficientOfVariation } from '@heathbridge/load-balancer';
 import { loadBalancing } from '../../src/coordination/balancing/load-balancing';
-import { VirtualCluster, type JobShape, type TaskListener } from './world';
+import { type JobShape, type TaskListener } from '../cluster/cluster-options';
+import { VirtualCluster } from '../cluster/virtual-cluster';
 
 /** A virtual day with skewed load, as it is measured and tested with and without balancing. */
 export interface BalanceDayOptions {
@@ -56,18 +57,18 @@
 class StartDelays implements TaskListener {
   readonly byPriority = new Map<string, number[]>();
   repeatedWorkS = 0;
-  private readonly jobs = new Map<string, { urgency: string; at: number }>();
+  private readonly jobs = new Map<string, { priority: string; at: number }>();
   private readonly begun = new Set<string>();
 
-  submitted(ref: string, { urgency }: JobShape, at: number): void {
-    this.jobs.set(ref, { urgency, at });
+  submitted(ref: string, { priority }: JobShape, at: number): void {
+    this.jobs.set(ref, { priority, at });
   }
 
-  started(piece: string, at: number): void {
-    const job = this.jobs.get(piece.split('/')[0] ?? '');
-    if (!job || this.begun.has(piece)) return;
-    this.begun.add(piece);
-    this.byPriority.set(job.urgency, [...(this.byPriority.get(job.urgency) ?? []), (at - job.at) / 1000]);
+  started(taskId: string, at: number): void {
+    const job = this.jobs.get(taskId.split('/')[0] ?? '');
+    if (!job || this.begun.has(taskId)) return;
+    this.begun.add(taskId);
+    this.byPriority.set(job.priority, [...(this.byPriority.get(job.priority) ?? []), (at - job.at) / 1000]);
   }
 
   completed(): void {
@@ -83,27 +84,34 @@
 function submitJobs(cluster: VirtualCluster, { seed, machines, minutes }: BalanceDayOptions): void {
   const random = prand.xoroshiro128plus(seed);
   const pick = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
-  const small = { cpus: 1, build: 'img-0', imageGb: 1, checkpointS: 10, saveS: 1 };
+  const small = { cpus: 1, image: 'img-0', imageGb: 1, checkpointIntervalS: 10, checkpointDurationS: 1 };
   let n = 0;
   for (let at = SETTLE_MS; at < minutes * 60_000; at += 10_000) {
     const doubled = at > minutes * 20_000 && at < minutes * 40_000;
-    for (const crew of ['north', 'south']) {
-      const most = Math.round(machines * (doubled && crew === 'north' ? 0.25 : 0.125));
+    for (const team of ['north', 'south']) {
+      const most = Math.round(machines * (doubled && team === 'north' ? 0.25 : 0.125));
       const runMs = 40_000 + pick(240_000);
       const expectedS = (runMs / 1000) * (0.5 + pick(100) / 100);
-      const shape = { ...small, crew, pieces: 1 + pick(most), urgency: 'idle', runMs, expectedS };
-      cluster.time.at(at + pick(5000), () => cluster.submitJob(++n, shape));
+      const shape = { ...small, team, tasks: 1 + pick(most), priority: 'idle', runMs, expectedS };
+      cluster.time.at(at + pick(5000), () => cluster.users.submitJob(++n, shape));
     }
-    const large = { crew: 'west', cpus: 4, build: 'img-1', imageGb: 2, checkpointS: 0, saveS: 0 };
-    const shape = { ...large, pieces: 1 + pick(2), urgency: 'urgent', runMs: 8000, expectedS: 8 };
-    cluster.time.at(at + pick(5000), () => cluster.submitJob(++n, shape));
+    const large = {
+      team: 'west',
+      cpus: 4,
+      image: 'img-1',
+      imageGb: 2,
+      checkpointIntervalS: 0,
+      checkpointDurationS: 0,
+    };
+    const shape = { ...large, tasks: 1 + pick(2), priority: 'urgent', runMs: 8000, expectedS: 8 };
+    cluster.time.at(at + pick(5000), () => cluster.users.submitJob(++n, shape));
   }
 }
 
 function usedCpus(cluster: VirtualCluster): number[] {
   return [...cluster.cloud.workers.values()].map((worker) =>
     [...worker.tasks.keys()].reduce(
-      (sum, piece) => sum + (worker.executes(piece) ? cluster.cpusOfTask(piece) : 0),
+      (sum, taskId) => sum + (worker.executes(taskId) ? cluster.jobs.cpusOfTask(taskId) : 0),
       0,
     ),
   );
@@ -140,9 +148,9 @@
   const sum = (key: 'planned' | 'completed' | 'abandoned'): number =>
     (fleet?.partitions ?? []).reduce((total, { summary }) => total + summary.moves[key], 0);
   return {
-    violations: cluster.violations,
-    jobs: cluster.jobs.length,
-    finished: cluster.jobs.filter((job) => cluster.isComplete(job.ref)).length,
+    violations: cluster.rules.violations,
+    jobs: cluster.jobs.list.length,
+    finished: cluster.jobs.list.filter((job) => cluster.jobs.incompleteTasks(job).length === 0).length,
     startDelays: startDelays.byPriority,
     spread,
     moves: { planned: sum('planned'), completed: sum('completed'), abandoned: sum('abandoned') },
