--- a/test/overlaps.test.ts
+++ b/test/cluster/overlapping-faults.test.ts
@@ -1,39 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { VirtualCluster } from './cluster/virtual-cluster';
-
-type Fault = (cluster: VirtualCluster) => void;
-
-interface Status {
-  leading: boolean;
-  partitions: object[];
-}
+import { VirtualCluster } from './virtual-cluster';
+import { later, leaderIndex, ownerIndex, ownerNode, type Fault } from './faults';
 
 const DAY_MS = 340_000;
 
-function statusOf(cluster: VirtualCluster, i: number): Status | undefined {
-  const node = cluster.nodes[i];
-  return node?.up ? (node.controller?.status() as Status | undefined) : undefined;
-}
-
-function leaderIndex(cluster: VirtualCluster): number {
-  return Math.max(
-    0,
-    cluster.nodes.findIndex((_, i) => statusOf(cluster, i)?.leading),
-  );
-}
-
-function ownerIndex(cluster: VirtualCluster): number {
-  return Math.max(
-    0,
-    cluster.nodes.findIndex((_, i) => (statusOf(cluster, i)?.partitions.length ?? 0) > 0),
-  );
-}
-
-function later(cluster: VirtualCluster, ms: number, action: () => void): void {
-  cluster.time.at(cluster.time.now + ms, action);
-}
-
 /** Troubles that meet, as the operators listed them; each is played twice a day. */
 const overlappingFaults: Record<string, Fault> = {
   'changes are made at once, their answers are lost, and others read them while users cancel': (cluster) => {
@@ -63,7 +34,7 @@
     later(cluster, 30_000, () => (cluster.network.replayHeartbeatsToNextLeader = false));
   },
   'jobs are cancelled in the seconds in which work changes hands': (cluster) => {
-    const node = cluster.nodes[ownerIndex(cluster)] as VirtualCluster['nodes'][number];
+    const node = ownerNode(cluster);
     node.cutFromWorkers = true;
     for (let ms = 3000; ms < 13_000; ms += 500) later(cluster, ms, () => cluster.users.cancelRunningJobs(1));
     later(cluster, 13_000, () => (node.cutFromWorkers = false));
@@ -87,8 +58,7 @@
   'machines come up late while an owner stands still and answers are lost': (cluster) => {
     cluster.cloud.bootFactor = (): number => (cluster.randomInt(2) === 0 ? Infinity : 3);
     cluster.network.loseOneResponseIn = 4;
-    (cluster.nodes[ownerIndex(cluster)] as VirtualCluster['nodes'][number]).pausedUntil =
-      cluster.time.now + 30_000;
+    ownerNode(cluster).pausedUntil = cluster.time.now + 30_000;
     later(cluster, 1000, () => cluster.users.cancelRunningJobs(4));
     later(cluster, 31_000, () => cluster.crash(leaderIndex(cluster), 400));
     later(cluster, 35_000, () => {
@@ -98,10 +68,6 @@
   },
 };
 
-function unfinishedJobs(cluster: VirtualCluster): string[] {
-  return cluster.jobs.list.filter((job) => job.terminalStatus === null).map((job) => job.ref);
-}
-
 test('troubles that overlap: no rule is broken, and all work is done', async (t) => {
   for (const [name, fault] of Object.entries(overlappingFaults)) {
     for (const seed of [1, 2, 3]) {
@@ -119,27 +85,8 @@
         for (const at of [25_000, 78_000]) cluster.time.at(at, () => fault(cluster));
         await cluster.runUntil(DAY_MS);
         assert.deepEqual(cluster.rules.violations, []);
-        assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
+        assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
       });
     }
   }
 });
-
-test('jobs of one task come four a second for minutes, a quarter of them cancelled, and the leader ends', async () => {
-  const cluster = new VirtualCluster(7, { controllers: 3, maxMachines: 16, teamLimitFactor: 4 });
-  cluster.users.faultsEndAt = 150_000;
-  for (let n = 0; n < 400; n++) {
-    cluster.time.at(3000 + 250 * n, () => cluster.users.submitRandomJob(n, 1));
-    if (n % 4 === 0)
-      cluster.time.at(3000 + 250 * n + cluster.randomInt(6000), () => cluster.users.cancelJob(n));
-  }
-  for (const at of [30_000, 60_000, 61_000])
-    cluster.time.at(at, () => cluster.crash(leaderIndex(cluster), 500));
-  await cluster.runUntil(DAY_MS);
-  assert.deepEqual(cluster.rules.violations, []);
-  assert.deepEqual(unfinishedJobs(cluster), [], 'unfinished jobs');
-  assert.ok(
-    cluster.jobs.list.filter((job) => job.terminalStatus === 'aborted').length > 20,
-    'some were cancelled in time',
-  );
-});
