--- a/test/cluster/cluster-options.ts
+++ b/test/cluster/cluster-options.ts
@@ -1,6 +1,6 @@
 import { type Balancing } from '../../src/coordination/balancing/balancing';
 import { type Clock } from '../../src/transport/clock';
-import { type FakeMachineType } from '../standin/fleet';
+import { type FakeMachineType } from '../standin/fake-cloud';
 
 /** What a job asks for where it is not left to chance. */
 export interface JobShape {
--- a/test/cluster/faults.ts
+++ b/test/cluster/faults.ts
@@ -1,6 +1,6 @@
 /** Faults that tests inject into a virtual cluster, and how they find whom to hit. */
 import { VirtualCluster } from './virtual-cluster';
-import { type FakeWorker } from '../standin/fleet';
+import { type FakeWorker } from '../standin/fake-worker';
 import { type ControllerNode } from './controller-node';
 
 /** What the faults need to know of a controller's status. */
--- a/test/cluster/rule-checker.ts
+++ b/test/cluster/rule-checker.ts
@@ -1,4 +1,4 @@
-import { type FakeWorker } from '../standin/fleet';
+import { type FakeWorker } from '../standin/fake-worker';
 import { CANCEL_BOUND_MS, type TeamSettings } from './cluster-options';
 import { type SubmittedJobs, type UserJob } from './submitted-jobs';
 
--- a/test/cluster/simulated-network.ts
+++ b/test/cluster/simulated-network.ts
@@ -1,7 +1,7 @@
 import { heartbeatResponse, parseHeartbeat, redirectResponse } from '../../src/protocol/workers';
 import type { HttpResponse } from '../../src/transport/http-client';
 import { type VirtualTime } from '../standin/clock';
-import { type FakeWorker } from '../standin/fleet';
+import { type FakeWorker } from '../standin/fake-worker';
 import { isLeading, type ControllerNode } from './controller-node';
 import { type RandomSource } from './random-source';
 
--- a/test/cluster/simulated-users.ts
+++ b/test/cluster/simulated-users.ts
@@ -1,7 +1,7 @@
 import { type Controller } from '../../src/coordination/controller/controller';
 import { type ApiResponse } from '../../src/coordination/requests/job-service';
 import { type VirtualTime } from '../standin/clock';
-import { type FakeWorker } from '../standin/fleet';
+import { type FakeWorker } from '../standin/fake-worker';
 import { TEAMS, type JobShape, type TeamSettings, type VirtualClusterOptions } from './cluster-options';
 import { type ControllerNode } from './controller-node';
 import { type RandomSource } from './random-source';
--- a/test/cluster/task-durations.ts
+++ b/test/cluster/task-durations.ts
@@ -1,4 +1,4 @@
-import { type FakeWorker } from '../standin/fleet';
+import { type FakeWorker } from '../standin/fake-worker';
 import { type SubmittedJobs } from './submitted-jobs';
 
 /** Time that the image of a job without a shape takes. */
--- a/test/cluster/virtual-cluster.ts
+++ b/test/cluster/virtual-cluster.ts
@@ -4,7 +4,8 @@
 import { parseSettings } from '../../src/protocol/settings';
 import { type StoreTransport } from '../../src/storage/state-store-client';
 import { settle, VirtualTime } from '../standin/clock';
-import { FakeCloud, type FakeWorker, type FleetHooks } from '../standin/fleet';
+import { FakeCloud } from '../standin/fake-cloud';
+import { type FakeWorker, type FleetHooks } from '../standin/fake-worker';
 import { FakeStateStore } from '../standin/store';
 import {
   controllerIndex,
@@ -55,15 +56,15 @@
     this.random = new RandomSource(seed);
     this.durations = new TaskDurations(jobs, options.extraRunMs ?? 0);
     this.network = new SimulatedNetwork(time, this.random, nodes);
-    this.cloud = new FakeCloud(
+    this.cloud = new FakeCloud({
       time,
-      this.fleetHooks(),
-      options.machineTypes ?? MACHINE_TYPES,
-      ZONES,
-      options.maxMachines,
-      LIST_LAG_MS,
-      BOOT_MS,
-    );
+      hooks: this.fleetHooks(),
+      machineTypes: options.machineTypes ?? MACHINE_TYPES,
+      zones: ZONES,
+      maxMachines: options.maxMachines,
+      listLagMs: LIST_LAG_MS,
+      bootMs: BOOT_MS,
+    });
     const { workers } = this.cloud;
     this.rules = new RuleChecker(jobs, teamsOf(options), workers, () => time.now);
     this.users = new SimulatedUsers({
--- a/test/loopback-balance.test.ts
+++ b/test/loopback-balance.test.ts
@@ -6,7 +6,7 @@
 import { coefficientOfVariation } from '@heathbridge/load-balancer';
 import { balance } from '../src/cli/balance-command';
 import { EXIT_CODES } from '../src/cli/client';
-import { type FakeWorker } from './standin/fleet';
+import { type FakeWorker } from './standin/fake-worker';
 import { LoopbackCluster } from './standin/loopback';
 
 const FEATURES = `
--- /dev/null
+++ b/test/standin/fake-cloud.ts
@@ -0,0 +1,174 @@
+import type { HttpResponse } from '../../src/transport/http-client';
+import type { SimulatedTime } from './clock';
+import { FakeWorker, type FleetHooks } from './fake-worker';
+
+/** Machines on a page of the list unless said otherwise: what one page shows may have changed by the next. */
+const DEFAULT_PAGE_MACHINES = 4;
+
+/** A machine type that the cloud has. */
+export interface FakeMachineType {
+  label: string;
+  cpus: number;
+  /** In GB. */
+  memory: number;
+}
+
+/** What a fake cloud has, and how slow it is. */
+export interface FakeCloudOptions {
+  time: SimulatedTime;
+  hooks: FleetHooks;
+  machineTypes: readonly FakeMachineType[];
+  zones: readonly string[];
+  maxMachines: number;
+  /** The list of machines shows how things stood so long ago. */
+  listLagMs: number;
+  bootMs: number;
+  pageMachines?: number;
+}
+
+/** A machine as the cloud's answers describe it. */
+interface WireMachine {
+  model: string;
+  yard: string;
+  loaners: boolean;
+}
+
+interface ProvisionBody extends WireMachine {
+  hire_order: string;
+  how_many: number;
+}
+
+interface WireMachineRow extends WireMachine {
+  ref: string;
+  address: string;
+  status: string;
+  age_s: number;
+}
+
+/** Stands in for the cloud: provisions machines, lists them late, takes them back. */
+export class FakeCloud {
+  readonly workers = new Map<string, FakeWorker>();
+  /** All requests get 503. */
+  unavailable = false;
+  /** How many machines were taken or given back. */
+  terminatedCount = 0;
+  private readonly booting = new Map<string, WireMachine>();
+  private readonly provisionedAt = new Map<string, number>();
+  private readonly provisionedByRequest = new Map<string, string[]>();
+  private readonly lists: { at: number; rows: WireMachineRow[] }[] = [];
+  private count = 0;
+  private closed = false;
+
+  constructor(private readonly options: FakeCloudOptions) {}
+
+  /** How many times as long as usual machines provisioned now take to boot; Infinity: they never come up. */
+  bootFactor = (): number => 1;
+
+  machineType(label: string): FakeMachineType {
+    return this.options.machineTypes.find((type) => type.label === label) as FakeMachineType;
+  }
+
+  /** Adds a machine that is up after `bootMs`; returns its name. */
+  addMachine(type: string, zone: string, spot: boolean, bootMs: number): string {
+    const { time, hooks } = this.options;
+    const name = `i-${String(this.count++).padStart(6, '0')}`;
+    this.booting.set(name, { model: type, yard: zone, loaners: spot });
+    this.provisionedAt.set(name, time.now);
+    if (bootMs === Infinity) return name;
+    time.at(time.now + bootMs, () => {
+      if (!this.booting.delete(name) || this.closed) return;
+      this.workers.set(name, new FakeWorker(time, hooks, { name, type, zone, spot }));
+    });
+    return name;
+  }
+
+  /** Machines that are paid for and not up. */
+  get bootingCount(): number {
+    return this.booting.size;
+  }
+
+  terminateMachine(name: string): void {
+    this.terminatedCount++;
+    this.workers.get(name)?.terminate();
+    this.workers.delete(name);
+    this.booting.delete(name);
+  }
+
+  /** Ends all machines, those that still boot included, and lets none up any more. */
+  close(): void {
+    this.closed = true;
+    for (const name of [...this.workers.keys(), ...this.booting.keys()]) this.terminateMachine(name);
+  }
+
+  request(method: string, path: string, body: unknown): Promise<HttpResponse> {
+    if (this.unavailable) return respond(503, { error: 'trouble' });
+    if (path === '/catalog') return this.catalog();
+    if (path === '/rentals/return') return this.deprovision(body as { velodromes: string[] });
+    if (method === 'POST') return this.provision(body as ProvisionBody);
+    return this.list(/from=([^&]*)/.exec(path)?.[1] ?? '');
+  }
+
+  private catalog(): Promise<HttpResponse> {
+    const { machineTypes, bootMs, zones } = this.options;
+    const models = machineTypes.map(({ label, cpus, memory }) => ({
+      label,
+      cpus,
+      accelerators: 0,
+      memory_gb: memory,
+      local_gb: 50,
+      fetch_gb_per_s: 1,
+      rate: cpus * 0.05,
+      spot_price: cpus * 0.02,
+      ready_s: bootMs / 1000,
+      yards: zones,
+    }));
+    return respond(200, { models });
+  }
+
+  private deprovision({ velodromes: names }: { velodromes: string[] }): Promise<HttpResponse> {
+    for (const name of names) this.terminateMachine(name);
+    return respond(200, {});
+  }
+
+  /** The same request once more gets the same machines. */
+  private provision(body: ProvisionBody): Promise<HttpResponse> {
+    const repeated = this.provisionedByRequest.get(body.hire_order);
+    if (repeated) return respond(200, { velodromes: repeated });
+    const available = this.options.maxMachines - this.workers.size - this.booting.size;
+    if (available <= 0) return respond(503, { error: 'no capacity' });
+    const names: string[] = [];
+    for (let i = 0; i < Math.min(available, body.how_many); i++) {
+      const bootMs = this.options.bootMs * this.bootFactor();
+      names.push(this.addMachine(body.model, body.yard, body.loaners, bootMs));
+    }
+    this.provisionedByRequest.set(body.hire_order, names);
+    return respond(200, { velodromes: names });
+  }
+
+  /** A page of the list as it was some time ago. */
+  private list(from: string): Promise<HttpResponse> {
+    const { time, listLagMs, pageMachines = DEFAULT_PAGE_MACHINES } = this.options;
+    this.lists.push({ at: time.now, rows: this.machineRows() });
+    const shown = this.lists.filter(({ at }) => at <= time.now - listLagMs).pop();
+    const after = (shown?.rows ?? []).filter(({ ref }) => ref > from);
+    const page = after.slice(0, pageMachines);
+    return respond(200, { velodromes: page, truncated: after.length > page.length });
+  }
+
+  private machineRows(): WireMachineRow[] {
+    const running = [...this.workers].map(([name, { type, zone, spot }]) =>
+      this.machineRow(name, { model: type, yard: zone, loaners: spot }, 'running'),
+    );
+    const booting = [...this.booting].map(([name, machine]) => this.machineRow(name, machine, 'booting'));
+    return [...running, ...booting].sort((a, b) => (a.ref < b.ref ? -1 : 1));
+  }
+
+  private machineRow(ref: string, machine: WireMachine, status: string): WireMachineRow {
+    const ageMs = this.options.time.now - (this.provisionedAt.get(ref) ?? 0);
+    return { ref, address: '10.1.0.1:9000', ...machine, status, age_s: ageMs / 1000 };
+  }
+}
+
+function respond(status: number, content: unknown): Promise<HttpResponse> {
+  return Promise.resolve({ status, body: JSON.parse(JSON.stringify(content)) as unknown });
+}
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -5,7 +5,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { type HttpResponse } from '../../src/transport/http-client';
-import { FakeCloud, type FleetHooks, type FakeWorker } from './fleet';
+import { FakeCloud } from './fake-cloud';
+import { type FleetHooks, type FakeWorker } from './fake-worker';
 import { sendRequest, serveFake } from './http-front';
 import { RealTime } from './real-time';
 import { FakeStateStore } from './store';
@@ -61,16 +62,16 @@
       heartbeatIntervalMs: options.heartbeatIntervalMs,
       leaseMs: options.leaseMs,
     };
-    this.cloud = new FakeCloud(
-      this.time,
+    this.cloud = new FakeCloud({
+      time: this.time,
       hooks,
-      [MACHINE_TYPE],
-      ['a', 'b'],
-      options.machines,
-      LIST_LAG_MS,
-      BOOT_MS,
-      PAGE_SIZE,
-    );
+      machineTypes: [MACHINE_TYPE],
+      zones: ['a', 'b'],
+      maxMachines: options.machines,
+      listLagMs: LIST_LAG_MS,
+      bootMs: BOOT_MS,
+      pageMachines: PAGE_SIZE,
+    });
     for (let i = 0; i < options.machines; i++) this.cloud.addMachine(MACHINE_TYPE.label, 'a', true, 0);
   }
 
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -9,7 +9,8 @@
 import { join } from 'node:path';
 import { Command } from 'commander';
 import { type HttpResponse } from '../../src/transport/http-client';
-import { FakeCloud, type FleetHooks, type FakeWorker } from '../../test/standin/fleet';
+import { FakeCloud } from '../../test/standin/fake-cloud';
+import { type FleetHooks, type FakeWorker } from '../../test/standin/fake-worker';
 import { FakeStateStore } from '../../test/standin/store';
 import { attribute } from './attribution';
 import { sendRequest, serveFake } from '../../test/standin/http-front';
@@ -93,16 +94,16 @@
       leaseMs: LEASE_MS,
     };
     const zones = ['a', 'b'];
-    this.cloud = new FakeCloud(
-      this.time,
+    this.cloud = new FakeCloud({
+      time: this.time,
       hooks,
-      [MACHINE_KIND],
+      machineTypes: [MACHINE_KIND],
       zones,
-      machines,
-      LIST_LAG_MS,
-      BOOT_MS,
-      PAGE_ENTRY_COUNT,
-    );
+      maxMachines: machines,
+      listLagMs: LIST_LAG_MS,
+      bootMs: BOOT_MS,
+      pageMachines: PAGE_ENTRY_COUNT,
+    });
     for (let i = 0; i < machines; i++)
       this.cloud.addMachine(MACHINE_KIND.label, zones[i % 2] as string, true, 0);
     const sendUserRequest = (path: string, body: object, method: string): Promise<HttpResponse | null> => {
