--- a/test/cluster/lease-extension-requests.test.ts
+++ b/test/cluster/lease-extension-requests.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Membership } from '../../src/coordination/membership/membership';
-import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-codec';
 import { VirtualCluster } from './virtual-cluster';
 import { type ControllerStatus } from './faults';
 
--- a/test/cluster/virtual-cluster.ts
+++ b/test/cluster/virtual-cluster.ts
@@ -2,7 +2,7 @@
 import { Controller } from '../../src/coordination/controller/controller';
 import { DEFAULT_POLICY } from '../../src/protocol/policy';
 import { parseSettings } from '../../src/protocol/settings';
-import { type StoreTransport } from '../../src/storage/state-store-client';
+import { type StoreTransport } from '../../src/storage/store-connection';
 import { settle, VirtualTime } from '../standin/clock';
 import { FakeCloud } from '../standin/fake-cloud';
 import { type FakeWorker, type FleetHooks } from '../standin/fake-worker';
