--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -167,7 +167,7 @@
     if (event.kind === 'members') return;
     for (const partition of this.partitions.values()) {
       const { core } = partition;
-      if (event.kind === 'gone') partition.send({ kind: 'machine', id: event.id, entry: null });
+      if (event.kind === 'machine-removed') partition.send({ kind: 'machine', id: event.id, entry: null });
       else if (event.kind === 'machine') {
         const here = event.entry.record.partition === core.id;
         partition.send({ kind: 'machine', id: event.id, entry: here ? event.entry : null });
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -48,7 +48,7 @@
     private readonly log: Log,
   ) {
     replica.events.subscribe((event) => {
-      if (event.kind === 'gone') this.removed.add(event.id);
+      if (event.kind === 'machine-removed') this.removed.add(event.id);
       else if (event.kind === 'machine') this.removed.delete(event.id);
     });
   }
--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -53,7 +53,7 @@
     for (const [id, { key, partition }] of this.unplaced) {
       if (this.machines.get(id)?.key !== key || this.fleets.get(key)?.has(id)) continue;
       this.machines.delete(id);
-      this.events.next({ kind: 'gone', id, partition });
+      this.events.next({ kind: 'machine-removed', id, partition });
     }
     this.unplaced.clear();
   }
--- a/src/storage/replica-events.ts
+++ b/src/storage/replica-events.ts
@@ -11,10 +11,10 @@
   state: JobState;
 }
 
-/** What changed in the replica; `gone`: no value holds the machine any more. */
+/** What changed in the replica; `machine-removed`: no value holds the machine any more. */
 export type ReplicaEvent =
   | { kind: 'job'; job: StoredJob }
   | { kind: 'closed'; job: StoredJob }
   | { kind: 'machine'; id: string; entry: FleetEntry }
-  | { kind: 'gone'; id: string; partition: string }
+  | { kind: 'machine-removed'; id: string; partition: string }
   | { kind: 'members' };
--- a/test/replica-view.test.ts
+++ b/test/replica-view.test.ts
@@ -56,7 +56,7 @@
     );
     this.replica = new ReplicaView(ledger.replica, log);
     this.replica.events.subscribe((e) => {
-      if (e.kind === 'machine' || e.kind === 'gone') this.events.push(`${e.kind} ${e.id}`);
+      if (e.kind === 'machine' || e.kind === 'machine-removed') this.events.push(`${e.kind} ${e.id}`);
       else if (e.kind !== 'members') this.events.push(`${e.kind} ${e.job.spec.ref} ${e.job.state}`);
     });
   }
@@ -184,7 +184,12 @@
         assert.deepEqual(harness.events, []);
         assert.equal(harness.replica.machines.size, 4);
         harness.remove(keys.fleet('p0', 'x'));
-        assert.deepEqual(harness.events, ['gone i-1', 'gone i-2', 'gone i-3', 'gone i-4']);
+        assert.deepEqual(harness.events, [
+          'machine-removed i-1',
+          'machine-removed i-2',
+          'machine-removed i-3',
+          'machine-removed i-4',
+        ]);
       },
     ],
     [
