--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -67,7 +67,8 @@
 
 /**
  * All of this controller's dealings with the state store: transactions, reads, session leases, and a replica of every key.
- * Requests stay within the store's rates, most urgent first. No method rejects: what can go wrong is part of the results.
+ * Requests stay within the store's rates, most urgent first. What can go wrong with a request is part of its result; a method
+ * rejects only for a key that holds characters which a path cannot.
  */
 export class StateStoreClient {
   readonly replica: StoreReplica;
--- a/src/storage/store-connection.ts
+++ b/src/storage/store-connection.ts
@@ -64,7 +64,7 @@
     this.lastOkAt = this.clock.steady();
   }
 
-  /** Sends one request. Never rejects. */
+  /** Sends one request. Rejects only if the transport does: the HTTP client for a path that holds unescaped characters. */
   async send({ method, path, body, priority, withinMs, writes = 0 }: StoreRequest): Promise<StoreOutcome> {
     const deadline = this.clock.steady() + withinMs;
     for (;;) {
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -30,6 +30,7 @@
   private readonly idleConnections: Connection[] = [];
   private readonly openConnections = new Set<Connection>();
   private readonly pendingCalls: PendingCall[] = [];
+  private closed = false;
 
   constructor(
     private readonly address: string,
@@ -40,8 +41,10 @@
     this.port = Number(address.slice(colon + 1));
   }
 
-  /** Ends all connections; requests under way resolve to null. Kept connections would keep the process alive. */
+  /** Ends all connections, which would keep the process alive; requests under way and later ones resolve to null. */
   close(): void {
+    this.closed = true;
+    for (const call of this.pendingCalls.splice(0)) call.finish(null);
     for (const connection of this.openConnections) connection.destroy();
   }
 
@@ -55,6 +58,7 @@
     if (!SAFE_PATH_PATTERN.test(path)) {
       return Promise.reject(new TypeError(`path holds unescaped characters: ${path}`));
     }
+    if (this.closed) return Promise.resolve(null);
     return new Promise((resolve) => {
       const call: PendingCall = {
         text: this.requestText(method, path, body),
--- a/test/closing.test.ts
+++ b/test/closing.test.ts
@@ -6,6 +6,7 @@
 import { RequestPriority, RequestQueue } from '../src/storage/request-queue';
 import { StateStoreClient } from '../src/storage/state-store-client';
 import { schedulePeriodic, systemClock } from '../src/transport/clock';
+import { HttpClient } from '../src/transport/http-client';
 import { listenForPeers, PeerLink } from '../src/transport/peer-link';
 import { settle, VirtualTime } from './standin/clock';
 
@@ -72,6 +73,26 @@
   assert.equal(paths.length, asked);
 });
 
+test('a closed client ends its requests, and makes no more', async () => {
+  let requests = 0;
+  const server = createServer((socket) => {
+    socket.on('data', () => requests++);
+    socket.on('error', () => socket.destroy());
+  });
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const client = new HttpClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, 1);
+  const underWay = client.call('GET', '/a', undefined, 60_000);
+  const pending = client.call('GET', '/b', undefined, 60_000);
+  await once(server, 'connection');
+  client.close();
+  assert.deepEqual(await Promise.all([underWay, pending]), [null, null]);
+  assert.equal(await client.call('GET', '/c', undefined, 60_000), null);
+  server.close();
+  await once(server, 'close');
+  assert.ok(requests <= 1, `${requests} requests`);
+});
+
 test('a closed link to a peer is not opened again', async () => {
   let connections = 0;
   const server: Server = createServer((socket) => {
