--- a/test/config-errors.test.ts
+++ b/test/protocol/config-errors.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ConfigError, type ConfigErrorCode } from '../src/protocol/config-error';
-import { checkFeatures } from '../src/protocol/features';
-import { loadPolicy, parsePolicy } from '../src/protocol/policy';
-import { parseSettings } from '../src/protocol/settings';
+import { ConfigError, type ConfigErrorCode } from '../../src/protocol/config-error';
+import { checkFeatures } from '../../src/protocol/features';
+import { loadPolicy, parsePolicy } from '../../src/protocol/policy';
+import { parseSettings } from '../../src/protocol/settings';
 
 test('errors in configuration files have a code and, where something failed, its cause', async (t) => {
   const cases: {
--- a/test/closing.test.ts
+++ b/test/transport/closing.test.ts
@@ -2,15 +2,10 @@
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { once } from 'node:events';
 import { test } from 'node:test';
-import pino from 'pino';
-import { RequestPriority, RequestQueue } from '../src/storage/request-queue';
-import { StateStoreClient } from '../src/storage/state-store-client';
-import { schedulePeriodic, systemClock } from '../src/transport/clock';
-import { HttpClient } from '../src/transport/http-client';
-import { listenForPeers, PeerLink } from '../src/transport/peer-link';
-import { settle, VirtualTime } from './standin/clock';
-
-const limits = { requestRate: 10, writeRate: 10, controllers: 1 };
+import { schedulePeriodic, systemClock } from '../../src/transport/clock';
+import { HttpClient } from '../../src/transport/http-client';
+import { listenForPeers, PeerLink } from '../../src/transport/peer-link';
+import { VirtualTime } from '../standin/clock';
 
 test('a periodic action ends when it is cancelled, also by itself', async () => {
   const time = new VirtualTime();
@@ -27,52 +22,6 @@
   assert.deepEqual(ran, [100, 200, 300]);
 });
 
-test('a closed request queue refuses what waits and runs no timer', async () => {
-  const time = new VirtualTime();
-  const queue = new RequestQueue(
-    time.clock(() => true),
-    limits,
-  );
-  const turns = Array.from({ length: 20 }, () => queue.awaitTurn(RequestPriority.Decision, 0, Infinity));
-  queue.close();
-  const granted = (await Promise.all(turns)).filter(Boolean).length;
-  assert.ok(granted > 0 && granted < turns.length, `${granted} of ${turns.length} had their turn before`);
-  await time.run(10_000);
-  assert.equal(time.now, 10_000);
-});
-
-test('the feed of a closed client ends, and asks the store for nothing more', async () => {
-  const time = new VirtualTime();
-  const paths: string[] = [];
-  const call = (_method: string, path: string) => {
-    paths.push(path);
-    const body = path.startsWith('/watch')
-      ? { ledger_rev: 3, news: [] }
-      : { pairs: [], truncated: false, ledger_rev: 3 };
-    return Promise.resolve({ status: 200, body });
-  };
-  const client = new StateStoreClient(
-    {
-      transport: { call },
-      watchTransport: { call },
-      clock: time.clock(() => true),
-      log: pino({ level: 'silent' }),
-    },
-    limits,
-  );
-  let ended = false;
-  void client.follow().then(() => (ended = true));
-  await settle();
-  await time.run(2000);
-  assert.ok(client.replica.synced && !ended);
-  client.close();
-  await time.run(4000);
-  const asked = paths.length;
-  assert.ok(ended);
-  await time.run(10_000);
-  assert.equal(paths.length, asked);
-});
-
 test('a closed client ends its requests, and makes no more', async () => {
   let requests = 0;
   const server = createServer((socket) => {
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -25,7 +25,10 @@
     frames: /coordination\/(leader|fleet)\//,
   },
   { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
-  { cause: 'frames between controllers', frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/ },
+  {
+    cause: 'frames between controllers',
+    frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/,
+  },
   {
     cause: 'watch events and refill',
     frames: /(replica-feed|store-replica|replica-view|job-index|fleet-index)\.js/,
