--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -157,7 +157,7 @@
 
 function forwardTo(actor: PartitionActor, event: Exclude<ReplicaEvent, { kind: 'members' }>): void {
   const { core } = actor;
-  if (event.kind === 'gone') {
+  if (event.kind === 'machine-removed') {
     actor.send({ kind: 'machine', id: event.id, entry: null });
   } else if (event.kind === 'machine') {
     const recordedHere = event.entry.record.partition === core.id;
