--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -202,7 +202,7 @@
       spec.spreadZones
     )
       return 0;
-    const teamFree = this.core.remainingQuota(spec.team);
+    const teamFree = this.core.quota.remaining(spec.team);
     const allowedByTeam = countFitting({ ...teamFree, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
     return Math.max(0, Math.min(job.pendingCount, job.maxInFlight(this.now), allowedByTeam));
   }
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -212,20 +212,20 @@
   private takeOver({ id, record, epoch }: StoredPartition): void {
     const { settings, replica } = this;
     const teams = settings.teams.filter((t) => record.teams.includes(t.name));
-    const core = new PartitionCore(
+    const core = new PartitionCore({
       id,
       epoch,
       teams,
-      () => this.machineTypes(),
-      (ref) => replica.jobs.get(ref)?.spec,
-      {
+      types: () => this.machineTypes(),
+      specOfClosedJob: (ref) => replica.jobs.get(ref)?.spec,
+      options: {
         heartbeatIntervalMs: settings.heartbeatIntervalMs,
         leaseMs: settings.leaseMs,
         valueBytes: settings.stateStore.valueBytes,
         objectives: settings.objectives,
       },
-      replica.assignedInPartition(id),
-    );
+      assignedMachines: replica.assignedInPartition(id),
+    });
     const { valueBytes, txnOps, writeRate } = settings.stateStore;
     const progressMs = this.policy.progressIntervalS * 1000;
     const options = { valueBytes, txnOps, writeRate, partitions: replica.partitions.size, progressMs };
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -22,6 +22,14 @@
 import { type PartitionBalancing } from './partition-balancing';
 import { type PartitionCore } from './partition-core';
 
+interface OpenJobMessage {
+  kind: 'job';
+  spec: JobSpec;
+  acceptedAt: number;
+  version: number;
+  progress: StoredProgress | null;
+}
+
 export type PartitionMessage =
   | {
       kind: 'report';
@@ -29,7 +37,7 @@
       reply: (answer: { token: number; commands: Command[] } | null) => void;
     }
   | { kind: 'machine'; id: string; entry: FleetEntry | null }
-  | { kind: 'job'; spec: JobSpec; acceptedAt: number; version: number; progress: StoredProgress | null }
+  | OpenJobMessage
   | { kind: 'closed'; ref: string; state: JobState }
   | { kind: 'ended'; spec: JobSpec; version: number; state: JobState }
   | { kind: 'tick' }
@@ -129,16 +137,15 @@
         else this.core.removeMachine(message.id, now);
         return;
       case 'job':
-        if (message.progress) this.slots.assign(message.spec.ref, message.progress.slot);
-        this.core.openJob(message.spec, message.acceptedAt, message.version, message.progress, now);
+        this.openJob(message, now);
         return;
       case 'closed':
         this.slots.release(message.ref);
         this.core.closeJob(message.ref, message.state, now);
         return;
       case 'ended':
-        this.core.addCancelled(message.spec, message.state, message.version);
-        this.core.addTerminated(message.spec, message.state, message.version);
+        this.core.addCancelled({ spec: message.spec, revision: message.version }, message.state);
+        this.core.addTerminated({ spec: message.spec, revision: message.version }, message.state);
         return;
       case 'tick':
         this.tick(now);
@@ -171,6 +178,11 @@
     }
   }
 
+  private openJob({ spec, acceptedAt, version, progress }: OpenJobMessage, now: number): void {
+    if (progress) this.slots.assign(spec.ref, progress.slot);
+    this.core.openJob({ spec, acceptedAt, revision: version, progress }, now);
+  }
+
   private tick(now: number): void {
     if (!this.active) return;
     this.core.tick(now, this.clock.wallClock().getTime());
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -1,7 +1,7 @@
 import { PRIORITIES, type JobSpec } from '../../protocol/jobs';
 import { type Demand, type PartitionLoad } from '../../protocol/peers';
 import { type ResourceQuota } from '../../protocol/settings';
-import { type PartitionCore } from './partition-core';
+import { type PartitionState } from './partition-state';
 import { type PartitionJob } from './job';
 import { countFitting, eligibleZones } from './placement';
 
@@ -9,7 +9,7 @@
 const MIN_REMAINING_RATIO = 0.2;
 
 /** What a partition tells the leader: what waits within its teams' limits, and how its machines stand. */
-export function partitionLoad(partition: PartitionCore, now: number): PartitionLoad {
+export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const nothing = { cpus: 0, accelerators: 0, memoryGb: 0 };
   const backlog = PRIORITIES.map(() => 0);
@@ -47,7 +47,7 @@
   };
 }
 
-function demands(partition: PartitionCore, now: number): Demand[] {
+function demands(partition: PartitionState, now: number): Demand[] {
   const found = new Map<string, Demand>();
   const rooms = new Map<string, ResourceQuota>();
   const allZones = new Set([...partition.types().values()].flatMap((t) => t.zones));
@@ -55,7 +55,7 @@
     const { spec } = job;
     if (job.pendingCount === 0 || job.state !== 'open') continue;
     let room = rooms.get(spec.team);
-    if (!room) rooms.set(spec.team, (room = partition.remainingQuota(spec.team)));
+    if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
     const quota = countFitting({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
     // Nothing is rented for what fails everywhere.
     const tasks = Math.min(job.pendingCount, job.maxInFlight(now), quota);
@@ -98,7 +98,7 @@
 
 /** CPU seconds that the tasks now out still take, and when each machine has none any more. */
 function estimateRemainingWork(
-  partition: PartitionCore,
+  partition: PartitionState,
   now: number,
 ): { remainingWork: number[]; emptyInS: Map<string, number> } {
   const emptyInS = new Map<string, number>();
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -1,5 +1,5 @@
 import { type JobProgress } from '../../protocol/records';
-import { type PartitionCore } from './partition-core';
+import { type PartitionState } from './partition-state';
 
 /** Start watermarks are raised ahead of what can start now by this share of the partition's machines. */
 const WATERMARK_AHEAD_RATIO = 0.5;
@@ -14,7 +14,7 @@
 }
 
 /** Progress of the open jobs, in arrival order; with start watermarks that let the next tasks in turn start. */
-export function progressToWrite(partition: PartitionCore, now: number): ProgressToWrite {
+export function progressToWrite(partition: PartitionState, now: number): ProgressToWrite {
   const jobs = new Map<string, JobProgress>();
   let watermarksRaised = false;
   let room = startableCpus(partition, now);
@@ -24,10 +24,10 @@
     if (job.state !== 'open' || job.finished) continue;
     const waiting = Math.min(job.startableCount(allConfirmed), job.maxInFlight(now));
     const { team, cpus } = job.spec;
-    // What its team's limit holds back takes no room ahead: it once kept those behind from ever being marked.
+    // What its team's limit holds back takes no room ahead: jobs behind it would otherwise never get a watermark.
     const ofTeam =
       teams.get(team) ??
-      partition.remainingQuota(team).cpus + WATERMARK_AHEAD_RATIO * partition.quota.usageOf(team).cpus;
+      partition.quota.remaining(team).cpus + WATERMARK_AHEAD_RATIO * partition.quota.usageOf(team).cpus;
     const able = Math.floor(Math.min(room, ofTeam) / Math.max(cpus, MIN_TASK_CPUS));
     const wants = job.heldByPipeline ? 0 : Math.max(0, Math.min(waiting, able));
     room -= wants * cpus;
@@ -44,7 +44,7 @@
 }
 
 /** CPUs that could be given out until start watermarks are raised the next time. */
-function startableCpus(partition: PartitionCore, now: number): number {
+function startableCpus(partition: PartitionState, now: number): number {
   let room = 0;
   for (const machine of partition.machines.values()) {
     const has = partition.capacityOf(machine);
--- /dev/null
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -0,0 +1,164 @@
+import { type HeartbeatTask } from '../../protocol/workers';
+import { type PartitionJob } from './job';
+import { type JobSet } from './job-set';
+import { taskKey, type InFlightTask, type MachineState, type TaskExit } from './machine';
+import { type RuntimeEstimates } from './priority';
+import { type TaskObserver } from './task-observer';
+import { type TeamQuota } from './team-quota';
+
+const MIN_RETRY_DELAY_MS = 250;
+const MAX_RETRY_DELAY_MS = 30_000;
+/** Added to the time that a checkpoint takes, so that a task is not killed by its own estimate. */
+const CHECKPOINT_MARGIN_S = 1;
+/** Of a preemption notice, the share that can be relied on. */
+const RELIABLE_NOTICE_RATIO = 0.5;
+/** Heartbeats that may pass until a command reaches the worker. */
+const COMMAND_DELAY_HEARTBEATS = 2;
+
+/** Counters of a partition for `GET /status`; the names are part of its output. */
+export interface PartitionCounters {
+  started: number;
+  done: number;
+  lost: number;
+  failed: number;
+  /** Heartbeats received. */
+  reports: number;
+  /** Heartbeats that were older than one received before. */
+  stale: number;
+  placementPasses: number;
+}
+
+export interface TaskLifecycleDependencies {
+  jobs: ReadonlyMap<string, PartitionJob>;
+  jobSet: JobSet;
+  quota: TeamQuota;
+  estimates: RuntimeEstimates;
+  counters: PartitionCounters;
+  /** Holder of the observer, which is set after the partition is built. */
+  observed: { readonly observer: TaskObserver | null };
+  heartbeatIntervalMs: number;
+}
+
+/** What happens to tasks after they have been started: adopted from an earlier owner, ended, lost, or stopped to go on elsewhere. */
+export class TaskLifecycle {
+  constructor(private readonly deps: TaskLifecycleDependencies) {}
+
+  private get observer(): TaskObserver | null {
+    return this.deps.observed.observer;
+  }
+
+  /** Adopts a live task that an earlier owner started. One that is not wanted any more is stopped. */
+  adoptRunningTask(machine: MachineState, task: HeartbeatTask, now: number): void {
+    const { jobs, jobSet, quota } = this.deps;
+    const job = jobs.get(task.ref);
+    const spec = jobSet.specOf(task.ref);
+    const inFlight = machine.adoptRunningTask(task, spec ?? null, now);
+    if (spec) quota.addUsage(spec, 1);
+    if (job?.hasTask(task.index) && job.isPending(task.index)) {
+      job.markInFlight(task.index, machine);
+      machine.images.add(job.spec.image);
+    } else {
+      inFlight.stop = { graceS: 0 };
+    }
+  }
+
+  /** Tasks that are certain not to be on any machine, though no exit of them was reported. */
+  releaseLostTask(task: InFlightTask, now: number): void {
+    this.deps.counters.lost++;
+    this.releaseTask(task, now, true);
+  }
+
+  /** A task in flight is certain not to be on its machine any more; `lost`: no exit of it was reported. */
+  releaseTask(task: InFlightTask, now: number, lost: boolean): void {
+    const { jobs, jobSet, quota } = this.deps;
+    if (task.spec) quota.addUsage(task.spec, -1);
+    const job = jobs.get(task.ref);
+    const machine = job?.inFlight.get(task.index);
+    // Another attempt of the task may be in flight on another machine, where it is being stopped.
+    if (!job || machine?.tasks.has(taskKey(task.ref, task.index))) return;
+    job.requeue(task.index);
+    if (job.isPending(task.index)) this.observer?.taskRequeued(task.ref, task.index, now);
+    jobSet.markIfDone(job);
+    if (lost && task.phase === 'reported') jobSet.handleLostTask(job);
+  }
+
+  /** Accounts for an exit that a worker has reported. It may be reported again until the worker is told to forget it. */
+  handleExit(machine: MachineState, exit: TaskExit, now: number): void {
+    if (exit.inFlight) this.releaseTask(exit.inFlight, now, false);
+    const job = this.deps.jobs.get(exit.ref);
+    if (!job) return;
+    if (exit.reason === 'done') this.recordRunTime(job, exit, now);
+    if (!job.hasTask(exit.index)) return;
+    if (exit.reason === 'done') this.handleSuccess(job, machine, exit, now);
+    else if (exit.inFlight) this.handleFailure(job, machine, exit, now);
+  }
+
+  /** The run time of a task that may have resumed from a checkpoint says nothing about the next one. */
+  private recordRunTime({ spec }: PartitionJob, exit: TaskExit, now: number): void {
+    const runningSince = exit.inFlight?.runningSince;
+    if (typeof runningSince !== 'number' || spec.checkpointIntervalS !== 0) return;
+    const seconds = (now - runningSince) / 1000;
+    this.deps.estimates.addSample(spec.workload, spec.expectedS, seconds);
+    this.observer?.taskRan(spec, seconds);
+  }
+
+  private handleSuccess(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
+    machine.failuresByJob.clear();
+    machine.healthy = true;
+    if (job.isDone(exit.index)) return;
+    if (!job.isPending(exit.index)) this.stopOtherAttempt(job, exit.index);
+    job.markDone(exit.index);
+    this.observer?.taskDone(exit.ref, exit.index, now);
+    this.deps.counters.done++;
+    this.deps.jobSet.markIfDone(job);
+  }
+
+  private handleFailure(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
+    if (exit.reason !== 'stopped') this.observer?.taskFailed(exit.ref, exit.index, now);
+    if (exit.reason !== 'no_room' && exit.reason !== 'busy') this.deps.jobSet.handleLostTask(job);
+    if (exit.reason === 'error' || exit.reason === 'unknown') this.retryLater(job, machine, exit, now);
+    else if (exit.reason === 'no_room') job.delayRetry(exit.index, now + this.deps.heartbeatIntervalMs);
+  }
+
+  /** Retries a failed task with growing delays: the job does not fail until its user cancels it. */
+  private retryLater(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
+    this.deps.counters.failed++;
+    job.failedMachines.add(machine.id);
+    if (exit.reason === 'error')
+      machine.failuresByJob.set(job.ref, (machine.failuresByJob.get(job.ref) ?? 0) + 1);
+    const failures = job.countFailure(exit.index);
+    job.delayRetry(exit.index, now + Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** failures));
+    if (job.failsEverywhere) job.backOff(now);
+  }
+
+  private stopOtherAttempt(job: PartitionJob, index: number): void {
+    const task = job.inFlight.get(index)?.tasks.get(taskKey(job.ref, index));
+    if (task) task.stop = { graceS: 0 };
+  }
+
+  /**
+   * Stops the tasks of a job that is closed. They stay in flight, and counted against the quota, until their machine reports them
+   * gone.
+   */
+  stopTasksOf(job: PartitionJob): void {
+    for (const index of job.inFlight.keys()) this.stopOtherAttempt(job, index);
+  }
+
+  /** The cloud is about to preempt the machine: tasks that can save a checkpoint are stopped in time to do so. */
+  checkpointBeforePreemption(machine: MachineState, now: number): void {
+    const noticeS = ((machine.preemptionDeadline ?? now) - now) / 1000;
+    const commandDelayS = (COMMAND_DELAY_HEARTBEATS * this.deps.heartbeatIntervalMs) / 1000;
+    for (const task of machine.tasks.values()) {
+      const checkpointS = task.spec?.checkpointDurationS ?? 0;
+      if (noticeS * RELIABLE_NOTICE_RATIO <= checkpointS + commandDelayS + CHECKPOINT_MARGIN_S)
+        this.checkpointAndReschedule(task);
+    }
+  }
+
+  /** Stops a task that can go on elsewhere from its checkpoint; any other task is left running. */
+  checkpointAndReschedule(task: InFlightTask): void {
+    const job = this.deps.jobs.get(task.ref);
+    if (!job || job.runsAtMostOnce || job.spec.checkpointIntervalS <= 0 || task.stop) return;
+    task.stop = { graceS: job.spec.checkpointDurationS + CHECKPOINT_MARGIN_S };
+  }
+}
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -115,18 +115,19 @@
   const cpus = MACHINES * CPUS;
   const team = { name: 't', guaranteed: { cpus, accelerators: 0 }, limit: { cpus, accelerators: 0 } };
   const options = { heartbeatIntervalMs: 3000, leaseMs: 19_000, valueBytes: 32_768, objectives: [] };
-  const core = new PartitionCore(
-    'p0',
-    version,
-    [team],
-    () => types,
-    () => undefined,
+  const core = new PartitionCore({
+    id: 'p0',
+    epoch: version,
+    teams: [team],
+    types: () => types,
+    specOfClosedJob: () => undefined,
     options,
-    new Set(names),
-  );
+    assignedMachines: new Set(names),
+  });
   for (const id of names) core.upsertMachine(id, record, RECORD_REVISION, now);
   const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_A_JOB };
-  for (let n = 0; n < JOBS; n++) core.openJob(job(n), n, RECORD_REVISION, progress, now);
+  for (let n = 0; n < JOBS; n++)
+    core.openJob({ spec: job(n), acceptedAt: n, revision: RECORD_REVISION, progress }, now);
   core.tick(now, now);
   return core;
 }
--- a/test/partition-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -45,16 +45,14 @@
     const record = { partition: 'p0', phase: 'active' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
     this.ledger.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
-    this.core = new PartitionCore(
-      'p0',
-      OWNER_EPOCH,
-      [],
-      () => new Map(),
-      () => undefined,
-      {
-        ...{ heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
-      },
-    );
+    this.core = new PartitionCore({
+      id: 'p0',
+      epoch: OWNER_EPOCH,
+      teams: [],
+      types: () => new Map(),
+      specOfClosedJob: () => undefined,
+      options: { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
+    });
     this.core.upsertMachine(MACHINE, record, 110, 0);
     this.actor = new PartitionActor(
       this.core,
--- a/test/partition.test.ts
+++ b/test/partition.test.ts
@@ -56,15 +56,15 @@
       limit: { cpus: limit, accelerators: 0 },
     };
     const options = { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] };
-    this.core = new PartitionCore(
-      'p0',
-      OWNER_EPOCH,
-      [team, { ...team, name: 'u' }],
-      () => new Map([['small', SMALL_TYPE]]),
-      (r) => this.specs.get(r),
+    this.core = new PartitionCore({
+      id: 'p0',
+      epoch: OWNER_EPOCH,
+      teams: [team, { ...team, name: 'u' }],
+      types: () => new Map([['small', SMALL_TYPE]]),
+      specOfClosedJob: (r) => this.specs.get(r),
       options,
-      this.assigned,
-    );
+      assignedMachines: this.assigned,
+    });
   }
 
   addMachine(id: string, version: number, change: Partial<MachineRecord> = {}): void {
@@ -93,11 +93,12 @@
 
   addJob(job: JobSpec, version = AFTER_OWNER, doneRanges = '', startWatermark = job.tasks): void {
     this.specs.set(job.ref, job);
-    this.core.openJob(job, 0, version, { doneRanges, doneCount: 0, runningCount: 0, startWatermark }, 0);
+    const progress = { doneRanges, doneCount: 0, runningCount: 0, startWatermark };
+    this.core.openJob({ spec: job, acceptedAt: 0, revision: version, progress }, 0);
   }
 
   addTerminatedJob(job: JobSpec, state: JobState = 'cancelled'): void {
-    this.core.addCancelled(job, state, BEFORE_OWNER);
+    this.core.addCancelled({ spec: job, revision: BEFORE_OWNER }, state);
   }
 
   closeJob(ref: string, state: JobState): void {
@@ -348,7 +349,7 @@
         8 - hidden,
       );
       partition.core.tick(13_000, 0);
-      assert.equal(partition.core.remainingQuota('t').cpus, 8, 'all leases over, nothing is hidden');
+      assert.equal(partition.core.quota.remaining('t').cpus, 8, 'all leases over, nothing is hidden');
     },
   ]),
   [
--- a/test/task-moves.test.ts
+++ b/test/task-moves.test.ts
@@ -81,13 +81,20 @@
     const team = (name: string, limit: number): object => ({
       ...{ name, guaranteed: { cpus: 0, accelerators: 0 }, limit: { cpus: limit, accelerators: 0 } },
     });
-    const core = new PartitionCore(
-      ...(['p0', this.version, [team('t', LIMIT), team('u', 4)] as never] as const),
-      () => new Map([['small', type]]),
-      () => undefined,
-      { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS, valueBytes: 4096, objectives: [] },
-      new Set(this.assigned),
-    );
+    const core = new PartitionCore({
+      id: 'p0',
+      epoch: this.version,
+      teams: [team('t', LIMIT), team('u', 4)] as never,
+      types: () => new Map([['small', type]]),
+      specOfClosedJob: () => undefined,
+      options: {
+        heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
+        leaseMs: LEASE_MS,
+        valueBytes: 4096,
+        objectives: [],
+      },
+      assignedMachines: new Set(this.assigned),
+    });
     if (this.settings) core.observer = this.moves = new TaskMoves(core, this.settings, () => this.now);
     return core;
   }
@@ -118,7 +125,7 @@
 
   submit(job: JobSpec, version: number): void {
     const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: job.tasks };
-    this.core.openJob(job, this.now, version, progress, this.now);
+    this.core.openJob({ spec: job, acceptedAt: this.now, revision: version, progress }, this.now);
   }
 
   cancel(ref: string): void {
