--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -47,8 +47,9 @@
   { cause: 'event loop and timers', frames: /\(program\)|node:internal\/(timers|process)/ },
 ];
 
-/** A report is a message of the partition: its stack also holds the partition's frames. */
-const HEARTBEAT_FRAME = /(report|take|answer|isNews|adopt|exited) .*(partition|machine)\.js/;
+/** A heartbeat is a message of the partition actor: its stack also holds the partition's frames. */
+const HEARTBEAT_FRAME =
+  /heartbeat-handler\.js|handleHeartbeat .*partition-core\.js|(applyHeartbeat|takeCommands|isNewer) .*machine\.js/;
 const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
