--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -168,14 +168,14 @@
     if (event.kind === 'members') return;
     for (const partition of this.partitions.values()) {
       const { core } = partition;
-      if (event.kind === 'gone') partition.send({ kind: 'machine', id: event.id, entry: null });
+      if (event.kind === 'gone') partition.send({ kind: 'machine-changed', id: event.id, entry: null });
       else if (event.kind === 'machine') {
         const here = event.entry.record.partition === core.id;
-        partition.send({ kind: 'machine', id: event.id, entry: here ? event.entry : null });
+        partition.send({ kind: 'machine-changed', id: event.id, entry: here ? event.entry : null });
       } else if (core.owns(event.job.spec.team)) {
         const { spec, acceptedAt, revision, state } = event.job;
-        if (event.kind === 'closed') partition.send({ kind: 'closed', ref: spec.ref, state });
-        else partition.send({ kind: 'job', spec, acceptedAt, version: revision, progress: null });
+        if (event.kind === 'closed') partition.send({ kind: 'job-closed', ref: spec.ref, state });
+        else partition.send({ kind: 'job-opened', spec, acceptedAt, revision, progress: null });
       }
     }
   }
@@ -229,25 +229,25 @@
     const { valueBytes, txnOps, writeRate } = settings.stateStore;
     const progressMs = this.policy.progressIntervalS * 1000;
     const options = { valueBytes, txnOps, writeRate, partitions: replica.partitions.size, progressMs };
-    const actor = new PartitionActor(
+    const actor = new PartitionActor({
       core,
       record,
-      this.stateStore,
+      stateStore: this.stateStore,
       replica,
-      this.clock,
-      this.log,
-      this.membership,
+      clock: this.clock,
+      log: this.log,
+      authority: this.membership,
       options,
-      this.dependencies.balancing?.forPartition(core) ?? null,
-    );
+      balancing: this.dependencies.balancing?.forPartition(core) ?? null,
+    });
     for (const [machine, entry] of replica.machines)
-      if (entry.record.partition === id) actor.send({ kind: 'machine', id: machine, entry });
-    for (const { spec, acceptedAt, revision: accepted, state } of replica.jobs.values()) {
+      if (entry.record.partition === id) actor.send({ kind: 'machine-changed', id: machine, entry });
+    for (const { spec, acceptedAt, revision, state } of replica.jobs.values()) {
       if (!core.owns(spec.team)) continue;
       const progress = replica.progressOf(spec.ref);
-      if (state === 'open') actor.send({ kind: 'job', spec, acceptedAt, version: accepted, progress });
+      if (state === 'open') actor.send({ kind: 'job-opened', spec, acceptedAt, revision, progress });
       else if (spec.pipeline || state !== 'done')
-        actor.send({ kind: 'ended', spec, version: accepted, state });
+        actor.send({ kind: 'job-terminated', spec, revision, state });
     }
     this.partitions.set(id, actor);
     this.log.info(
@@ -282,8 +282,8 @@
     const partition = this.partitions.get(machine.record.partition);
     if (partition?.active) {
       partition.send({
-        kind: 'report',
-        report: heartbeat,
+        kind: 'heartbeat',
+        heartbeat,
         reply: (answer) => reply(answer ? { kind: 'answer', ...answer } : { kind: 'busy' }),
       });
       return;
--- /dev/null
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -0,0 +1,50 @@
+import { planAssignedEdit } from '../../storage/assigned-machines';
+import { RequestPriority } from '../../storage/state-store-client';
+import { type PartitionCore } from './partition-core';
+import { type PartitionStore } from './partition-store';
+
+const WRITE_TIMEOUT_MS = 2000;
+
+export interface AssignedMachineWriterOptions {
+  core: PartitionCore;
+  store: PartitionStore;
+  /** Largest value that the state store takes. */
+  valueBytes: number;
+  minIntervalMs: number;
+  /** Called once the state store lists these machines as assigned. */
+  onAssigned: (machines: string[]) => void;
+}
+
+/**
+ * Lists machines as assigned in the state store before the first task is started on them, so that a later owner knows where an
+ * earlier one may have left tasks.
+ */
+export class AssignedMachineWriter {
+  private writing = false;
+  private startedAt = Number.NEGATIVE_INFINITY;
+
+  constructor(private readonly options: AssignedMachineWriterOptions) {}
+
+  /** Writes the machines that are not listed yet, if the last write is long enough ago. */
+  async writeIfDue(now: number): Promise<void> {
+    const { core, store, valueBytes, minIntervalMs, onAssigned } = this.options;
+    if (this.writing || now - this.startedAt < minIntervalMs) return;
+    const machines = core.unassignedMachines();
+    if (machines.length === 0) return;
+    this.writing = true;
+    this.startedAt = now;
+    const exists = (id: string): boolean => core.machines.has(id);
+    const edit = planAssignedEdit(store.replica, store.partition, machines, exists, valueBytes);
+    const result = await store.transact(
+      [edit.condition],
+      [edit.write],
+      RequestPriority.Decision,
+      WRITE_TIMEOUT_MS,
+    );
+    if (result.kind === 'applied') {
+      onAssigned(edit.ids);
+      await store.stateStore.whenCaughtUp(result.revision, WRITE_TIMEOUT_MS);
+    }
+    this.writing = false;
+  }
+}
--- /dev/null
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -0,0 +1,87 @@
+import { planFleetEdit, type FleetLimits } from '../../storage/fleets';
+import { RequestPriority } from '../../storage/state-store-client';
+import { type MachineRecord } from '../../protocol/records';
+import { type Condition, type Write } from '../../protocol/store';
+import { type PartitionCore } from './partition-core';
+import { type PartitionStore } from './partition-store';
+
+const CATCH_UP_TIMEOUT_MS = 2000;
+
+export interface MachineRecordWriterOptions {
+  core: PartitionCore;
+  store: PartitionStore;
+  limits: FleetLimits;
+  /** Whether the partition has been handed over: nothing is written any more. */
+  isReleased: () => boolean;
+  /** Called once it is known whether the change of these machines' records was applied. */
+  onDecided: (machines: string[]) => void;
+}
+
+/** Rewrites the records of machines that are transferred to another partition or deprovisioned, many at once. */
+export class MachineRecordWriter {
+  private readonly pending = new Map<string, MachineRecord>();
+  private writing = false;
+  private writeCount = 0;
+
+  constructor(private readonly options: MachineRecordWriterOptions) {}
+
+  /**
+   * Cordons a machine and queues a change of its record; ignored if the machine is not empty, or is being changed already.
+   * `force`: it is cordoned even if tasks run on it.
+   */
+  change(id: string, change: Partial<MachineRecord>, force = false): void {
+    const { core } = this.options;
+    const machine = core.machines.get(id);
+    if (!machine || machine.record.phase === 'deprovisioning' || this.pending.has(id)) return;
+    if (!core.cordon(id)) {
+      if (!force || machine.cordoned) return;
+      machine.cordoned = true;
+    }
+    this.pending.set(id, { ...machine.record, ...change });
+  }
+
+  /** Starts to write what is queued, unless that goes on already. */
+  writePending(): void {
+    if (this.pending.size > 0) void this.write();
+  }
+
+  private async write(): Promise<void> {
+    if (this.writing) return;
+    this.writing = true;
+    const { store, limits, onDecided } = this.options;
+    const { partition, epoch, replica } = store;
+    const name = `${partition}-${epoch}-${++this.writeCount}`;
+    const edit = planFleetEdit(replica, partition, this.pending, name, limits);
+    if (edit.ids.length === 0) this.pending.clear();
+    for (const id of edit.ids) this.pending.delete(id);
+    if (edit.ids.length > 0) {
+      await this.writeUntilDecided(edit.conditions, edit.writes);
+      onDecided(edit.ids);
+    }
+    this.writing = false;
+  }
+
+  /**
+   * Resolves once the replica shows what became of a write. Until then the machines stay cordoned. An attempt whose response was
+   * lost may still be applied, so it is repeated until it is applied, or can be no more because the values have changed.
+   */
+  private async writeUntilDecided(conditions: Condition[], writes: Write[]): Promise<void> {
+    const { store, isReleased } = this.options;
+    const { stateStore } = store;
+    let unsure = false;
+    while (!isReleased()) {
+      // While the session lease has lapsed, an attempt on its way may still be applied, so no machine is uncordoned.
+      if (!store.isActive) {
+        await store.waitToRetry();
+        continue;
+      }
+      const result = await store.transact(conditions, writes, RequestPriority.Decision);
+      if (result.kind === 'refused' && !unsure) return;
+      if (result.kind === 'applied' && (await stateStore.whenCaughtUp(result.revision, CATCH_UP_TIMEOUT_MS)))
+        return;
+      if (result.kind === 'conflict' && (await stateStore.ensureFresh())) return;
+      unsure ||= result.kind !== 'refused';
+      await store.waitToRetry();
+    }
+  }
+}
--- /dev/null
+++ b/src/coordination/partition/partition-handover.ts
@@ -0,0 +1,34 @@
+import { RequestPriority } from '../../storage/state-store-client';
+import { keys, type PartitionRecord } from '../../protocol/records';
+import { type Write } from '../../protocol/store';
+import { type PartitionStore } from './partition-store';
+
+export interface HandoverTarget {
+  member: string;
+  /** Incarnation of the member's record. */
+  incarnation: number;
+}
+
+/**
+ * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to false
+ * if the partition stays here: no attempt can be applied any more. An attempt whose response was lost may be applied seconds later,
+ * and tasks started meanwhile would be unknown to the new owner.
+ */
+export async function handOverPartition(
+  store: PartitionStore,
+  record: PartitionRecord,
+  target: HandoverTarget,
+): Promise<boolean> {
+  const { member, incarnation } = target;
+  const partitionKey = keys.partition(store.partition);
+  const put: Write = { put: partitionKey, value: { ...record, owner: member, incarnation } };
+  const targetUnchanged = { key: keys.member(member), revision: incarnation };
+  for (let unsure = false; ;) {
+    const result = await store.transact([targetUnchanged], [put], RequestPriority.Decision);
+    const takenOver = result.kind === 'conflict' && result.failed.includes(partitionKey);
+    if (result.kind === 'applied' || takenOver) return true;
+    if (result.kind === 'conflict' || (result.kind === 'refused' && !unsure)) return false;
+    unsure ||= result.kind === 'unknown';
+    await store.waitToRetry();
+  }
+}
--- /dev/null
+++ b/src/coordination/partition/partition-store.ts
@@ -0,0 +1,63 @@
+import { type Clock } from '../../transport/clock';
+import { type ReplicaView } from '../../storage/replica-view';
+import {
+  type RequestPriority,
+  type StateStoreClient,
+  type TransactionResult,
+} from '../../storage/state-store-client';
+import { keys } from '../../protocol/records';
+import { type Condition, type Write } from '../../protocol/store';
+
+/** Time between two attempts of a transaction. */
+const RETRY_INTERVAL_MS = 150;
+
+export interface PartitionStoreOptions {
+  partition: string;
+  /** Epoch of the partition's record. */
+  epoch: number;
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  clock: Clock;
+  /** Whether this controller may act for the partition now. */
+  isActive: () => boolean;
+}
+
+/** The state store as the owner of one partition writes to it: each transaction is conditional on the partition's epoch. */
+export class PartitionStore {
+  readonly partition: string;
+  readonly epoch: number;
+  readonly stateStore: StateStoreClient;
+  readonly replica: ReplicaView;
+
+  constructor(private readonly options: PartitionStoreOptions) {
+    this.partition = options.partition;
+    this.epoch = options.epoch;
+    this.stateStore = options.stateStore;
+    this.replica = options.replica;
+  }
+
+  /** Whether this controller may act for the partition now. */
+  get isActive(): boolean {
+    return this.options.isActive();
+  }
+
+  /** Holds while no other owner has taken the partition over. */
+  get epochCondition(): Condition {
+    return { key: keys.partition(this.partition), revision: this.epoch };
+  }
+
+  /** A transaction that is refused once another owner has taken the partition over. */
+  transact(
+    conditions: readonly Condition[],
+    writes: Write[],
+    priority: RequestPriority,
+    timeoutMs?: number,
+  ): Promise<TransactionResult> {
+    return this.stateStore.transact([this.epochCondition, ...conditions], writes, priority, timeoutMs);
+  }
+
+  /** Resolves when it is time for the next attempt. */
+  waitToRetry(): Promise<void> {
+    return new Promise((resolve) => this.options.clock.schedule(RETRY_INTERVAL_MS, resolve));
+  }
+}
--- /dev/null
+++ b/src/coordination/partition/progress-writer.ts
@@ -0,0 +1,71 @@
+import { ProgressSlots } from '../../storage/progress';
+import { RequestPriority } from '../../storage/state-store-client';
+import { encodeProgress, keys, type JobProgress } from '../../protocol/records';
+import { type PartitionStore } from './partition-store';
+import { type ProgressToWrite } from './start-watermarks';
+
+const WRITE_TIMEOUT_MS = 2000;
+
+export interface ProgressWriterOptions {
+  store: PartitionStore;
+  /** Largest value that the state store takes. */
+  valueBytes: number;
+  /** Operations that one transaction may have. */
+  txnOps: number;
+  /** Between two writes if no task waits for them. */
+  intervalMs: number;
+  /** Between two writes if tasks wait for their start watermarks. */
+  minIntervalMs: number;
+  /** Progress as it is to be written now. */
+  progress: (now: number) => ProgressToWrite;
+  /** Called once the state store has the progress of these jobs. */
+  onWritten: (jobs: ReadonlyMap<string, JobProgress>) => void;
+}
+
+/** Writes the progress of the open jobs to the state store; only values that have changed are written. */
+export class ProgressWriter {
+  private readonly slots: ProgressSlots;
+  private writing = false;
+  private writtenAt = Number.NEGATIVE_INFINITY;
+
+  constructor(private readonly options: ProgressWriterOptions) {
+    this.slots = new ProgressSlots(options.valueBytes);
+  }
+
+  /** The job's progress is in this slot already. */
+  assignSlot(ref: string, slot: number): void {
+    this.slots.assign(ref, slot);
+  }
+
+  /** The job is closed: another one may have its slot. */
+  releaseSlot(ref: string): void {
+    this.slots.release(ref);
+  }
+
+  /** Writes progress if it is due: at intervals, and sooner if tasks wait for their start watermarks. */
+  async writeIfDue(now: number): Promise<void> {
+    const { store, txnOps, intervalMs, minIntervalMs, onWritten } = this.options;
+    if (this.writing || now - this.writtenAt < minIntervalMs) return;
+    const { jobs, watermarksRaised } = this.options.progress(now);
+    if (!watermarksRaised && now - this.writtenAt < intervalMs) return;
+    this.writtenAt = now;
+    const values = this.slots.changedValues(jobs).slice(0, txnOps);
+    if (values.length === 0) return;
+    this.writing = true;
+    const writes = values.map(({ slot, jobs: inSlot }) => ({
+      put: keys.progress(store.partition, slot),
+      value: encodeProgress(inSlot),
+    }));
+    // An earlier attempt that is applied late must not bring lower start watermarks back.
+    const unchanged = writes.map(({ put }) => ({ key: put, revision: store.stateStore.revisionOf(put) }));
+    const priority = watermarksRaised ? RequestPriority.Decision : RequestPriority.Progress;
+    const result = await store.transact(unchanged, writes, priority, WRITE_TIMEOUT_MS);
+    if (result.kind === 'applied') await store.stateStore.whenCaughtUp(result.revision, WRITE_TIMEOUT_MS);
+    this.writing = false;
+    if (result.kind !== 'applied') return;
+    for (const value of values) {
+      this.slots.markWritten(value);
+      onWritten(value.jobs);
+    }
+  }
+}
--- /dev/null
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -0,0 +1,58 @@
+import { RequestPriority } from '../../storage/state-store-client';
+import { keys, type TerminalState } from '../../protocol/records';
+import { type PartitionStore } from './partition-store';
+
+const MAX_STATES_PER_WRITE = 30;
+/** Once a stored value is longer than this, a new one is begun. */
+const MAX_VALUE_BYTES = 1500;
+const CATCH_UP_TIMEOUT_MS = 2000;
+
+/** Writes the terminal states of jobs to the state store, one transaction at a time, until none is left. */
+export class TerminalStateWriter {
+  private writing = false;
+
+  constructor(
+    private readonly store: PartitionStore,
+    /** States that the state store does not have yet. */
+    private readonly pending: () => ReadonlyMap<string, TerminalState>,
+    /** Operations that one transaction may have. */
+    private readonly txnOps: number,
+  ) {}
+
+  /** Starts to write what is pending, unless that goes on already. */
+  writePending(): void {
+    if (this.pending().size > 0) void this.write();
+  }
+
+  private async write(): Promise<void> {
+    if (this.writing || !this.store.isActive) return;
+    this.writing = true;
+    const states = [...this.pending()].slice(0, Math.min(MAX_STATES_PER_WRITE, this.txnOps * 2));
+    const { key, revision, value } = this.targetValue();
+    // A job that its user has cancelled meanwhile is not written: its cancellation decides.
+    const notCancelled = states.map(([ref]) => ({ key: keys.cancel(ref), revision: 0 }));
+    const result = await this.store.transact(
+      [{ key, revision }, ...notCancelled],
+      [{ put: key, value: { ...value, ...Object.fromEntries(states) } }],
+      RequestPriority.Decision,
+    );
+    // A conflicting change, and this write itself, arrive by the watch; the next attempt starts from there.
+    if (result.kind === 'applied')
+      await this.store.stateStore.whenCaughtUp(result.revision, CATCH_UP_TIMEOUT_MS);
+    else await this.store.waitToRetry();
+    this.writing = false;
+    this.writePending();
+  }
+
+  /** The value to extend: the partition's last one, or a new one if that is full. */
+  private targetValue(): { key: string; revision: number; value: object } {
+    const { partition, replica, stateStore } = this.store;
+    const last = replica.lastTerminalStatesIndex(partition);
+    const key = keys.terminalStates(partition, last);
+    const current = stateStore.entries.get(key);
+    if (current === undefined) return { key, revision: 0, value: {} };
+    if (JSON.stringify(current.value).length > MAX_VALUE_BYTES)
+      return { key: keys.terminalStates(partition, last + 1), revision: 0, value: {} };
+    return { key, revision: current.revision, value: current.value as object };
+  }
+}
--- a/test/partition-actor.test.ts
+++ b/test/partition-actor.test.ts
@@ -54,16 +54,17 @@
       options: { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
     });
     this.core.upsertMachine(MACHINE, record, 110, 0);
-    this.actor = new PartitionActor(
-      this.core,
-      { teams: [], owner: 'a', incarnation: 7 },
-      this.ledger,
+    this.actor = new PartitionActor({
+      core: this.core,
+      record: { teams: [], owner: 'a', incarnation: 7 },
+      stateStore: this.ledger,
       replica,
       clock,
       log,
-      { alive: () => this.alive, mayRenewLeases: () => this.alive },
-      { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitions: 2, progressMs: 2000 },
-    );
+      authority: { alive: () => this.alive, mayRenewLeases: () => this.alive },
+      options: { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitions: 2, progressMs: 2000 },
+      balancing: null,
+    });
   }
 }
 
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -12,7 +12,8 @@
   },
   {
     cause: 'progress',
-    frames: /writeProgress|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
+    frames:
+      /progress-writer\.js|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
   },
   { cause: 'partition loads', frames: /partition-load\.js/ },
   {
@@ -24,7 +25,11 @@
     cause: "leader's planning",
     frames: /coordination\/(leader|fleet)\//,
   },
-  { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
+  {
+    cause: 'partition tick',
+    frames:
+      /partition-(core|actor|store)\.js|(terminal-state|assigned-machine|machine-record)-writer\.js|tick .*controller\.js/,
+  },
   { cause: 'frames between controllers', frames: /peer-link\.js|peers\.js|avsc|publishStatus|receiveFrame/ },
   {
     cause: 'watch events and refill',
