--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -71,8 +71,8 @@
     const partition = partitions.get(machine.record.partition);
     if (partition?.active) {
       partition.send({
-        kind: 'report',
-        report: heartbeat,
+        kind: 'heartbeat',
+        heartbeat,
         reply: (answer) => reply(answer ? { kind: 'answer', ...answer } : { kind: 'busy' }),
       });
       return;
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -106,40 +106,41 @@
       partitions: replica.partitions.size,
       progressMs: policy.progressIntervalS * 1000,
     };
-    return new PartitionActor(
+    return new PartitionActor({
       core,
-      stored.record,
+      record: stored.record,
       stateStore,
       replica,
       clock,
       log,
-      membership,
+      authority: membership,
       options,
-      balancing?.forPartition(core) ?? null,
-    );
+      balancing: balancing?.forPartition(core) ?? null,
+    });
   }
 
   private createCore({ id, record, epoch }: StoredPartition): PartitionCore {
     const { settings, replica, machineTypes } = this.deps;
-    return new PartitionCore(
+    return new PartitionCore({
       id,
       epoch,
-      settings.teams.filter((team) => record.teams.includes(team.name)),
-      machineTypes,
-      (ref) => replica.jobs.get(ref)?.spec,
-      {
+      teams: settings.teams.filter((team) => record.teams.includes(team.name)),
+      types: machineTypes,
+      specOfClosedJob: (ref) => replica.jobs.get(ref)?.spec,
+      options: {
         heartbeatIntervalMs: settings.heartbeatIntervalMs,
         leaseMs: settings.leaseMs,
         valueBytes: settings.stateStore.valueBytes,
         objectives: settings.objectives,
       },
-      replica.assignedInPartition(id),
-    );
+      assignedMachines: replica.assignedInPartition(id),
+    });
   }
 
   private sendRecordedMachines(actor: PartitionActor): void {
     for (const [machine, entry] of this.deps.replica.machines)
-      if (entry.record.partition === actor.core.id) actor.send({ kind: 'machine', id: machine, entry });
+      if (entry.record.partition === actor.core.id)
+        actor.send({ kind: 'machine-changed', id: machine, entry });
   }
 
   /** Open jobs, and those closed ones that open jobs may depend on or that workers may still run. */
@@ -148,9 +149,9 @@
     for (const { spec, acceptedAt, revision, state } of replica.jobs.values()) {
       if (!actor.core.owns(spec.team)) continue;
       const progress = replica.progressOf(spec.ref);
-      if (state === 'open') actor.send({ kind: 'job', spec, acceptedAt, version: revision, progress });
+      if (state === 'open') actor.send({ kind: 'job-opened', spec, acceptedAt, revision, progress });
       else if (spec.pipeline || state !== 'done')
-        actor.send({ kind: 'ended', spec, version: revision, state });
+        actor.send({ kind: 'job-terminated', spec, revision, state });
     }
   }
 }
@@ -158,13 +159,13 @@
 function forwardTo(actor: PartitionActor, event: Exclude<ReplicaEvent, { kind: 'members' }>): void {
   const { core } = actor;
   if (event.kind === 'machine-removed') {
-    actor.send({ kind: 'machine', id: event.id, entry: null });
+    actor.send({ kind: 'machine-changed', id: event.id, entry: null });
   } else if (event.kind === 'machine') {
     const recordedHere = event.entry.record.partition === core.id;
-    actor.send({ kind: 'machine', id: event.id, entry: recordedHere ? event.entry : null });
+    actor.send({ kind: 'machine-changed', id: event.id, entry: recordedHere ? event.entry : null });
   } else if (core.owns(event.job.spec.team)) {
     const { spec, acceptedAt, revision, state } = event.job;
-    if (event.kind === 'closed') actor.send({ kind: 'closed', ref: spec.ref, state });
-    else actor.send({ kind: 'job', spec, acceptedAt, version: revision, progress: null });
+    if (event.kind === 'closed') actor.send({ kind: 'job-closed', ref: spec.ref, state });
+    else actor.send({ kind: 'job-opened', spec, acceptedAt, revision, progress: null });
   }
 }
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -12,7 +12,8 @@
   },
   {
     cause: 'progress',
-    frames: /writeProgress|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
+    frames:
+      /progress-writer\.js|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
   },
   { cause: 'partition loads', frames: /partition-load\.js/ },
   {
@@ -24,7 +25,11 @@
     cause: "leader's planning",
     frames: /coordination\/(leader|fleet)\//,
   },
-  { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
+  {
+    cause: 'partition tick',
+    frames:
+      /partition-(core|actor|store)\.js|(terminal-state|assigned-machine|machine-record)-writer\.js|tick .*controller\.js/,
+  },
   {
     cause: 'frames between controllers',
     frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/,
@@ -50,8 +55,9 @@
   { cause: 'event loop and timers', frames: /\(program\)|node:internal\/(timers|process)/ },
 ];
 
-/** A report is a message of the partition: its stack also holds the partition's frames. */
-const HEARTBEAT_FRAME = /(report|take|answer|isNews|adopt|exited) .*(partition|machine)\.js/;
+/** A heartbeat is a message of the partition actor: its stack also holds the partition's frames. */
+const HEARTBEAT_FRAME =
+  /heartbeat-handler\.js|handleHeartbeat .*partition-core\.js|(applyHeartbeat|takeCommands|isNewer) .*machine\.js/;
 const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
