--- a/src/coordination/balancing/load-balancing.ts
+++ b/src/coordination/balancing/load-balancing.ts
@@ -9,7 +9,7 @@
 import { type Balancing } from './balancing';
 import { type FleetBalancing, type FleetSize, type ReviewedActions } from '../fleet/fleet-balancing';
 import { type PartitionBalancing } from '../partition/partition-balancing';
-import { type FleetAction } from '../fleet/capacity-plan';
+import { type FleetAction } from '../fleet/fleet-snapshot';
 import { type PartitionCore } from '../partition/partition-core';
 import { TaskMoves } from './task-moves';
 
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -124,7 +124,7 @@
         clock,
         log,
         member: this.membership,
-        ledger: this.stateStore,
+        stateStore: this.stateStore,
         replica: this.replica,
       },
       cloud: new CloudClient(dependencies.cloudTransport, clock, log, settings.cloudRequestRate),
@@ -276,7 +276,7 @@
       if (!this.leader.leading) {
         return reply({ kind: 'redirect', owner: this.redirectTo(this.replica.leader?.member) });
       }
-      this.leader.send({ kind: 'unknown-machine-heartbeat', report: heartbeat });
+      this.leader.send({ kind: 'unknown-machine-heartbeat', heartbeat });
       return reply({ kind: 'busy' });
     }
     const partition = this.partitions.get(machine.record.partition);
--- a/src/coordination/fleet/autoscaler.ts
+++ b/src/coordination/fleet/autoscaler.ts
@@ -1,9 +1,13 @@
+import { CapacityPlan } from './capacity-plan';
+import { type FleetAction, type FleetSnapshot } from './fleet-snapshot';
 import { rebalanceMachines, revokeDrains } from './machine-rebalancer';
-import { CapacityPlan, type FleetAction, type FleetSnapshot } from './capacity-plan';
+import { drainSurplus, scaleInBroken, scaleInIdle, scaleInLateBooting } from './scale-in';
 import { scaleOut } from './scale-out';
-import { scaleInBroken, scaleInIdle, scaleInLateBooting, drainSurplus } from './scale-in';
 
-/** What to rent, move and return, given what waits and what there is. Pure. */
+/**
+ * Plans one round: which machines to provision, transfer between partitions and give back. A pure function of the snapshot;
+ * each step takes into account what the steps before it have decided.
+ */
 export function planCapacity(snapshot: FleetSnapshot): FleetAction[] {
   const plan = new CapacityPlan(snapshot);
   scaleInBroken(plan);
--- /dev/null
+++ b/src/coordination/fleet/demand-matching.ts
@@ -0,0 +1,36 @@
+import { type MachineType } from '../../protocol/cloud';
+import { type Demand } from '../../protocol/peers';
+import { allowsMachineType, countFitting, type Resources } from '../partition/placement';
+import { type MachineKind } from './fleet-snapshot';
+
+/** A machine, or one that could be provisioned. */
+export interface MachineOption {
+  type: MachineType;
+  zone: string;
+  spot: boolean;
+}
+
+/** All resources of a machine of a type, as a new object. */
+export function fullCapacity({ cpus, accelerators, memoryGb }: MachineType): Resources {
+  return { cpus, accelerators, memoryGb };
+}
+
+/** Whether a demand allows a kind of machine. */
+export function allowsMachineKind(demand: Demand, kind: MachineKind): boolean {
+  const allowsZone = demand.zones === null || demand.zones.includes(kind.zone);
+  return allowsZone && allowsMachineType(demand, kind);
+}
+
+/** Whether a machine, if it were empty, could take a task of this demand. */
+export function canRun(demand: Demand, { type, zone, spot }: MachineOption): boolean {
+  return allowsMachineKind(demand, { type: type.name, zone, spot }) && countFitting(type, demand) > 0;
+}
+
+/** Takes the resources of as many tasks of a demand as fit, at most `tasks`, and returns how many. Changes `free`. */
+export function reserveTasks(free: Resources, demand: Demand, tasks: number): number {
+  const count = Math.min(tasks, countFitting(free, demand));
+  free.cpus -= count * demand.cpus;
+  free.accelerators -= count * demand.accelerators;
+  free.memoryGb -= count * demand.memoryGb;
+  return count;
+}
--- a/src/coordination/fleet/fleet-history.ts
+++ b/src/coordination/fleet/fleet-history.ts
@@ -1,89 +1,91 @@
+import { type ListedMachine, type MachineRequest } from '../../protocol/cloud';
 import { type PartitionLoad } from '../../protocol/peers';
 import { type MachineRecord } from '../../protocol/records';
-import { type ListedMachine, type MachineRequest } from '../../protocol/cloud';
-import { type FleetMachine } from './capacity-plan';
+import { type FleetMachine, type MachineKind } from './fleet-snapshot';
 
-/** What a leader has seen of a machine since it began to lead. */
+/** What a leader has seen of a machine in its term. Times are milliseconds of the steady clock. */
 interface MachineHistory {
   firstSeenAt: number;
-  /** When it was rented, by a list that shows it as booting; else when this leader first heard of it. */
+  /** When it was provisioned, by a list that shows it as booting; else when this leader first saw it. */
   bootingSince: number;
   transferredAt: number;
   firstListedAt: number | null;
   status: ListedMachine['status'] | null;
-  /** When some owner last heard it, as far as this leader was told; null: nobody has since this leader began. */
+  /** When some owner last received a heartbeat, as far as this leader was told; null: none has in this term. */
   lastHeartbeatAt: number | null;
-  /** Since when its partition's owner takes it to be at fault. */
+  /** Since when its partition's owner quarantines it, null: it does not. */
   quarantinedSince: number | null;
 }
 
-/** How the machines of the fleet have fared, as their owners and the cloud's lists tell a leader. */
+interface ProvisionsInFlight {
+  partition: string;
+  kind: MachineRequest;
+  count: number;
+}
+
+/** What a leader has seen of the fleet in its term: by the owners' loads, the cloud's lists and its own requests. */
 export class FleetHistory {
   private readonly machines = new Map<string, MachineHistory>();
-  /** Machines asked for whose rental is not answered or recorded yet, by partition and kind. */
-  private readonly provisionsInFlight = new Map<
-    string,
-    { partition: string; kind: MachineRequest; count: number }
-  >();
+  /** Machines that were requested and are not recorded yet, by partition and kind. */
+  private readonly provisionsInFlight = new Map<string, ProvisionsInFlight>();
 
-  /** A new leader starts with what it sees itself. */
+  /** Begins a new term: a leader goes by what it sees itself. */
   clear(): void {
     this.machines.clear();
   }
 
-  /** Begins to watch a machine, unless it is known. */
+  /** A machine's history, which begins now unless the machine is known. */
   historyOf(id: string, now: number): MachineHistory {
-    let history = this.machines.get(id);
-    if (!history) {
-      history = {
-        firstSeenAt: now,
-        transferredAt: Number.NEGATIVE_INFINITY,
-        bootingSince: now,
-        firstListedAt: null,
-        status: null,
-        lastHeartbeatAt: null,
-        quarantinedSince: null,
-      };
-      this.machines.set(id, history);
-    }
+    const known = this.machines.get(id);
+    if (known) return known;
+    const history = {
+      firstSeenAt: now,
+      bootingSince: now,
+      transferredAt: Number.NEGATIVE_INFINITY,
+      firstListedAt: null,
+      status: null,
+      lastHeartbeatAt: null,
+      quarantinedSince: null,
+    };
+    this.machines.set(id, history);
     return history;
   }
 
-  /** An owner tells how its machines stand. */
+  /** Takes what a partition's owner sent of its machines, received at `at`. */
   recordLoad({ machines }: PartitionLoad, at: number, now: number): void {
     for (const { machine, sinceHeartbeatMs, quarantined } of machines) {
       if (sinceHeartbeatMs < 0) continue;
       const history = this.historyOf(machine, now);
-      history.lastHeartbeatAt = Math.max(
-        history.lastHeartbeatAt ?? Number.NEGATIVE_INFINITY,
-        at - sinceHeartbeatMs,
-      );
+      const before = history.lastHeartbeatAt ?? Number.NEGATIVE_INFINITY;
+      history.lastHeartbeatAt = Math.max(before, at - sinceHeartbeatMs);
       history.quarantinedSince = quarantined ? (history.quarantinedSince ?? now) : null;
     }
   }
 
-  /** A list of the cloud's, asked for at `at`, shows a machine. */
+  /**
+   * Takes one machine of a list that was requested at `at`. The age counts only while the machine boots: a machine that
+   * boots for minutes must not look new to a new leader, and one that is up and has sent no heartbeat since a failover must
+   * not look as if it never came up, or a new leader would give working machines back.
+   */
   recordListed({ name, status, ageS }: ListedMachine, at: number, now: number): void {
     const history = this.historyOf(name, now);
     history.firstListedAt ??= now;
-    // A new leader must not take what has been booting for minutes for something just rented. Nor, what is up and has
-    // not spoken since a take-over for something that never came up: it once gave six hundred machines back at work.
+    history.status = status;
     history.bootingSince =
       status === 'booting' ? Math.min(history.bootingSince, at - ageS * 1000) : history.firstSeenAt;
-    history.status = status;
   }
 
   /** How long before `at` a machine was first listed; null: it was not. */
   listedForMs(id: string, at: number): number | null {
-    const firstListed = this.machines.get(id)?.firstListedAt ?? null;
-    return firstListed === null ? null : at - firstListed;
+    const firstListedAt = this.machines.get(id)?.firstListedAt ?? null;
+    return firstListedAt === null ? null : at - firstListedAt;
   }
 
   recordTransfer(id: string, now: number): void {
     this.historyOf(id, now).transferredAt = now;
   }
 
-  /** Counts rentals that are under way, or no more. */
+  /** Adds to the machines that are being provisioned for a partition; with a negative `n`, that many are no longer. */
   countProvisions(partition: string, kind: MachineRequest, n: number): void {
     const key = JSON.stringify([partition, kind.type, kind.zone, kind.spot]);
     const count = (this.provisionsInFlight.get(key)?.count ?? 0) + n;
@@ -91,25 +93,19 @@
     else this.provisionsInFlight.delete(key);
   }
 
-  /** The recorded machines and those on their way, for planning. */
+  /** The recorded machines and those that are being provisioned, for planning. */
   fleet(recorded: Iterable<[string, { record: MachineRecord }]>, now: number): FleetMachine[] {
     const fleet: FleetMachine[] = [];
-    for (const [id, { record }] of recorded) fleet.push(this.machine(id, record, now));
-    // Rentals that are not answered or recorded yet count as machines on their way.
+    for (const [id, { record }] of recorded) fleet.push(this.fleetMachine(id, record, now));
     for (const { partition, kind, count } of this.provisionsInFlight.values())
       for (let i = 0; i < count; i++) fleet.push(machineInProvisioning(partition, kind));
     return fleet;
   }
 
-  private machine(
-    id: string,
-    { partition, type, zone, spot, phase }: MachineRecord,
-    now: number,
-  ): FleetMachine {
-    const { bootingSince, lastHeartbeatAt, status, quarantinedSince, transferredAt } = this.historyOf(
-      id,
-      now,
-    );
+  private fleetMachine(id: string, record: MachineRecord, now: number): FleetMachine {
+    const { partition, type, zone, spot, phase } = record;
+    const history = this.historyOf(id, now);
+    const { lastHeartbeatAt, quarantinedSince } = history;
     return {
       id,
       partition,
@@ -117,18 +113,17 @@
       zone,
       spot,
       deprovisioning: phase === 'deprovisioning',
-      ageMs: now - bootingSince,
+      ageMs: now - history.bootingSince,
       booting: lastHeartbeatAt === null,
       sinceHeartbeatMs: lastHeartbeatAt === null ? 0 : now - lastHeartbeatAt,
-      failed: status === 'failed',
+      failed: history.status === 'failed',
       quarantinedMs: quarantinedSince === null ? 0 : now - quarantinedSince,
-      sinceTransferMs: now - transferredAt,
+      sinceTransferMs: now - history.transferredAt,
     };
   }
 }
 
-/** A machine that is rented and has no name yet. */
-function machineInProvisioning(partition: string, { type, zone, spot }: MachineRequest): FleetMachine {
+function machineInProvisioning(partition: string, { type, zone, spot }: MachineKind): FleetMachine {
   return {
     id: '',
     partition,
--- a/src/coordination/fleet/machine-rebalancer.ts
+++ b/src/coordination/fleet/machine-rebalancer.ts
@@ -1,66 +1,77 @@
 import { PRIORITIES } from '../../protocol/jobs';
 import { DRAIN_TO_CLOUD } from '../../protocol/peers';
+import { MIN_TRANSFER_INTERVAL_MS, type CapacityPlan } from './capacity-plan';
+import { canRun } from './demand-matching';
 import {
+  completionSeconds,
   totalCpus,
-  MIN_TRANSFER_INTERVAL_MS,
-  canRun,
-  type CapacityPlan,
-  type PlannedPartition,
+  unmetDemands,
   type MachineCapacity,
   type PendingDemand,
-} from './capacity-plan';
+  type PlannedPartition,
+} from './planned-partition';
 
-/** A partition gives a machine away while another would need this many times as long for its work. */
+/** A recipient gets machines only if it needs this much longer than the donor for its work, and at least this long. */
 const MIN_COMPLETION_TIME_RATIO = 1.3;
 const MIN_COMPLETION_TIME_S = 8;
-/** Draining leaves room unused: it is worth it for machines whose last task ends soon, and for few at once. */
+/** Draining leaves resources unused: it pays for machines whose last task ends soon, and for few at a time. */
 const MAX_DRAIN_S = 20;
 const MAX_DRAINING_CPU_RATIO = 0.04;
-/** More at once if the other partition would need this many times as long for work that is as urgent. */
+/** More are drained at a time if the recipient needs this many times as long as the donor. */
 const FAR_BEHIND_RATIO = 2;
 const MAX_DRAINING_CPU_RATIO_FAR_BEHIND = 0.1;
-/** A donor that has room for all of its own drains machines with up to this share of its free CPUs, however busy they are. */
+/** A donor without unmet demand drains machines with up to this share of its free CPUs, however busy they are. */
 const MAX_IDLE_TRANSFER_RATIO = 0.5;
 const MAX_IDLE_DRAIN_S = 90;
-/** So many in any case: of a small fleet a share is less than a machine. */
+/** This many may drain in any case: in a small fleet the ratios come to less than one machine. */
 const MIN_DRAIN_COUNT = 4;
 
-/** What a donor may still drain at once: any one of the three that is left allows another machine. */
+/** What a donor may still drain at a time; another machine is allowed while any of the three is left. */
 interface DrainBudget {
   cpus: number;
   machines: number;
-  /** Free CPUs that a donor without waiting work can do without. */
+  /** Free CPUs that a donor without unmet demand can do without. */
   freeCpus: number;
 }
 
 /**
- * Lets the partition that would be done first empty machines for the one that would be done last. Each urgency is looked
- * at by itself, the more urgent first: one partition's idle work is no reason to let another's urgent work wait.
+ * Transfers machines from the partition that would complete its work first to the one that would complete it last. Each
+ * priority is looked at by itself, the most urgent first: low-priority work of one partition must not let urgent work of
+ * another wait.
  */
 export function rebalanceMachines(plan: CapacityPlan): void {
-  const lending = new MachineRebalancer(plan);
-  for (let priority = 0; priority < PRIORITIES.length; priority++) lending.rebalance(priority);
+  const rebalancer = new MachineRebalancer(plan);
+  for (let priority = 0; priority < PRIORITIES.length; priority++) rebalancer.rebalance(priority);
 }
 
 class MachineRebalancer {
-  /** CPUs of each partition once what is being emptied has changed hands. */
+  /** CPUs of each partition once all transfers that are under way or decided are complete. */
   private readonly cpusByPartition: Map<PlannedPartition, number>;
+  /** Machines that are not to be transferred in this round. */
   private readonly unavailable: Set<string>;
 
   constructor(private readonly plan: CapacityPlan) {
-    const { snapshot, partitions, loadOf } = plan;
-    this.cpusByPartition = new Map(partitions.map((partition) => [partition, totalCpus(partition)]));
-    for (const m of snapshot.machines) {
-      const recipient = partitions.find((v) => v.load.partition === loadOf.get(m.id)?.transferTarget);
-      if (recipient)
-        this.cpusByPartition.set(
-          recipient,
-          this.plannedCpus(recipient) + (snapshot.types.get(m.type)?.cpus ?? 0),
-        );
-    }
+    this.cpusByPartition = new Map(plan.partitions.map((partition) => [partition, totalCpus(partition)]));
+    this.addTransfersUnderWay();
     this.unavailable = plan.transferredMachines();
-    for (const m of snapshot.machines)
-      if (m.sinceTransferMs < MIN_TRANSFER_INTERVAL_MS) this.unavailable.add(m.id);
+    for (const { id, sinceTransferMs } of plan.snapshot.machines)
+      if (sinceTransferMs < MIN_TRANSFER_INTERVAL_MS) this.unavailable.add(id);
+  }
+
+  rebalance(priority: number): void {
+    const recipient = this.chooseRecipient(priority);
+    const donor = recipient && this.chooseDonor(recipient, priority);
+    if (donor) this.transferMachines(donor, recipient, priority);
+  }
+
+  private addTransfersUnderWay(): void {
+    const { snapshot, partitions, loadOf } = this.plan;
+    for (const { id, type } of snapshot.machines) {
+      const target = loadOf.get(id)?.transferTarget;
+      const recipient = partitions.find(({ load }) => load.partition === target);
+      const cpus = snapshot.types.get(type)?.cpus ?? 0;
+      if (recipient) this.cpusByPartition.set(recipient, this.plannedCpus(recipient) + cpus);
+    }
   }
 
   private plannedCpus(partition: PlannedPartition): number {
@@ -71,92 +82,106 @@
     return completionSeconds(partition, this.plannedCpus(partition), priority);
   }
 
-  rebalance(priority: number): void {
-    const { partitions } = this.plan;
-    const withUnmetDemand = partitions.filter((v) =>
-      v.pendingDemands.some((w) => w.tasks > 0 && w.demand.priority === priority),
+  /** Of the partitions with unmet demand of this priority, the one that completes its work last. */
+  private chooseRecipient(priority: number): PlannedPartition | undefined {
+    const candidates = this.plan.partitions.filter((partition) =>
+      unmetDemands(partition).some(({ demand }) => demand.priority === priority),
     );
-    const recipient = withUnmetDemand.sort(
-      (a, b) => this.completionS(b, priority) - this.completionS(a, priority),
-    )[0];
-    // Who has more urgent work without room lends nothing for less urgent work: while its machines went out for that,
-    // as many came back for the other, twice a second, and the partition ended up with nearly none.
-    const possibleDonors = partitions.filter(
-      (v) => v !== recipient && !v.pendingDemands.some((w) => w.tasks > 0 && w.demand.priority < priority),
+    return candidates.sort((a, b) => this.completionS(b, priority) - this.completionS(a, priority))[0];
+  }
+
+  /**
+   * The partition that completes its work first. One with unmet demand of higher priority gives nothing: it would get
+   * machines for that demand while it gives others away, and machines would be exchanged without end.
+   */
+  private chooseDonor(recipient: PlannedPartition, priority: number): PlannedPartition | undefined {
+    const candidates = this.plan.partitions.filter(
+      (partition) =>
+        partition !== recipient && !unmetDemands(partition).some(({ demand }) => demand.priority < priority),
     );
-    const donor = possibleDonors.sort(
-      (a, b) => this.completionS(a, priority) - this.completionS(b, priority),
-    )[0];
-    if (recipient && donor) this.transferMachines(donor, recipient, priority);
+    return candidates.sort((a, b) => this.completionS(a, priority) - this.completionS(b, priority))[0];
   }
 
   private transferMachines(donor: PlannedPartition, recipient: PlannedPartition, priority: number): void {
-    const unmet = recipient.pendingDemands.filter((w) => w.tasks > 0 && w.demand.priority <= priority);
-    let missingCpus = unmet.reduce((sum, w) => sum + w.tasks * w.demand.cpus, 0);
+    const unmet = unmetDemands(recipient).filter(({ demand }) => demand.priority <= priority);
+    // Work beyond the teams' limits is no demand, and cannot use more machines.
+    let missingCpus = unmet.reduce((sum, { tasks, demand }) => sum + tasks * demand.cpus, 0);
     missingCpus -= this.plannedCpus(recipient) - totalCpus(recipient);
-    const budget = this.drainBudget(
-      donor,
-      this.completionS(recipient, priority) > FAR_BEHIND_RATIO * this.completionS(donor, priority),
-    );
+    const budget = this.drainBudget(donor, this.isFarBehind(recipient, donor, priority));
     for (const machine of this.transferCandidates(donor, unmet, budget)) {
       const { cpus } = machine.type;
-      const recipientS = this.completionS(recipient, priority);
-      // Work beyond the teams' limits cannot use more machines.
-      if (
-        missingCpus <= 0 ||
-        recipientS < MIN_COMPLETION_TIME_S ||
-        recipientS < MIN_COMPLETION_TIME_RATIO * this.completionS(donor, priority)
-      )
-        break;
-      const busy = this.plan.tasksOn(machine.id) > 0;
-      if (busy && budget.cpus <= 0 && budget.machines <= 0 && budget.freeCpus <= 0) break;
-      const [donorCpus, recipientCpus] = [this.plannedCpus(donor) - cpus, this.plannedCpus(recipient) + cpus];
-      // It must not turn the two round.
-      if (
-        completionSeconds(donor, donorCpus, priority) > completionSeconds(recipient, recipientCpus, priority)
-      )
-        continue;
-      this.cpusByPartition.set(donor, donorCpus);
-      this.cpusByPartition.set(recipient, recipientCpus);
+      if (missingCpus <= 0 || !this.isWorthwhile(donor, recipient, priority)) break;
+      const isBusy = this.plan.tasksOn(machine.id) > 0;
+      if (isBusy && isSpent(budget)) break;
+      if (this.wouldReverse(donor, recipient, cpus, priority)) continue;
+      this.cpusByPartition.set(donor, this.plannedCpus(donor) - cpus);
+      this.cpusByPartition.set(recipient, this.plannedCpus(recipient) + cpus);
       missingCpus -= cpus;
-      if (busy) spend(budget, cpus, machine.free.cpus);
+      if (isBusy) spend(budget, cpus, machine.free.cpus);
       this.unavailable.add(machine.id);
       this.plan.drain(machine.id, donor.load.partition, recipient.load.partition);
     }
   }
 
-  private drainBudget(donor: PlannedPartition, farBehind: boolean): DrainBudget {
-    const free = donor.machines.reduce((sum, s) => sum + s.free.cpus, 0);
+  private isFarBehind(recipient: PlannedPartition, donor: PlannedPartition, priority: number): boolean {
+    return this.completionS(recipient, priority) > FAR_BEHIND_RATIO * this.completionS(donor, priority);
+  }
+
+  private isWorthwhile(donor: PlannedPartition, recipient: PlannedPartition, priority: number): boolean {
+    const recipientS = this.completionS(recipient, priority);
+    const donorS = this.completionS(donor, priority);
+    return recipientS >= MIN_COMPLETION_TIME_S && recipientS >= MIN_COMPLETION_TIME_RATIO * donorS;
+  }
+
+  /** Whether a transfer of so many CPUs would make the donor the one that completes its work last. */
+  private wouldReverse(
+    donor: PlannedPartition,
+    recipient: PlannedPartition,
+    cpus: number,
+    priority: number,
+  ): boolean {
+    const donorS = completionSeconds(donor, this.plannedCpus(donor) - cpus, priority);
+    const recipientS = completionSeconds(recipient, this.plannedCpus(recipient) + cpus, priority);
+    return donorS > recipientS;
+  }
+
+  private drainBudget(donor: PlannedPartition, isFarBehind: boolean): DrainBudget {
+    const freeCpus = donor.machines.reduce((sum, { free }) => sum + free.cpus, 0);
+    const cpuRatio = isFarBehind ? MAX_DRAINING_CPU_RATIO_FAR_BEHIND : MAX_DRAINING_CPU_RATIO;
     const budget = {
-      cpus: (farBehind ? MAX_DRAINING_CPU_RATIO_FAR_BEHIND : MAX_DRAINING_CPU_RATIO) * totalCpus(donor),
+      cpus: cpuRatio * totalCpus(donor),
       machines: MIN_DRAIN_COUNT,
-      // A donor that has room for all of its own loses by a drain no more than the room that is free on that machine.
-      freeCpus: donor.hasUnmetDemand ? 0 : MAX_IDLE_TRANSFER_RATIO * free,
+      // A donor without unmet demand loses by a drain no more than the free CPUs of the machine.
+      freeCpus: donor.hasUnmetDemand ? 0 : MAX_IDLE_TRANSFER_RATIO * freeCpus,
     };
-    for (const m of donor.load.machines) {
-      if (m.transferTarget === null) continue;
-      spend(budget, this.plan.typeOf(m.machine)?.cpus ?? 0, (1 - MAX_IDLE_TRANSFER_RATIO) * m.freeCpus);
+    for (const load of donor.load.machines) {
+      if (load.transferTarget === null) continue;
+      const cpus = this.plan.typeOf(load.machine)?.cpus ?? 0;
+      spend(budget, cpus, (1 - MAX_IDLE_TRANSFER_RATIO) * load.freeCpus);
     }
     return budget;
   }
 
-  /** Machines that the donor can give, emptiest first: what is free or still booting moves at once. */
+  /** Machines that the donor can give and the recipient can use, emptiest first: an empty one transfers at once. */
   private transferCandidates(
     donor: PlannedPartition,
     unmet: readonly PendingDemand[],
     { freeCpus }: DrainBudget,
   ): MachineCapacity[] {
     const { loadOf } = this.plan;
-    const withinS = freeCpus > 0 ? MAX_IDLE_DRAIN_S : MAX_DRAIN_S;
+    const maxDrainS = freeCpus > 0 ? MAX_IDLE_DRAIN_S : MAX_DRAIN_S;
     return donor.machines
-      .filter(
-        (s) => !this.unavailable.has(s.id) && loadOf.has(s.id) && unmet.some((w) => canRun(w.demand, s)),
-      )
-      .filter((s) => !loadOf.get(s.id)?.preemptionNotice && this.plan.emptyInS(s.id) < withinS)
+      .filter(({ id }) => !this.unavailable.has(id) && loadOf.has(id))
+      .filter((machine) => unmet.some(({ demand }) => canRun(demand, machine)))
+      .filter(({ id }) => !loadOf.get(id)?.preemptionNotice && this.plan.emptyInS(id) < maxDrainS)
       .sort((a, b) => b.free.cpus / b.type.cpus - a.free.cpus / a.type.cpus);
   }
 }
 
+function isSpent({ cpus, machines, freeCpus }: DrainBudget): boolean {
+  return cpus <= 0 && machines <= 0 && freeCpus <= 0;
+}
+
 function spend(budget: DrainBudget, cpus: number, freeCpus: number): void {
   budget.cpus -= cpus;
   budget.machines--;
@@ -164,35 +189,26 @@
 }
 
 /**
- * Takes a draining back that the work since has made wrong. Waiting tasks that other machines have room for are no reason:
- * the tasks stopped on a draining machine wait themselves for a moment, and once had every drain of their partition taken
- * back.
+ * Revokes drains that later work has made wrong. Demand that other machines of the partition have resources for is no
+ * reason: the tasks that a drain itself stopped wait for a moment too, and would have every drain revoked.
  */
 export function revokeDrains(plan: CapacityPlan): void {
-  const byPartition = new Map(plan.partitions.map((v) => [v.load.partition, v]));
+  const byPartition = new Map(plan.partitions.map((partition) => [partition.load.partition, partition]));
   for (const { id, partition } of plan.snapshot.machines) {
-    const to = plan.loadOf.get(id)?.transferTarget;
-    const from = byPartition.get(partition);
-    if (to === undefined || to === null || !from) continue;
-    const wanted = to === DRAIN_TO_CLOUD ? !from.hasUnmetDemand : isBehind(byPartition.get(to), from);
-    if (!wanted) plan.drain(id, partition, partition);
+    const target = plan.loadOf.get(id)?.transferTarget;
+    const donor = byPartition.get(partition);
+    if (target === undefined || target === null || !donor) continue;
+    const isWanted =
+      target === DRAIN_TO_CLOUD ? !donor.hasUnmetDemand : isBehind(byPartition.get(target), donor);
+    if (!isWanted) plan.drain(id, partition, partition);
   }
 }
 
-/** Whether the taker still waits for machines, and would be done later than the donor. */
+/** Whether the recipient still has unmet demand, and would complete it later than the donor. */
 function isBehind(recipient: PlannedPartition | undefined, donor: PlannedPartition): boolean {
-  const unmet = recipient?.pendingDemands.filter((w) => w.tasks > 0) ?? [];
+  const unmet = recipient ? unmetDemands(recipient) : [];
   if (!recipient || unmet.length === 0) return false;
-  const priority = Math.min(...unmet.map((w) => w.demand.priority));
-  return (
-    completionSeconds(recipient, totalCpus(recipient), priority) >
-    completionSeconds(donor, totalCpus(donor), priority)
-  );
-}
-
-/** Seconds in which a partition would have done its work down to this urgency with these CPUs. */
-function completionSeconds({ load }: PlannedPartition, cpus: number, priority: number): number {
-  let work = 0;
-  for (let r = 0; r <= priority; r++) work += (load.remainingWork[r] ?? 0) + (load.backlog[r] ?? 0);
-  return work / Math.max(1, cpus);
+  const priority = Math.min(...unmet.map(({ demand }) => demand.priority));
+  const recipientS = completionSeconds(recipient, totalCpus(recipient), priority);
+  return recipientS > completionSeconds(donor, totalCpus(donor), priority);
 }
--- /dev/null
+++ b/src/coordination/fleet/planned-partition.ts
@@ -0,0 +1,74 @@
+import { type MachineType } from '../../protocol/cloud';
+import { type Demand, type PartitionLoad } from '../../protocol/peers';
+import { type Resources } from '../partition/placement';
+import { canRun, reserveTasks } from './demand-matching';
+
+/** A machine that a partition can count on, with the resources that the plan leaves free on it. */
+export interface MachineCapacity {
+  /** Empty: it is being provisioned and has no name yet. */
+  id: string;
+  free: Resources;
+  type: MachineType;
+  zone: string;
+  spot: boolean;
+}
+
+/** How many tasks of a demand the plan has found no resources for yet. */
+export interface PendingDemand {
+  readonly demand: Demand;
+  tasks: number;
+  /** How many of the partition's machines were tried: their free resources only shrink. */
+  scannedMachines: number;
+}
+
+/** A partition as it will be once the actions decided so far have been carried out. */
+export interface PlannedPartition {
+  readonly load: PartitionLoad;
+  /** Most urgent first. */
+  readonly pendingDemands: readonly PendingDemand[];
+  readonly machines: MachineCapacity[];
+  /** CPU seconds that run, and those that wait with the priorities planned for so far. */
+  queuedCpuSeconds: number;
+  /** Some tasks found no resources on the machines that the partition had when planning began. */
+  readonly hasUnmetDemand: boolean;
+}
+
+/** A partition at the beginning of planning, its demands set against the machines that it has in use. */
+export function planPartition(load: PartitionLoad, machines: MachineCapacity[]): PlannedPartition {
+  const demands = [...load.demands].sort((a, b) => a.priority - b.priority);
+  const pendingDemands = demands.map((demand) => ({ demand, tasks: demand.tasks, scannedMachines: 0 }));
+  for (const pending of pendingDemands) placeOnMachines(machines, pending);
+  return {
+    load,
+    pendingDemands,
+    machines,
+    queuedCpuSeconds: load.remainingWork.reduce((sum, work) => sum + work, 0),
+    hasUnmetDemand: pendingDemands.some(({ tasks }) => tasks > 0),
+  };
+}
+
+/** Places tasks of a demand on machines that were not tried before. */
+export function placeOnMachines(machines: readonly MachineCapacity[], pending: PendingDemand): void {
+  while (pending.scannedMachines < machines.length && pending.tasks > 0) {
+    const machine = machines[pending.scannedMachines++] as MachineCapacity;
+    if (!canRun(pending.demand, machine)) continue;
+    pending.tasks -= reserveTasks(machine.free, pending.demand, pending.tasks);
+  }
+}
+
+/** CPUs of the machines that a partition has in use. */
+export function totalCpus({ machines }: PlannedPartition): number {
+  return machines.reduce((sum, { type }) => sum + type.cpus, 0);
+}
+
+/** Seconds in which a partition would complete its work of this priority and all higher ones with so many CPUs. */
+export function completionSeconds({ load }: PlannedPartition, cpus: number, priority: number): number {
+  let work = 0;
+  for (let p = 0; p <= priority; p++) work += (load.remainingWork[p] ?? 0) + (load.backlog[p] ?? 0);
+  return work / Math.max(1, cpus);
+}
+
+/** Demands that some tasks of found no resources. */
+export function unmetDemands({ pendingDemands }: PlannedPartition): PendingDemand[] {
+  return pendingDemands.filter(({ tasks }) => tasks > 0);
+}
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -1,68 +1,77 @@
 import { DRAIN_TO_CLOUD, type MachineLoad } from '../../protocol/peers';
-import {
-  drainsToCloud,
-  type FleetMachine,
-  type CapacityPlan,
-  type PlannedPartition,
-  type MachineCapacity,
-} from './capacity-plan';
-
-/** An idle machine is kept this long: work comes in waves, and a new one must boot and fetch first. */
+import { drainsToCloud, type CapacityPlan } from './capacity-plan';
+import { type FleetMachine } from './fleet-snapshot';
+import { type MachineCapacity, type PlannedPartition } from './planned-partition';
+
+/** An idle machine is kept this long: demand varies, and a new machine must boot and fetch images first. */
 const MAX_IDLE_MS = { spot: 18_000, onDemand: 6000 };
 const MAX_IDLE_WITHOUT_SUBMISSIONS_MS = 4000;
-/** Once no more jobs come, this many times the room that a machine's tasks take must be free elsewhere. */
+/** Without submissions, this many times the CPUs that a surplus machine's tasks use must be free on other machines. */
 const MIN_FREE_CAPACITY_RATIO = 1.5;
+/** A spot machine with at least this share of its CPUs free counts as nearly empty. */
 const NEARLY_EMPTY_RATIO = 0.7;
+/** A machine that will be empty sooner than this is not drained. */
 const MIN_REMAINING_RUN_S = 12;
-/** Of a partition's machines in use, the share that is sent off at once. */
+/** The share of a partition's machines in use that may be drained in one round. */
 const MAX_SURPLUS_DRAIN_RATIO = 0.1;
-/** A machine that boots for this many times what its type should, and a while more, never will. */
+/** A machine that boots for this many times what its type states, and the margin, never comes up. */
 const MAX_BOOT_TIME_RATIO = 3;
 const BOOT_TIME_MARGIN_MS = 15_000;
-/** How long machines of an unknown type are given to boot. */
+/** Boot time of machines of an unknown type. */
 const DEFAULT_BOOT_S = 60;
-/** A machine is charged for this long at least (PROTOCOL, "Controller nodes -> cloud"). */
+/** A machine is charged for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
 const MIN_CHARGED_MS = 60_000;
 const MAX_SILENT_MS = 30_000;
-/** Leases of silent machines have surely run out this long after their time. */
+/** Leases of a silent machine's tasks have certainly expired this long after their time. */
 const LEASE_MARGIN_MS = 5000;
-/** Whether machine or job is at fault shows elsewhere within this time; meanwhile it gets nothing. */
+/** Within this time it shows elsewhere whether a quarantined machine or a job is at fault. */
 const MAX_QUARANTINE_MS = 8000;
 
-/** Returns machines that are of no use any more, whatever waits. */
+/** Gives machines back that are of no use, whatever the demand. */
 export function scaleInBroken(plan: CapacityPlan): void {
-  for (const m of plan.snapshot.machines) {
-    const reason = m.deprovisioning ? null : brokenReason(m, plan);
-    if (reason) plan.scaleIn(m, reason, true);
+  for (const machine of plan.snapshot.machines) {
+    const reason = machine.deprovisioning ? null : brokenReason(machine, plan);
+    if (reason) plan.scaleIn(machine, reason, true);
   }
 }
 
-function brokenReason(m: FleetMachine, { snapshot, loadOf }: CapacityPlan): string | null {
-  if (m.failed) return 'failed';
-  if (m.quarantinedMs > MAX_QUARANTINE_MS) return 'fails every task';
-  const bootMs = (snapshot.types.get(m.type)?.bootS ?? DEFAULT_BOOT_S) * 1000;
-  if (m.booting && m.ageMs > MAX_BOOT_TIME_RATIO * bootMs + BOOT_TIME_MARGIN_MS) return 'never came up';
-  // Not the owner's word alone: one that fell silent while it changed owners has never been silent for the new one.
-  const silentMs = Math.max(m.sinceHeartbeatMs, loadOf.get(m.id)?.sinceHeartbeatMs ?? 0);
-  return silentMs > Math.max(MAX_SILENT_MS, snapshot.leaseMs + LEASE_MARGIN_MS) ? 'silent' : null;
+function brokenReason(machine: FleetMachine, plan: CapacityPlan): string | null {
+  if (machine.failed) return 'failed';
+  if (machine.quarantinedMs > MAX_QUARANTINE_MS) return 'fails every task';
+  if (machine.booting && machine.ageMs > maxBootMs(machine, plan)) return 'never came up';
+  return silentMs(machine, plan) > maxSilentMs(plan) ? 'silent' : null;
+}
+
+function maxBootMs({ type }: FleetMachine, { snapshot }: CapacityPlan): number {
+  const bootS = snapshot.types.get(type)?.bootS ?? DEFAULT_BOOT_S;
+  return MAX_BOOT_TIME_RATIO * bootS * 1000 + BOOT_TIME_MARGIN_MS;
 }
 
-/** What takes far longer to boot than it should is waited for only while there is work for it. */
+/** By all owners' heartbeats: to its present owner, a machine that fell silent during a handover was never silent. */
+function silentMs({ id, sinceHeartbeatMs }: FleetMachine, { loadOf }: CapacityPlan): number {
+  return Math.max(sinceHeartbeatMs, loadOf.get(id)?.sinceHeartbeatMs ?? 0);
+}
+
+function maxSilentMs({ snapshot }: CapacityPlan): number {
+  return Math.max(MAX_SILENT_MS, snapshot.leaseMs + LEASE_MARGIN_MS);
+}
+
+/** Gives machines back that boot late, once no partition has any demand. */
 export function scaleInLateBooting(plan: CapacityPlan): void {
-  if (!plan.quiet || plan.partitions.some((v) => v.pendingDemands.length > 0)) return;
-  for (const m of plan.snapshot.machines) {
-    const known = m.id !== '' && !m.deprovisioning;
-    if (known && plan.isLateBooting(m) && m.ageMs > MIN_CHARGED_MS) plan.scaleIn(m, 'boots too long', true);
+  if (!plan.quiet || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0)) return;
+  for (const machine of plan.snapshot.machines) {
+    if (machine.id === '' || machine.deprovisioning || machine.ageMs <= MIN_CHARGED_MS) continue;
+    if (plan.isLateBooting(machine)) plan.scaleIn(machine, 'boots too long', true);
   }
 }
 
-/** What is left of the pool was not needed for anything that waits. */
+/** Gives idle machines back that no demand of this round has needed. */
 export function scaleInIdle(plan: CapacityPlan): void {
   const transferred = plan.transferredMachines();
-  for (const empty of plan.emptyPool) {
-    const load = plan.loadOf.get(empty.id);
-    if (!load || load.sinceHeartbeatMs < 0 || transferred.has(empty.id)) continue;
-    if (load.idleMs > maxIdleMs(empty, plan.quiet)) plan.scaleIn(empty, 'idle', false);
+  for (const machine of plan.emptyPool) {
+    const load = plan.loadOf.get(machine.id);
+    if (!load || load.sinceHeartbeatMs < 0 || transferred.has(machine.id)) continue;
+    if (load.idleMs > maxIdleMs(machine, plan.quiet)) plan.scaleIn(machine, 'idle', false);
   }
 }
 
@@ -71,52 +80,61 @@
   return spot ? MAX_IDLE_MS.spot : MAX_IDLE_MS.onDemand;
 }
 
-/** Empties the dearest machines whose tasks the others of their partition have room for, while nothing waits. */
+/** Drains the most expensive machines whose tasks fit on others of their partition, while no partition lacks any. */
 export function drainSurplus(plan: CapacityPlan): void {
-  // What one partition can spare another may need, as soon as it can be emptied.
-  if (plan.partitions.some((v) => v.hasUnmetDemand)) return;
+  // What one partition has in surplus, another with unmet demand gets by rebalancing.
+  if (plan.partitions.some(({ hasUnmetDemand }) => hasUnmetDemand)) return;
   const transferred = plan.transferredMachines();
   for (const partition of plan.partitions)
     if (!isGrowing(plan, partition)) drainSurplusOf(plan, partition, transferred);
 }
 
-/** Machines are still to come. One that may never come up must not keep all others: for two minutes nothing was sent off. */
+/** Whether machines are about to come up. Those that boot late do not count, as some never come up. */
 function isGrowing(plan: CapacityPlan, { load }: PlannedPartition): boolean {
   return plan.snapshot.machines.some(
-    (m) => m.partition === load.partition && m.booting && !plan.isLateBooting(m),
+    (machine) => machine.partition === load.partition && machine.booting && !plan.isLateBooting(machine),
   );
 }
 
 function drainSurplusOf(
   plan: CapacityPlan,
-  partition: PlannedPartition,
+  { machines, load }: PlannedPartition,
   transferred: ReadonlySet<string>,
 ): void {
-  const running = partition.machines.filter((s) => !transferred.has(s.id) && plan.tasksOn(s.id) > 0);
-  let free =
-    running.reduce((sum, s) => sum + s.free.cpus, 0) - drainingTaskCpus(plan, partition.load.machines);
-  // While jobs still come only dear or nearly empty machines are worth the trouble; else more room is asked for than the
-  // tasks take, for some of it is needed by what comes next.
-  const freeCapacityRatio = plan.quiet ? MIN_FREE_CAPACITY_RATIO : 1;
-  let left = plan.quiet ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO)) : 1;
-  const mostExpensiveFirst = running.filter((s) => idleCost(s) > 0).sort((a, b) => idleCost(b) - idleCost(a));
-  for (const s of mostExpensiveFirst) {
-    const used = s.type.cpus - s.free.cpus;
-    if (!plan.quiet && s.spot && s.free.cpus < NEARLY_EMPTY_RATIO * s.type.cpus) continue;
-    if (free - s.free.cpus < freeCapacityRatio * used || plan.emptyInS(s.id) < MIN_REMAINING_RUN_S) continue;
-    if (left-- <= 0) break;
-    free -= s.free.cpus + used;
-    plan.drain(s.id, partition.load.partition, DRAIN_TO_CLOUD);
+  const running = machines.filter(({ id }) => !transferred.has(id) && plan.tasksOn(id) > 0);
+  let freeCpus =
+    running.reduce((sum, { free }) => sum + free.cpus, 0) - drainingTaskCpus(plan, load.machines);
+  // Without submissions more than the tasks' CPUs must be free, as some is needed by what is restarted next.
+  const minFreeRatio = plan.quiet ? MIN_FREE_CAPACITY_RATIO : 1;
+  let drainsLeft = plan.quiet ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO)) : 1;
+  for (const machine of mostExpensiveFirst(running)) {
+    const usedCpus = machine.type.cpus - machine.free.cpus;
+    // While jobs still come only on-demand and nearly empty machines are worth draining.
+    if (!plan.quiet && machine.spot && !isNearlyEmpty(machine)) continue;
+    if (freeCpus - machine.free.cpus < minFreeRatio * usedCpus) continue;
+    if (plan.emptyInS(machine.id) < MIN_REMAINING_RUN_S) continue;
+    if (drainsLeft-- <= 0) break;
+    freeCpus -= machine.free.cpus + usedCpus;
+    plan.drain(machine.id, load.partition, DRAIN_TO_CLOUD);
   }
 }
 
-/** CPUs of tasks that were sent off before and have not settled elsewhere. */
+/** CPUs of tasks that earlier drains have stopped or will stop, and that need resources elsewhere. */
 function drainingTaskCpus(plan: CapacityPlan, machines: readonly MachineLoad[]): number {
-  const leaving = machines.filter(drainsToCloud);
-  return leaving.reduce((sum, m) => sum + (plan.typeOf(m.machine)?.cpus ?? 0) - m.freeCpus, 0);
+  const draining = machines.filter(drainsToCloud);
+  return draining.reduce((sum, load) => sum + (plan.typeOf(load.machine)?.cpus ?? 0) - load.freeCpus, 0);
+}
+
+function isNearlyEmpty({ free, type }: MachineCapacity): boolean {
+  return free.cpus >= NEARLY_EMPTY_RATIO * type.cpus;
+}
+
+/** Machines with free CPUs, by the price of these. */
+function mostExpensiveFirst(machines: readonly MachineCapacity[]): MachineCapacity[] {
+  return machines.filter((machine) => idleCost(machine) > 0).sort((a, b) => idleCost(b) - idleCost(a));
 }
 
-/** What the free room of a machine costs. */
 function idleCost({ spot, type, free }: MachineCapacity): number {
-  return ((spot ? type.spotPrice : type.price) * free.cpus) / type.cpus;
+  const price = spot ? type.spotPrice : type.price;
+  return (price * free.cpus) / type.cpus;
 }
--- /dev/null
+++ b/src/coordination/leader/leadership.ts
@@ -0,0 +1,75 @@
+import { type Clock } from '../../transport/clock';
+import { type ReplicaView } from '../../storage/replica-view';
+import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
+import { keys, type MemberRecord } from '../../protocol/records';
+import { type Membership } from '../membership/membership';
+
+const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
+
+export interface LeadershipDependencies {
+  member: Membership;
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  clock: Clock;
+  /** Called once for each term, before anything is done in it. */
+  onAcquired: (term: number) => void;
+}
+
+/**
+ * The claim to the leader's record. At most one controller leads: the record is created only if there is none, it is bound
+ * to the session lease of its writer, and every decision of a leader is conditional on the record's revision, its term.
+ */
+export class Leadership {
+  /** Revision of the leader's record that this controller last wrote, 0: none. Fences its decisions. */
+  term = 0;
+  /** When the present term began, in milliseconds of the steady clock. */
+  since = 0;
+  private claiming = false;
+
+  constructor(private readonly deps: LeadershipDependencies) {}
+
+  /** Whether this controller leads as far as its session lease and its replica show. */
+  get held(): boolean {
+    const { member, replica } = this.deps;
+    return this.term !== 0 && member.alive() && replica.leader?.term === this.term;
+  }
+
+  /** Creates the leader's record if there is none; does nothing while another controller leads. */
+  async claim(): Promise<void> {
+    const { member, stateStore, replica } = this.deps;
+    if (this.claiming || !member.alive() || !stateStore.synced) return;
+    if (replica.leader) return this.recognizeOwnClaim(replica.leader);
+    this.claiming = true;
+    const record: MemberRecord = { member: member.name };
+    const result = await stateStore.transact(
+      [
+        { key: keys.leader, revision: 0 },
+        { key: keys.member(member.name), revision: member.memberIncarnation },
+      ],
+      [{ put: keys.leader, value: record, leaseId: member.sessionLeaseId }],
+      RequestPriority.Decision,
+    );
+    if (result.kind === 'applied') {
+      this.acquire(result.revision);
+      await stateStore.whenCaughtUp(result.revision, REPLICA_CATCH_UP_TIMEOUT_MS);
+    }
+    this.claiming = false;
+  }
+
+  /**
+   * A claim of this controller may have been applied although its response was lost; without recognizing it, nobody would
+   * lead for as long as this process lives. The claim was conditional on the present session lease, so a record in this
+   * member's name that is newer than its membership belongs to this process.
+   */
+  private recognizeOwnClaim(leader: { member: string; term: number }): void {
+    const { member } = this.deps;
+    const isOwn = leader.member === member.name && leader.term > member.memberIncarnation;
+    if (isOwn && leader.term !== this.term) this.acquire(leader.term);
+  }
+
+  private acquire(term: number): void {
+    this.term = term;
+    this.since = this.deps.clock.steady();
+    this.deps.onAcquired(term);
+  }
+}
--- /dev/null
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -0,0 +1,92 @@
+import { type MachineRequest } from '../../protocol/cloud';
+import { type MachineRecord } from '../../protocol/records';
+import { type FleetAction, kindKey, type MachineKind } from '../fleet/fleet-snapshot';
+import { type FleetHistory } from '../fleet/fleet-history';
+import { type CloudClient, type ProvisionResult } from './cloud-client';
+import { type MachineRegistry } from './machine-registry';
+
+const MAX_MACHINES_PER_CALL = 50;
+const MAX_CALLS_PER_KIND = 3;
+/** For so long a kind of machine is not planned with after the cloud had too few of it. */
+const CAPACITY_EXHAUSTED_MS = 12_000;
+
+/** One call to the cloud for machines of one kind, and the partitions that they are for. */
+export interface ProvisionCall {
+  request: MachineRequest;
+  /** One for each machine. */
+  partitions: readonly string[];
+}
+
+export interface MachineProvisionerDependencies {
+  cloud: CloudClient;
+  registry: MachineRegistry;
+  history: FleetHistory;
+  /** A name that no other call of any controller has. */
+  nextCallName: () => string;
+  onResult: (call: ProvisionCall, result: ProvisionResult) => void;
+}
+
+/** Requests machines from the cloud and records what it provisions. */
+export class MachineProvisioner {
+  private readonly exhaustedUntil = new Map<string, number>();
+
+  constructor(private readonly deps: MachineProvisionerDependencies) {}
+
+  /** Whether the cloud had too few machines of this kind a short while ago. */
+  isExhausted(kind: MachineKind, now: number): boolean {
+    return (this.exhaustedUntil.get(kindKey(kind)) ?? Number.NEGATIVE_INFINITY) > now;
+  }
+
+  /** Calls are limited, so machines of one kind are requested together, whichever partitions they are for. */
+  request(actions: readonly FleetAction[]): void {
+    for (const [key, { kind, partitions }] of groupByKind(actions)) {
+      // A kind that was exhausted before may have a few again: one call shows it.
+      const maxCalls = this.exhaustedUntil.has(key) ? 1 : MAX_CALLS_PER_KIND;
+      const count = Math.min(maxCalls * MAX_MACHINES_PER_CALL, partitions.length);
+      for (let i = 0; i < count && this.deps.cloud.tryAcquireCall(); i += MAX_MACHINES_PER_CALL)
+        this.call(kind, partitions.slice(i, i + MAX_MACHINES_PER_CALL));
+    }
+  }
+
+  private call(kind: MachineRequest, partitions: readonly string[]): void {
+    const { cloud, history, nextCallName, onResult } = this.deps;
+    for (const partition of partitions) history.countProvisions(partition, kind, 1);
+    const request = { ...kind, count: partitions.length };
+    void cloud.provision(nextCallName(), request).then((result) => onResult({ request, partitions }, result));
+  }
+
+  /** Records the machines that a call brought; until then they count as being provisioned. */
+  handleResult({ request, partitions }: ProvisionCall, result: ProvisionResult, now: number): void {
+    const { registry, history } = this.deps;
+    const provisioned = result.kind === 'provisioned' ? result.machines : [];
+    if (result.kind !== 'unknown' && provisioned.length < request.count)
+      this.exhaustedUntil.set(kindKey(request), now + CAPACITY_EXHAUSTED_MS);
+    const endProvisioning = (): void => {
+      for (const partition of partitions) history.countProvisions(partition, request, -1);
+    };
+    // The cloud's list may have shown some of them before the response came.
+    const machines = provisioned.filter((id) => !registry.knows(id));
+    if (machines.length === 0) return endProvisioning();
+    for (const id of machines) history.historyOf(id, now);
+    const { type, zone, spot } = request;
+    const records = machines.map((id, i): [string, MachineRecord] => [
+      id,
+      { partition: partitions[i % partitions.length] ?? '', phase: 'active', type, zone, spot },
+    ]);
+    void registry.record(records).then(endProvisioning);
+  }
+}
+
+function groupByKind(
+  actions: readonly FleetAction[],
+): Map<string, { kind: MachineRequest; partitions: string[] }> {
+  const groups = new Map<string, { kind: MachineRequest; partitions: string[] }>();
+  for (const action of actions) {
+    if (action.kind !== 'scale-out') continue;
+    const key = kindKey(action.request);
+    const group = groups.get(key) ?? { kind: action.request, partitions: [] };
+    group.partitions.push(action.partition);
+    groups.set(key, group);
+  }
+  return groups;
+}
--- /dev/null
+++ b/src/coordination/leader/machine-record-writer.ts
@@ -0,0 +1,129 @@
+import { type Clock } from '../../transport/clock';
+import { mayBeRepeated } from '../../storage/fleets';
+import { type ReplicaView } from '../../storage/replica-view';
+import {
+  RequestPriority,
+  type StateStoreClient,
+  type TransactionResult,
+} from '../../storage/state-store-client';
+import { encodeFleet, initialFleetValueName, keys, type MachineRecord } from '../../protocol/records';
+import { type Settings } from '../../protocol/settings';
+import { type Condition, type Write } from '../../protocol/store';
+import { type Membership } from '../membership/membership';
+
+/** Machines whose records share a value when they are first written. */
+const MAX_RECORDS_PER_VALUE = 50;
+const RETRY_DELAY_MS = 150;
+const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
+const SWEEP_INTERVAL_MS = 5000;
+/** Bounds the share of the state store's change rate that a sweep takes. */
+const MAX_VALUES_PER_SWEEP = 6;
+
+export interface MachineRecordWriterDependencies {
+  settings: Settings;
+  member: Membership;
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  clock: Clock;
+}
+
+/** Writes the records of new machines into the state store, and removes values that no longer hold any. */
+export class MachineRecordWriter {
+  private valueCount = 0;
+  /** Values of this leader of which every attempt was answered: none can be applied again. */
+  private readonly settledKeys = new Set<string>();
+  private sweptAt = Number.NEGATIVE_INFINITY;
+  private sweeping = false;
+
+  constructor(private readonly deps: MachineRecordWriterDependencies) {}
+
+  /**
+   * Writes records under a leader's term, each partition's in values of its own. It repeats the transaction until the
+   * replica shows the outcome or `isCurrent` says that the term is over, also while the session lease lapses for a moment:
+   * an attempt whose response was lost may still be applied, and a machine that was recorded anew meanwhile would be in
+   * two partitions.
+   */
+  async write(
+    machines: readonly [string, MachineRecord][],
+    leaderTerm: number,
+    isCurrent: () => boolean,
+  ): Promise<void> {
+    const { member, stateStore } = this.deps;
+    const { conditions, writes } = this.newValues(machines, leaderTerm);
+    let outcomeUnknown = false;
+    while (isCurrent()) {
+      if (member.alive()) {
+        const result = await stateStore.transact(conditions, writes, RequestPriority.Decision);
+        outcomeUnknown ||= result.kind === 'unknown';
+        if (await this.replicaShows(result)) break;
+      }
+      await this.delay(RETRY_DELAY_MS);
+    }
+    if (outcomeUnknown) return;
+    for (const write of writes) if ('put' in write) this.settledKeys.add(write.put);
+  }
+
+  private async replicaShows(result: TransactionResult): Promise<boolean> {
+    const { stateStore } = this.deps;
+    if (result.kind === 'applied')
+      return stateStore.whenCaughtUp(result.revision, REPLICA_CATCH_UP_TIMEOUT_MS);
+    // An earlier attempt of our own was applied, or we no longer lead; a fresh replica shows which.
+    return result.kind === 'conflict' && stateStore.ensureFresh();
+  }
+
+  private delay(ms: number): Promise<void> {
+    return new Promise((resolve) => this.deps.clock.schedule(ms, resolve));
+  }
+
+  /** Removes some of the values that hold no machine and that no pending attempt can write again. */
+  async sweepEmpty(now: number): Promise<void> {
+    if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
+    this.sweptAt = now;
+    const { settings, stateStore } = this.deps;
+    const maxKeys = Math.min(MAX_VALUES_PER_SWEEP, settings.stateStore.txnOps);
+    const removedKeys = this.removableKeys().slice(0, maxKeys);
+    if (removedKeys.length === 0) return;
+    this.sweeping = true;
+    const conditions = removedKeys.map((key) => ({ key, revision: stateStore.revisionOf(key) }));
+    const removals = removedKeys.map((key): Write => ({ remove: key }));
+    const result = await stateStore.transact(conditions, removals, RequestPriority.Progress);
+    if (result.kind === 'applied') for (const key of removedKeys) this.settledKeys.delete(key);
+    this.sweeping = false;
+  }
+
+  private removableKeys(): string[] {
+    const { replica } = this.deps;
+    return [...replica.emptyFleetKeys].filter(
+      (key) => this.settledKeys.has(key) || !mayBeRepeated(replica, key),
+    );
+  }
+
+  /** The values that hold new machines, each under a key that was never used before. */
+  private newValues(
+    machines: readonly [string, MachineRecord][],
+    leaderTerm: number,
+  ): { conditions: Condition[]; writes: Write[] } {
+    const conditions: Condition[] = [{ key: keys.leader, revision: leaderTerm }];
+    const writes: Write[] = [];
+    for (const [partition, entries] of groupByPartition(machines)) {
+      for (let i = 0; i < entries.length; i += MAX_RECORDS_PER_VALUE) {
+        const key = keys.fleet(partition, initialFleetValueName(leaderTerm, ++this.valueCount));
+        conditions.push({ key, revision: 0 });
+        writes.push({ put: key, value: encodeFleet(entries.slice(i, i + MAX_RECORDS_PER_VALUE)) });
+      }
+    }
+    return { conditions, writes };
+  }
+}
+
+type NewEntry = [string, { record: MachineRecord; revision: null }];
+
+function groupByPartition(machines: readonly [string, MachineRecord][]): Map<string, NewEntry[]> {
+  const groups = new Map<string, NewEntry[]>();
+  for (const [id, record] of machines) {
+    const entries = groups.get(record.partition) ?? [];
+    entries.push([id, { record, revision: null }]);
+    groups.set(record.partition, entries);
+  }
+  return groups;
+}
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -2,19 +2,22 @@
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
 import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
 import { keys, type PartitionRecord } from '../../protocol/records';
-import { type PartitionLoad, type PeerMessage } from '../../protocol/peers';
+import { type PeerMessage } from '../../protocol/peers';
 import { type Settings, type Team } from '../../protocol/settings';
-import { Reachability } from '../membership/reachability';
 import { type LeaseExtensions } from '../membership/lease-extension';
+import { Reachability } from '../membership/reachability';
+import { type PartitionLoads } from './partition-loads';
 
-/** A partition's report costs so little that two controllers carry all; more partitions only leave machines on the wrong side. */
+/** Two controllers can carry all heartbeats; with more partitions more machines are idle in one while another lacks them. */
 const MAX_PARTITION_COUNT = 2;
-/** Loads come twice a second: whom machines reach is judged by nothing older. */
+/** Loads come twice a second; reachability is judged by nothing older than this. */
 const MAX_LOAD_AGE_MS = 2500;
-/** The same partition is not handed over again before the last time has shown. */
+/** A partition is not handed over again before the effect of the last handover has shown. */
 const MIN_HANDOVER_INTERVAL_MS = 5000;
-/** A new leader waits this long for the others before it first shares out the partitions. */
+/** A new leader waits this long for other members before it first creates partitions. */
 const MEMBER_GATHERING_MS = 1500;
+/** The leader counts as holding this much already, so that partitions go to other members first. */
+const LEADER_PARTITION_COUNT = 0.5;
 
 /** Splits the teams into at most `count` partitions of about the same guaranteed size. */
 export function splitTeams(teams: readonly Team[], count: number): string[][] {
@@ -31,142 +34,184 @@
   return partitions.map((p) => p.teams);
 }
 
-/** Which controller looks after which partition, as the leader decides it. */
+export interface PartitionAssignmentDependencies {
+  settings: Settings;
+  /** The leader's own member name. */
+  leader: string;
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  log: Log;
+  extensions: LeaseExtensions;
+  loads: PartitionLoads;
+  sendTo: (member: string, message: PeerMessage) => void;
+}
+
+/** How many partitions each live member owns, as far as this round of assignment has come. */
+type PartitionCounts = Map<string, number>;
+
+/** One change of a partition's owner. */
+interface OwnerChange {
+  partition: string;
+  teams: string[];
+  owner: string;
+  /** The partition's present epoch, 0: it is to be created. */
+  epoch: number;
+  /** The owner whose session lease has expired, null: none. */
+  failedOwner: string | null;
+}
+
+/**
+ * Decides which controller owns which partition. A partition changes owners in the state store only, conditional on the
+ * leader's term, the partition's epoch and the new owner's membership, so no two controllers hold the same epoch.
+ */
 export class PartitionAssignment {
   readonly reachability = new Reachability();
   private assigning = false;
   private leaderTerm = 0;
   private readonly handedOverAt = new Map<string, number>();
 
-  constructor(
-    private readonly settings: Settings,
-    /** The leader's own name. */
-    private readonly leader: string,
-    private readonly ledger: StateStoreClient,
-    private readonly replica: ReplicaView,
-    private readonly log: Log,
-    private readonly extensions: LeaseExtensions,
-    private readonly loads: ReadonlyMap<string, { load: PartitionLoad; at: number }>,
-    private readonly sendTo: (member: string, message: PeerMessage) => void,
-  ) {}
+  constructor(private readonly deps: PartitionAssignmentDependencies) {}
 
+  /** Creates the partitions if there are none, gives those without a live owner a new one, and starts handovers. */
   async assign(now: number, leaderTerm: number, leaderSince: number): Promise<void> {
     if (this.assigning) return;
-    const { members } = this.replica;
-    const peers = this.settings.peers.length + 1;
-    const partitions = [...this.replica.partitions.values()];
-    if (partitions.length === 0 && members.size < peers && now - leaderSince < MEMBER_GATHERING_MS) return;
+    const partitions = [...this.deps.replica.partitions.values()];
+    if (partitions.length === 0 && this.isGathering(now - leaderSince)) return;
     this.assigning = true;
     this.leaderTerm = leaderTerm;
-    // The leader counts as holding a little already, so that partitions go to the others first.
-    const partitionCounts = new Map([...members.keys()].map((m) => [m, m === this.leader ? 0.5 : 0]));
-    // A partition that its owner held in an earlier life is not held: it is given anew below, and counted then.
-    for (const { record } of partitions)
-      if (members.get(record.owner) === record.incarnation)
-        partitionCounts.set(record.owner, (partitionCounts.get(record.owner) ?? 0) + 1);
-    const avoidance = (m: string): number => Number(this.reachability.isAvoided(m));
-    const leastLoaded = (): string | undefined =>
-      [...partitionCounts].sort(
-        (a, b) => avoidance(a[0]) - avoidance(b[0]) || a[1] - b[1] || (a[0] < b[0] ? -1 : 1),
-      )[0]?.[0];
+    const counts = this.countPartitions(partitions);
     try {
-      if (partitions.length === 0) {
-        // One controller stays free of partitions: it leads, and is the spare that takes over. Fewer, larger partitions
-        // also leave less of the fleet idle on the wrong side.
-        const split = splitTeams(this.settings.teams, Math.max(1, Math.min(MAX_PARTITION_COUNT, peers - 1)));
-        for (const [i, teams] of split.entries()) {
-          const owner = leastLoaded();
-          if (owner) await this.assignPartition(`p${i}`, teams, owner, 0, null);
-          if (owner) partitionCounts.set(owner, (partitionCounts.get(owner) ?? 0) + 1);
-        }
-        return;
-      }
-      for (const partition of partitions) {
-        const { owner, incarnation } = partition.record;
-        if (members.get(owner) === incarnation) continue;
-        // The owner's session lease has ended, or it has begun a new life and knows nothing of the old one's orders.
-        const next = members.has(owner) ? owner : leastLoaded();
-        if (!next) continue;
-        const failedOwner = members.has(owner) ? null : owner;
-        if (failedOwner && !this.extensions.permitsTakeOver(failedOwner, now)) continue;
-        if (
-          await this.assignPartition(partition.id, partition.record.teams, next, partition.epoch, failedOwner)
-        ) {
-          partitionCounts.set(next, (partitionCounts.get(next) ?? 0) + 1);
-        }
-      }
+      if (partitions.length === 0) return await this.createPartitions(counts);
+      await this.replaceFailedOwners(partitions, counts, now);
       this.handOverUnreachable(partitions, now);
-      this.giveIdleMemberPartition(partitions, partitionCounts, now);
+      this.handOverToIdleMember(partitions, counts, now);
     } finally {
       this.assigning = false;
     }
   }
 
-  private async assignPartition(
-    partition: string,
-    teams: string[],
-    owner: string,
-    epoch: number,
-    failedOwner: string | null,
-  ): Promise<boolean> {
-    const incarnation = this.replica.members.get(owner) ?? 0;
+  private get controllerCount(): number {
+    return this.deps.settings.peers.length + 1;
+  }
+
+  private isGathering(leadingMs: number): boolean {
+    return this.deps.replica.members.size < this.controllerCount && leadingMs < MEMBER_GATHERING_MS;
+  }
+
+  private countPartitions(partitions: readonly StoredPartition[]): PartitionCounts {
+    const { replica, leader } = this.deps;
+    const { members } = replica;
+    const counts: PartitionCounts = new Map();
+    for (const member of members.keys()) counts.set(member, member === leader ? LEADER_PARTITION_COUNT : 0);
+    // A partition that belongs to an earlier incarnation of its owner is assigned anew, and counted then.
+    for (const { record } of partitions)
+      if (members.get(record.owner) === record.incarnation) countOne(counts, record.owner);
+    return counts;
+  }
+
+  /** The member with the fewest partitions, members that machines can reach first. */
+  private leastLoaded(counts: PartitionCounts): string | undefined {
+    const avoided = (member: string): number => Number(this.reachability.isAvoided(member));
+    const sorted = [...counts].sort(
+      ([a, countA], [b, countB]) => avoided(a) - avoided(b) || countA - countB || (a < b ? -1 : 1),
+    );
+    return sorted[0]?.[0];
+  }
+
+  /** One controller stays without a partition: it leads, and stands by for a failover. */
+  private async createPartitions(counts: PartitionCounts): Promise<void> {
+    const count = Math.max(1, Math.min(MAX_PARTITION_COUNT, this.controllerCount - 1));
+    for (const [i, teams] of splitTeams(this.deps.settings.teams, count).entries()) {
+      const owner = this.leastLoaded(counts);
+      if (!owner) continue;
+      await this.changeOwner({ partition: `p${i}`, teams, owner, epoch: 0, failedOwner: null });
+      countOne(counts, owner);
+    }
+  }
+
+  /**
+   * An owner that is a member again under a new incarnation gets its partition back under a new epoch: it knows nothing of
+   * what it ordered before. Otherwise the partition goes to another member, once no lease extension protects the owner.
+   */
+  private async replaceFailedOwners(
+    partitions: readonly StoredPartition[],
+    counts: PartitionCounts,
+    now: number,
+  ): Promise<void> {
+    const { replica, extensions } = this.deps;
+    const { members } = replica;
+    for (const { id, record, epoch } of partitions) {
+      if (members.get(record.owner) === record.incarnation) continue;
+      const owner = members.has(record.owner) ? record.owner : this.leastLoaded(counts);
+      if (!owner) continue;
+      const failedOwner = members.has(record.owner) ? null : record.owner;
+      if (failedOwner && !extensions.permitsTakeOver(failedOwner, now)) continue;
+      const change = { partition: id, teams: record.teams, owner, epoch, failedOwner };
+      if (await this.changeOwner(change)) countOne(counts, owner);
+    }
+  }
+
+  private async changeOwner({ partition, teams, owner, epoch, failedOwner }: OwnerChange): Promise<boolean> {
+    const { replica, stateStore, log } = this.deps;
+    const incarnation = replica.members.get(owner) ?? 0;
     const record: PartitionRecord = { teams, owner, incarnation };
     const conditions = [
       { key: keys.leader, revision: this.leaderTerm },
       { key: keys.partition(partition), revision: epoch },
       { key: keys.member(owner), revision: incarnation },
     ];
-    // Applied late, it must not hit an owner that has come back meanwhile.
+    // Applied late, the change must not hit an owner that has come back meanwhile.
     if (failedOwner) conditions.push({ key: keys.member(failedOwner), revision: 0 });
-    const result = await this.ledger.transact(
+    const result = await stateStore.transact(
       conditions,
       [{ put: keys.partition(partition), value: record }],
       RequestPriority.Decision,
     );
-    this.log.info({ partition, owner, failedOwner, result: result.kind }, 'partition assigned');
+    log.info({ partition, owner, failedOwner, result: result.kind }, 'partition assigned');
     return result.kind === 'applied';
   }
 
   /** Hands partitions over whose machines reach other controllers and not their owner. */
   private handOverUnreachable(partitions: readonly StoredPartition[], now: number): void {
-    const members = [...this.replica.members.keys()];
+    const { settings, replica, loads, log } = this.deps;
+    const members = [...replica.members.keys()];
     for (const { id, record, epoch } of partitions) {
-      const received = this.loads.get(id);
+      const received = loads.get(id);
       if (received?.load.epoch !== epoch || now - received.at > MAX_LOAD_AGE_MS) continue;
-      const newOwner = this.reachability.betterOwner(
-        record.owner,
-        received.load,
-        this.settings.heartbeatIntervalMs,
-        members,
-        now,
-      );
+      const { owner } = record;
+      const { heartbeatIntervalMs } = settings;
+      const newOwner = this.reachability.betterOwner(owner, received.load, heartbeatIntervalMs, members, now);
       if (newOwner === null) continue;
-      this.log.info({ partition: id, owner: record.owner, newOwner }, 'owner unreachable by its machines');
-      this.handOver(id, record.owner, newOwner, now);
+      log.info({ partition: id, owner, newOwner }, 'owner unreachable by its machines');
+      this.handOver(id, owner, newOwner, now);
     }
   }
 
-  private handOver(partition: string, from: string, to: string, now: number): void {
-    if (now - (this.handedOverAt.get(partition) ?? Number.NEGATIVE_INFINITY) < MIN_HANDOVER_INTERVAL_MS)
-      return;
-    this.handedOverAt.set(partition, now);
-    this.sendTo(from, { kind: 'handover', partition, to });
-  }
-
-  /** A controller that holds nothing while another holds two partitions or more gets one. */
-  private giveIdleMemberPartition(
+  /** A member without a partition gets one from a member that has two or more. */
+  private handOverToIdleMember(
     partitions: readonly StoredPartition[],
-    partitionCounts: ReadonlyMap<string, number>,
+    counts: PartitionCounts,
     now: number,
   ): void {
-    const idleMember = [...partitionCounts].find(([m, n]) => n < 1 && !this.reachability.isAvoided(m))?.[0];
-    if (!idleMember) return;
-    const busiest = [...partitionCounts].sort((a, b) => b[1] - a[1])[0];
-    if (!busiest || busiest[1] < 2) return;
+    const idle = [...counts].find(([member, n]) => n < 1 && !this.reachability.isAvoided(member))?.[0];
+    if (!idle) return;
+    const [busiest, count] = [...counts].sort((a, b) => b[1] - a[1])[0] ?? ['', 0];
+    if (count < 2) return;
     const partition = partitions
-      .filter((p) => p.record.owner === busiest[0])
+      .filter(({ record }) => record.owner === busiest)
       .sort((a, b) => (a.id < b.id ? -1 : 1))
       .pop();
-    if (partition) this.handOver(partition.id, busiest[0], idleMember, now);
+    if (partition) this.handOver(partition.id, busiest, idle, now);
+  }
+
+  private handOver(partition: string, owner: string, newOwner: string, now: number): void {
+    const lastAt = this.handedOverAt.get(partition) ?? Number.NEGATIVE_INFINITY;
+    if (now - lastAt < MIN_HANDOVER_INTERVAL_MS) return;
+    this.handedOverAt.set(partition, now);
+    this.deps.sendTo(owner, { kind: 'handover', partition, to: newOwner });
   }
 }
+
+function countOne(counts: PartitionCounts, member: string): void {
+  counts.set(member, (counts.get(member) ?? 0) + 1);
+}
--- a/test/cores.test.ts
+++ b/test/cores.test.ts
@@ -5,7 +5,7 @@
 import { RateLimiter } from '../src/transport/rate-limiter';
 import { NewestFirstQueue } from '../src/transport/fair-queue';
 import { planCapacity } from '../src/coordination/fleet/autoscaler';
-import { type FleetMachine, type FleetSnapshot } from '../src/coordination/fleet/capacity-plan';
+import { type FleetMachine, type FleetSnapshot } from '../src/coordination/fleet/fleet-snapshot';
 import { refreshIntervalMs, maxStalenessMs } from '../src/coordination/membership/staleness-bound';
 import { splitTeams } from '../src/coordination/leader/partition-assignment';
 import {
