--- /dev/null
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -0,0 +1,176 @@
+import {
+  type JobSnapshot,
+  type MachineSnapshot,
+  type PartitionSnapshot,
+  type PendingTasks,
+  type TaskSnapshot,
+  type TeamUsage,
+} from '@heathbridge/load-balancer';
+import { type JobSpec } from '../../protocol/jobs';
+import { type PartitionJob } from '../partition/job';
+import { type InFlightTask, type MachineState } from '../partition/machine';
+import { type PartitionCore } from '../partition/partition-core';
+import { allowsMachine, countFitting } from '../partition/placement';
+import { jobsWithinGuarantee } from '../partition/scheduling-order';
+
+/** A task that has been pending for this many heartbeats of its machines is not merely between two of them. */
+const MIN_PENDING_HEARTBEATS = 2;
+/** The free resources of a machine on which nothing may be started. */
+const NO_RESOURCES = { cpus: 0, accelerators: 0, memoryGb: 0 };
+
+/** How the load balancer sees a partition: jobs, machines and tasks as its owner has them at present. */
+export class CoreSnapshot implements PartitionSnapshot {
+  /** The moment for which everything is stated, in milliseconds of the steady clock. */
+  now = 0;
+  private readonly jobSnapshots = new WeakMap<JobSpec, JobSnapshot>();
+  private machineSnapshots: MachineSnapshot[] | null = null;
+
+  constructor(private readonly core: PartitionCore) {}
+
+  get epoch(): number {
+    return this.core.epoch;
+  }
+
+  /** States everything anew as of this moment. */
+  refresh(now: number): void {
+    this.now = now;
+    this.invalidateMachines();
+  }
+
+  /** To be called when free resources have changed. */
+  invalidateMachines(): void {
+    this.machineSnapshots = null;
+  }
+
+  pendingTasks(): PendingTasks[] {
+    const { core, now } = this;
+    const jobs = core.jobsInSchedulingOrder();
+    const guaranteed = jobsWithinGuarantee(jobs, core.quota.teams);
+    const pending: PendingTasks[] = [];
+    for (const job of jobs) {
+      const tasks = this.startableTasks(job);
+      const pendingMs = now - job.firstSeenAt;
+      if (tasks === 0 || pendingMs < MIN_PENDING_HEARTBEATS * core.heartbeatIntervalMs) continue;
+      pending.push({
+        spec: this.jobSnapshot(job.spec),
+        tasks,
+        pendingS: pendingMs / 1000,
+        withinGuarantee: guaranteed.has(job),
+      });
+    }
+    return pending;
+  }
+
+  /** Pending tasks of a job that lack nothing but a machine. */
+  private startableTasks(job: PartitionJob): number {
+    const { spec } = job;
+    if (job.heldByPipeline || job.pendingCount === 0 || job.state !== 'open') return 0;
+    if (spec.singleZone || spec.spreadZones) return 0;
+    const quota = { ...this.core.remainingQuota(spec.team), memoryGb: Infinity };
+    const allowedByTeam = countFitting(quota, { ...spec, memoryGb: 0 });
+    return Math.max(0, Math.min(job.pendingCount, job.maxInFlight(this.now), allowedByTeam));
+  }
+
+  machines(): readonly MachineSnapshot[] {
+    this.machineSnapshots ??= [...this.core.machines.values()].flatMap((machine) =>
+      this.machineSnapshot(machine),
+    );
+    return this.machineSnapshots;
+  }
+
+  private machineSnapshot(machine: MachineState): MachineSnapshot[] {
+    const { core } = this;
+    const type = core.types().get(machine.record.type);
+    if (!type) return [];
+    const fetching = fetchingImages(machine);
+    const canAccept =
+      machine.confirmed && machine.tokenAcknowledged && !core.isUnschedulable(machine, this.now);
+    return [
+      {
+        id: machine.id,
+        capacity: type,
+        free: machine.free(type) ?? NO_RESOURCES,
+        accepting: canAccept && core.isAssigned(machine.id),
+        fetching: fetching.size,
+        fetchGbPerS: type.fetchGbPerS,
+        hasImage: (image) => machine.images.has(image) && !fetching.has(image),
+      },
+    ];
+  }
+
+  tasksOn(id: string): TaskSnapshot[] {
+    const machine = this.core.machines.get(id);
+    if (!machine) return [];
+    const tasks: TaskSnapshot[] = [];
+    for (const task of machine.tasks.values()) if (task.spec) tasks.push(this.taskSnapshot(task, task.spec));
+    return tasks;
+  }
+
+  private taskSnapshot(task: InFlightTask, spec: JobSpec): TaskSnapshot {
+    const { ref, index, runningSince, startedAt } = task;
+    return {
+      job: ref,
+      index,
+      spec: this.jobSnapshot(spec),
+      phase: runningSince === null ? 'fetching' : 'running',
+      elapsedS: (this.now - (runningSince ?? startedAt)) / 1000,
+      pinned: this.pinReason(task, spec),
+    };
+  }
+
+  private pinReason(task: InFlightTask, spec: JobSpec): TaskSnapshot['pinned'] {
+    const { ref, index, stop, checkpointing, phase } = task;
+    const job = this.core.jobs.get(ref);
+    // A start that was sent and not reported yet may not even have arrived.
+    if (phase === 'sent') return 'starting';
+    if (stop || checkpointing) return 'stopping';
+    if (!job || job.state !== 'open' || job.isDone(index)) return 'job over';
+    if (job.runsAtMostOnce) return 'run once';
+    return spec.singleZone || spec.spreadZones ? 'zone bound' : null;
+  }
+
+  allows(ref: string, id: string): boolean {
+    const job = this.core.jobs.get(ref);
+    const machine = this.core.machines.get(id);
+    return job !== undefined && machine !== undefined && allowsMachine(job.spec, machine.record);
+  }
+
+  team(name: string): TeamUsage {
+    const { quota } = this.core;
+    return {
+      usedCpus: quota.usageOf(name).cpus,
+      guaranteedCpus: quota.teams.get(name)?.guaranteed.cpus ?? 0,
+    };
+  }
+
+  /** What the balancer must know of a job, made once for each. */
+  jobSnapshot(spec: JobSpec): JobSnapshot {
+    const known = this.jobSnapshots.get(spec);
+    if (known) return known;
+    const { cpus, accelerators, memoryGb } = spec;
+    const snapshot: JobSnapshot = {
+      job: spec.ref,
+      team: spec.team,
+      workload: spec.workload,
+      priority: spec.priority,
+      resources: { cpus, accelerators, memoryGb },
+      image: spec.image,
+      imageGb: spec.imageGb,
+      expectedS: spec.expectedS,
+      checkpointS: spec.checkpointIntervalS,
+      saveS: spec.checkpointDurationS,
+    };
+    this.jobSnapshots.set(spec, snapshot);
+    return snapshot;
+  }
+}
+
+/** Images that a machine fetches for tasks that have not begun to run. */
+function fetchingImages(machine: MachineState): Set<string> {
+  const fetching = new Set<string>();
+  const present = new Set<string>();
+  for (const { runningSince, spec } of machine.tasks.values())
+    if (spec) (runningSince === null ? fetching : present).add(spec.image);
+  for (const image of present) fetching.delete(image);
+  return fetching;
+}
--- /dev/null
+++ b/src/coordination/balancing/even-spreader.ts
@@ -0,0 +1,39 @@
+import { evenAllowance, evenLevel, fetchSeconds, type MachineFill } from '@heathbridge/load-balancer';
+import { type MachineType } from '../../protocol/cloud';
+import { type JobSpec } from '../../protocol/jobs';
+import { type MachineState } from '../partition/machine';
+import { type PartitionCore } from '../partition/partition-core';
+import { type Resources } from '../partition/placement';
+import { type PlacementSpreader } from '../partition/task-placement';
+
+/** Fills all machines of a partition to the same share of their CPUs. */
+export class EvenSpreader implements PlacementSpreader {
+  private level = 1;
+
+  constructor(
+    private readonly core: PartitionCore,
+    private readonly localityWeight: number,
+  ) {}
+
+  observe(machines: Iterable<MachineState>, pendingCpus: number): void {
+    const fills: MachineFill[] = [];
+    for (const machine of machines) {
+      const cpus = this.typeOf(machine)?.cpus ?? 0;
+      fills.push({ cpus, used: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
+    }
+    this.level = evenLevel(fills, pendingCpus);
+  }
+
+  cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
+    const type = this.typeOf(machine);
+    if (!type) return 0;
+    const withoutImage = { fetching: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
+    const savedFetchS = machine.images.has(spec.image) ? fetchSeconds(spec, withoutImage) : 0;
+    const expectedS = this.core.estimates.expectedSeconds(spec);
+    return evenAllowance({ capacity: type, free }, this.level, savedFetchS, expectedS, this.localityWeight);
+  }
+
+  private typeOf(machine: MachineState): MachineType | undefined {
+    return this.core.types().get(machine.record.type);
+  }
+}
--- a/src/coordination/partition/partition-balancing.ts
+++ b/src/coordination/partition/partition-balancing.ts
@@ -1,11 +1,12 @@
 import { type LoadSummary } from '@heathbridge/load-balancer';
 import { type TaskObserver } from './task-observer';
 
-/** Balances the tasks of one partition, and summarizes its load. */
+/** Balances the tasks of one partition between its machines, and states its load. */
 export interface PartitionBalancing extends TaskObserver {
+  /** The load as it is now; each call gets the next sequence number. */
   summary(now: number): LoadSummary;
-  /** Moves that are under way, for operators. */
+  /** Moves of tasks in progress, for `GET /status`. */
   movesInProgress(): object[];
-  /** Decisions since they were last asked for, as lines of the log. */
+  /** Decisions since the last call, as log entries. */
   takeDecisions(): object[];
 }
