--- a/packages/load-balancer/src/even-placement.ts
+++ b/packages/load-balancer/src/even-placement.ts
@@ -1,17 +1,17 @@
-import { type MachineSnapshot } from './partition-view';
+import { type MachineSnapshot } from './partition-snapshot';
 
-/** How full a machine is, and how large. */
+/** A machine's CPUs, and how many of them are in use. */
 export interface MachineFill {
   cpus: number;
   used: number;
 }
 
-/** Steps in which the level is searched; more than any difference that a task makes. */
+/** Steps of the binary search; finer than any difference that a task makes. */
 const LEVEL_SEARCH_STEP_COUNT = 24;
 
 /**
- * The share of their CPUs up to which all machines would be filled if what waits were spread evenly: like water poured into
- * vessels that are filled differently. 1 if there is less room than what waits.
+ * The share of their CPUs up to which all machines would be filled if pending tasks were spread evenly: machines that are
+ * fuller already get none. 1 if fewer CPUs are free than are pending.
  */
 export function evenLevel(machines: readonly MachineFill[], pendingCpus: number): number {
   let low = 0;
@@ -27,8 +27,8 @@
 }
 
 /**
- * CPUs that new tasks of a job may take on a machine while all are filled evenly. A machine that holds the image may go
- * beyond the level by what the fetch would cost elsewhere, as a share of the task's run time: locality against evenness.
+ * CPUs that new tasks of a job may take on a machine while all are filled evenly. A machine that has the image may go beyond
+ * the level by the fetch that it saves, as a share of the task's run time: locality against evenness.
  */
 export function evenAllowance(
   machine: Pick<MachineSnapshot, 'capacity' | 'free'>,
--- a/packages/load-balancer/src/fetch-planner.ts
+++ b/packages/load-balancer/src/fetch-planner.ts
@@ -1,36 +1,38 @@
 import { costSeconds, fetchSeconds, moveCost } from './move-cost';
-import { type MovePlan } from './move-plan';
 import { MoveCandidates } from './move-candidates';
-import { type PlanContext } from './move-planner';
-import { taskKey, type MachineSnapshot, type PartitionSnapshot, type TaskSnapshot } from './partition-view';
+import { type MoveCause, type MovePlan } from './move-plan';
+import { type PlanContext } from './plan-context';
+import {
+  taskKey,
+  type MachineSnapshot,
+  type PartitionSnapshot,
+  type TaskSnapshot,
+} from './partition-snapshot';
 
-/** Machines whose fetches are looked at in one round: those that fetch most images at once. */
+/** Machines that are planned for in one round: those that fetch most images at once. */
 const MAX_SOURCES_PER_ROUND = 16;
-/** A single fetch has the whole bandwidth: there is nothing to even out. */
+/** A single fetch has the whole bandwidth: moving it gains nothing. */
 const MIN_SHARED_FETCH_COUNT = 2;
 const NO_RESERVATIONS = new Map<string, never>();
 
 /**
  * Plans moves of tasks that have not started: from machines where several images share the bandwidth to machines that have
- * the task's image. Nothing runs yet, so no rule of preemption is touched and no work is lost.
+ * the task's image. No task runs yet, so nothing is preempted and no work is lost.
  */
 export function planFetchMoves(
   partition: PartitionSnapshot,
   context: PlanContext,
-  movesLeft: number,
+  maxMoves: number,
 ): MovePlan[] {
-  const busy = partition
-    .machines()
-    .filter(({ fetching }) => fetching >= MIN_SHARED_FETCH_COUNT)
-    .sort((a, b) => b.fetching - a.fetching)
-    .slice(0, MAX_SOURCES_PER_ROUND);
-  if (busy.length === 0) return [];
+  const sources = machinesFetchingMost(partition);
+  if (sources.length === 0) return [];
   const candidates = new MoveCandidates(partition);
   const plans: MovePlan[] = [];
-  for (const machine of busy) {
-    for (const task of partition.tasksOn(machine.id)) {
-      if (plans.length >= movesLeft) return plans;
-      const plan = task.phase === 'fetching' ? planMoveToImage(task, machine, candidates, context) : null;
+  for (const source of sources) {
+    for (const task of partition.tasksOn(source.id)) {
+      if (plans.length >= maxMoves) return plans;
+      if (task.phase !== 'fetching') continue;
+      const plan = planMoveToImage(task, source, candidates, context);
       if (!plan) continue;
       plans.push(plan);
       for (const { target } of plan.moves)
@@ -40,6 +42,14 @@
   return plans;
 }
 
+function machinesFetchingMost(partition: PartitionSnapshot): MachineSnapshot[] {
+  return partition
+    .machines()
+    .filter(({ fetching }) => fetching >= MIN_SHARED_FETCH_COUNT)
+    .sort((a, b) => b.fetching - a.fetching)
+    .slice(0, MAX_SOURCES_PER_ROUND);
+}
+
 function planMoveToImage(
   task: TaskSnapshot,
   source: MachineSnapshot,
@@ -47,30 +57,29 @@
   context: PlanContext,
 ): MovePlan | null {
   const { settings, budget, refusals } = context;
-  const name = taskKey(task);
-  const cause = { kind: 'fetch' as const, job: task.spec.job };
-  if (task.pinned !== null || context.isMoving(name) || source.hasImage(task.spec.image)) return null;
-  if (budget.movedFor(name, cause)) {
+  const { spec } = task;
+  const key = taskKey(task);
+  const cause: MoveCause = { kind: 'fetch', job: spec.job };
+  if (task.pinned !== null || context.isMoving(key) || source.hasImage(spec.image)) return null;
+  if (budget.movedFor(key, cause)) {
     refusals.count('moved for this before');
     return null;
   }
   const targets = candidates.targetsFor(task, source.id, NO_RESERVATIONS);
-  const target = targets.find((machine) => machine.hasImage(task.spec.image));
+  const target = targets.find((machine) => machine.hasImage(spec.image));
   if (!target) return null;
-  // `fetching` counts this task's image already.
-  const alone = fetchSeconds(task.spec, { ...source, fetching: source.fetching - 1, hasImage: () => false });
-  const gainS = Math.max(0, alone - task.elapsedS);
+  const gainS = Math.max(0, fetchSecondsAtSource(task, source) - task.elapsedS);
   const cost = moveCost(task, target, context);
   const costS = costSeconds(cost, context.localityWeight);
   if (gainS <= settings.hysteresis * costS + settings.min_gain_s) {
     refusals.count('costs more than it gains');
     return null;
   }
-  return {
-    cause,
-    clearedMachine: null,
-    gainS,
-    costS,
-    moves: [{ task, source: source.id, target: target.id, cost, costS }],
-  };
+  const moves = [{ task, source: source.id, target: target.id, cost, costS }];
+  return { cause, clearedMachine: null, gainS, costS, moves };
+}
+
+/** How long the whole fetch takes where it is; the machine's count of fetches includes this one. */
+function fetchSecondsAtSource({ spec }: TaskSnapshot, source: MachineSnapshot): number {
+  return fetchSeconds(spec, { ...source, fetching: source.fetching - 1, hasImage: () => false });
 }
--- a/packages/load-balancer/src/load-model.ts
+++ b/packages/load-balancer/src/load-model.ts
@@ -1,29 +1,29 @@
 import { fits, countFitting, type Resources } from './resources';
-import { type MachineSnapshot, type PartitionSnapshot, type TaskSnapshot } from './partition-view';
+import { type MachineSnapshot, type PartitionSnapshot, type TaskSnapshot } from './partition-snapshot';
 import { type RuntimeEstimator } from './runtime-estimator';
 
 const MEDIAN_PROBABILITY = 0.5;
 
-/** CPU-seconds of work, by priority. */
+/** CPU seconds of work, by priority. */
 export type WorkByPriority = number[];
 
 /** Outstanding work of one machine, team or partition. */
 export interface OutstandingWork {
   /** What its running tasks still take. */
   running: WorkByPriority;
-  /** What waits for it: for a machine what waits for images, for a team or partition also what waits for room. */
+  /** Of a machine: tasks that wait for images. Of a team or partition: also pending tasks. */
   queued: WorkByPriority;
 }
 
-/** Room for tasks of one shape. */
+/** How many tasks of one shape fit on the machines of a partition. */
 export interface ShapeCapacity {
-  /** Tasks that fit as the room lies. */
+  /** Tasks that fit on the machines as they are. */
   taskCount: number;
-  /** Tasks that would fit if the same room lay together. */
+  /** Tasks that would fit if all free resources were on one machine. */
   defragmentedTaskCount: number;
 }
 
-/** How a partition stands. */
+/** The outstanding work of a partition, and its CPUs. */
 export interface PartitionWorkload {
   total: OutstandingWork;
   byTeam: Map<string, OutstandingWork>;
@@ -40,17 +40,17 @@
   work[priority] = (work[priority] ?? 0) + cpuSeconds;
 }
 
-/** Sums a series of work up. */
+/** CPU seconds of all priorities. */
 export function totalWork(work: WorkByPriority): number {
   return work.reduce((sum, cpuSeconds) => sum + cpuSeconds, 0);
 }
 
 /** Seconds that a machine's outstanding work takes on all its CPUs. */
-export function outstandingS(load: OutstandingWork, cpus: number): number {
-  return (totalWork(load.running) + totalWork(load.queued)) / Math.max(1, cpus);
+export function outstandingS({ running, queued }: OutstandingWork, cpus: number): number {
+  return (totalWork(running) + totalWork(queued)) / Math.max(1, cpus);
 }
 
-/** Computes how a partition stands, to be told to operators and to be measured. */
+/** Computes the outstanding work of a partition, by team and machine. */
 export function partitionWorkload(
   partition: PartitionSnapshot,
   estimator: RuntimeEstimator,
@@ -63,38 +63,39 @@
     cpus: 0,
     freeCpus: 0,
   };
-  const teamOf = (name: string): OutstandingWork => {
-    const known = workload.byTeam.get(name) ?? noWork(priorities);
-    workload.byTeam.set(name, known);
-    return known;
+  const workOfTeam = (team: string): OutstandingWork => {
+    const work = workload.byTeam.get(team) ?? noWork(priorities);
+    workload.byTeam.set(team, work);
+    return work;
   };
-  for (const machine of partition.machines()) {
-    workload.cpus += machine.capacity.cpus;
-    workload.freeCpus += machine.accepting ? Math.max(0, machine.free.cpus) : 0;
+  for (const { id, capacity, accepting, free } of partition.machines()) {
+    workload.cpus += capacity.cpus;
+    workload.freeCpus += accepting ? Math.max(0, free.cpus) : 0;
     const ofMachine = noWork(priorities);
-    workload.byMachine.set(machine.id, ofMachine);
-    for (const task of partition.tasksOn(machine.id)) {
-      const kind = task.phase === 'running' ? 'running' : 'queued';
-      const work = remainingWork(task, estimator);
-      for (const load of [ofMachine, teamOf(task.spec.team), workload.total])
-        addWork(load[kind], task.spec.priority, work);
+    workload.byMachine.set(id, ofMachine);
+    for (const task of partition.tasksOn(id)) {
+      const { spec, phase } = task;
+      const kind = phase === 'running' ? 'running' : 'queued';
+      const cpuSeconds = remainingCpuSeconds(task, estimator);
+      for (const work of [ofMachine, workOfTeam(spec.team), workload.total])
+        addWork(work[kind], spec.priority, cpuSeconds);
     }
   }
   for (const { spec, tasks } of partition.pendingTasks()) {
-    const work = tasks * spec.resources.cpus * estimator.total(spec).meanS;
-    addWork(teamOf(spec.team).queued, spec.priority, work);
-    addWork(workload.total.queued, spec.priority, work);
+    const cpuSeconds = tasks * spec.resources.cpus * estimator.total(spec).meanS;
+    addWork(workOfTeam(spec.team).queued, spec.priority, cpuSeconds);
+    addWork(workload.total.queued, spec.priority, cpuSeconds);
   }
   return workload;
 }
 
-function remainingWork({ spec, phase, elapsedS }: TaskSnapshot, estimator: RuntimeEstimator): number {
-  return (
-    spec.resources.cpus * estimator.remainingS(spec, phase === 'running' ? elapsedS : 0, MEDIAN_PROBABILITY)
-  );
+function remainingCpuSeconds(task: TaskSnapshot, estimator: RuntimeEstimator): number {
+  const { spec, phase, elapsedS } = task;
+  const runS = phase === 'running' ? elapsedS : 0;
+  return spec.resources.cpus * estimator.remainingS(spec, runS, MEDIAN_PROBABILITY);
 }
 
-/** How much room there is for tasks of a shape, and how much of it is lost to fragmentation. */
+/** How many tasks of a shape fit, and how many more would without fragmentation. */
 export function capacityFor(shape: Resources, machines: Iterable<MachineSnapshot>): ShapeCapacity {
   let taskCount = 0;
   const combined: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
@@ -107,34 +108,3 @@
   }
   return { taskCount, defragmentedTaskCount: countFitting(combined, shape) };
 }
-
-/** Half of what is known of a trend is this old at most. */
-const TREND_HALF_LIFE_MS = 20_000;
-
-/** The slope of a quantity over time: new observations outweigh old ones. */
-export class Trend {
-  private value: number | null = null;
-  private at = 0;
-  /** Change a second. */
-  changePerS = 0;
-
-  observe(value: number, now: number): void {
-    const passedMs = now - this.at;
-    if (this.value !== null && passedMs > 0) {
-      const keep = 0.5 ** (passedMs / TREND_HALF_LIFE_MS);
-      const slope = ((value - this.value) / passedMs) * 1000;
-      this.changePerS = keep * this.changePerS + (1 - keep) * slope;
-    }
-    this.value = value;
-    this.at = now;
-  }
-}
-
-/** Standard deviation over mean: 0 where all are alike. */
-export function coefficientOfVariation(values: readonly number[]): number {
-  if (values.length === 0) return 0;
-  const mean = values.reduce((sum, value) => sum + value, 0) / values.length;
-  if (mean === 0) return 0;
-  const variance = values.reduce((sum, value) => sum + (value - mean) ** 2, 0) / values.length;
-  return Math.sqrt(variance) / mean;
-}
--- /dev/null
+++ b/packages/load-balancer/src/machine-clearing.ts
@@ -0,0 +1,142 @@
+import { costSeconds, endsBeforeMove, moveCost } from './move-cost';
+import { type MoveCandidates } from './move-candidates';
+import { moveRefusal } from './move-eligibility';
+import { type PlannedMove, type Refusal } from './move-plan';
+import { type PlanContext } from './plan-context';
+import {
+  type MachineSnapshot,
+  type PartitionSnapshot,
+  type PendingTasks,
+  type TaskSnapshot,
+} from './partition-snapshot';
+import { addResources, fits, NO_RESOURCES, type Resources } from './resources';
+
+/** Resources that the moves of one clearing take on their targets, by machine. */
+type TargetReservations = Map<string, Resources>;
+
+const NOTHING_RESERVED: ReadonlyMap<string, Resources> = new Map();
+
+/** The moves that free a machine for one task of a pending job. */
+export interface Clearing {
+  machine: MachineSnapshot;
+  moves: PlannedMove[];
+  costS: number;
+  /** Seconds until the moved tasks are off the machine. */
+  clearedInS: number;
+}
+
+/** Finds the cheapest moves that free a machine for a pending task. */
+export class MachineClearing {
+  constructor(
+    private readonly partition: PartitionSnapshot,
+    private readonly candidates: MoveCandidates,
+    private readonly context: PlanContext,
+  ) {}
+
+  /** The cheapest moves, at most `maxMoves`, that clear a machine for a task; null: there are none. */
+  clear(machine: MachineSnapshot, pending: PendingTasks, maxMoves: number): Clearing | null {
+    const { resources } = pending.spec;
+    const { moves, free } = this.chooseMoves(machine, pending);
+    if (!fits(free, resources)) return null;
+    const needed = withoutUnneededMoves(moves, free, resources);
+    if (needed.length > maxMoves) return this.refuse('too many moves');
+    return {
+      machine,
+      moves: needed,
+      costS: needed.reduce((sum, { costS }) => sum + costS, 0),
+      clearedInS: Math.max(0, ...needed.map(({ cost }) => cost.messagesS + cost.saveS)),
+    };
+  }
+
+  /** Moves tasks off a machine, cheapest by CPU first, until the pending task fits; `free` is what is free then. */
+  private chooseMoves(
+    machine: MachineSnapshot,
+    pending: PendingTasks,
+  ): { moves: PlannedMove[]; free: Resources } {
+    const reserved: TargetReservations = new Map();
+    const moves: PlannedMove[] = [];
+    let free = this.candidates.free(machine.id);
+    for (const { task } of this.cheapestFirst(machine, pending)) {
+      if (fits(free, pending.spec.resources)) break;
+      // Chosen anew: the cheapest target may have gone to another task of this clearing.
+      const move = this.cheapestMove(task, machine, pending, reserved);
+      if (!move) continue;
+      moves.push(move);
+      free = addResources(free, task.spec.resources, 1);
+      if (move.target !== null) reserveOn(reserved, move.target, task.spec.resources);
+    }
+    return { moves, free };
+  }
+
+  private cheapestFirst(machine: MachineSnapshot, pending: PendingTasks): PlannedMove[] {
+    const moves = this.candidates
+      .tasksOn(machine.id)
+      .map((task) => this.cheapestMove(task, machine, pending, NOTHING_RESERVED))
+      .filter((move) => move !== null);
+    return moves.sort((a, b) => costPerCpu(a) - costPerCpu(b));
+  }
+
+  private cheapestMove(
+    task: TaskSnapshot,
+    source: MachineSnapshot,
+    pending: PendingTasks,
+    reserved: ReadonlyMap<string, Resources>,
+  ): PlannedMove | null {
+    const { context } = this;
+    const refusal = moveRefusal(task, pending, this.partition, context);
+    if (refusal !== null) return this.refuse(refusal);
+    let best = this.moveToQueue(task, source, pending);
+    for (const target of this.candidates.targetsFor(task, source.id, reserved)) {
+      const move = this.plannedMove(task, source, target);
+      if (move.costS < (best?.costS ?? Infinity)) best = move;
+    }
+    if (!best) return this.refuse('no room elsewhere');
+    return endsBeforeMove(task, best.cost, context.estimator) ? this.refuse('ends first') : best;
+  }
+
+  /** A task of lower priority may also be put back to wait; one that runs for a guarantee may not. */
+  private moveToQueue(
+    task: TaskSnapshot,
+    source: MachineSnapshot,
+    pending: PendingTasks,
+  ): PlannedMove | null {
+    if (pending.spec.priority >= task.spec.priority) return null;
+    return this.plannedMove(task, source, null);
+  }
+
+  private plannedMove(
+    task: TaskSnapshot,
+    source: MachineSnapshot,
+    target: MachineSnapshot | null,
+  ): PlannedMove {
+    const cost = moveCost(task, target, this.context);
+    const costS = costSeconds(cost, this.context.localityWeight);
+    return { task, source: source.id, target: target?.id ?? null, cost, costS };
+  }
+
+  private refuse(reason: Refusal): null {
+    this.context.refusals.count(reason);
+    return null;
+  }
+}
+
+function costPerCpu({ costS, task }: PlannedMove): number {
+  return costS / task.spec.resources.cpus;
+}
+
+function reserveOn(reserved: TargetReservations, machine: string, resources: Resources): void {
+  reserved.set(machine, addResources(reserved.get(machine) ?? NO_RESOURCES, resources, 1));
+}
+
+/** Leaves out moves that are not needed once the others are made, the most expensive first. */
+function withoutUnneededMoves(moves: PlannedMove[], free: Resources, needed: Resources): PlannedMove[] {
+  let left = free;
+  const kept = new Set(moves);
+  for (const move of [...moves].sort((a, b) => b.costS - a.costS)) {
+    const without = addResources(left, move.task.spec.resources, -1);
+    if (!fits(without, needed)) continue;
+    kept.delete(move);
+    left = without;
+  }
+  return moves.filter((move) => kept.has(move));
+}
--- a/packages/load-balancer/src/move-budget.ts
+++ b/packages/load-balancer/src/move-budget.ts
@@ -1,12 +1,12 @@
 import { causeKey, type MoveCause } from './move-plan';
 import { type BalancerSettings } from './settings';
 
+/** Lower ends of the limits, for small fleets. */
 const MIN_IN_FLIGHT_LIMIT = 4;
 const MIN_PER_MINUTE_LIMIT = 8;
 const MINUTE_MS = 60_000;
-/** Causes are remembered for so long after the last move of a task or machine. */
+/** The causes of a subject's moves are remembered for this long after its last move. */
 const HISTORY_RETENTION_MS = 30 * MINUTE_MS;
-/** Between two looks for what can be forgotten. */
 const SWEEP_INTERVAL_MS = MINUTE_MS;
 
 interface MoveHistory {
@@ -14,7 +14,7 @@
   causes: Set<string>;
 }
 
-/** Keeps moves stable: bounds how many there are, and lets nothing move twice for one cause. */
+/** Bounds the number of moves, and remembers what was moved and why. A subject is a task or a machine, by its key. */
 export class MoveBudget {
   private begun: number[] = [];
   private readonly histories = new Map<string, MoveHistory>();
@@ -22,7 +22,7 @@
 
   constructor(private readonly settings: BalancerSettings) {}
 
-  /** Moves that may still begin now, with so many machines and so many moves under way. */
+  /** Moves that may still begin, with this many machines and moves in progress. */
   remaining(now: number, machines: number, inFlight: number): number {
     this.begun = this.begun.filter((at) => now - at < MINUTE_MS);
     const maxInFlight = Math.max(MIN_IN_FLIGHT_LIMIT, Math.floor(this.settings.in_flight_share * machines));
@@ -33,17 +33,18 @@
     return Math.max(0, Math.min(maxInFlight - inFlight, maxPerMinute - this.begun.length));
   }
 
-  /** Whether this has been moved for this cause before. */
+  /** Whether a subject has been moved for this cause before. */
   movedFor(subject: string, cause: MoveCause): boolean {
     return this.histories.get(subject)?.causes.has(causeKey(cause)) ?? false;
   }
 
-  /** Time since its last move, Infinity: none is remembered. */
+  /** Time since a subject's last move; Infinity: none is remembered. */
   sinceMovedMs(subject: string, now: number): number {
     const known = this.histories.get(subject);
     return known ? now - known.lastAt : Number.POSITIVE_INFINITY;
   }
 
+  /** Counts a move that begins. */
   begin(subject: string, cause: MoveCause, now: number): void {
     this.sweep(now);
     this.begun.push(now);
--- a/packages/load-balancer/src/move-candidates.ts
+++ b/packages/load-balancer/src/move-candidates.ts
@@ -3,22 +3,22 @@
   type MachineSnapshot,
   type PartitionSnapshot,
   type TaskSnapshot,
-} from './partition-view';
-import { addResources, fits, type Resources } from './resources';
+} from './partition-snapshot';
+import { addResources, fits, NO_RESOURCES, type Resources } from './resources';
 
-/** Machines with room that are looked at as targets for one task, those with most room first. */
+/** Machines that are considered as targets for one task, those with most free CPUs first. */
 const MAX_TARGETS_SCANNED = 48;
-/** Targets that are weighed: those that have its image, and so many of the others. */
+/** Of the targets that lack the task's image, at most this many are weighed. */
 const MAX_REMOTE_TARGETS = 16;
 
-/** The machines of one round of planning, with the room that the plans made so far leave. */
+/** The machines of one round of planning, with the resources that the plans made so far leave free. */
 export class MoveCandidates {
   private readonly accepting: MachineSnapshot[];
   private readonly withFreeCpus: MachineSnapshot[];
   private readonly freeByMachine = new Map<string, Resources>();
   /** Tasks that the plans made so far take off their machines. */
   private readonly leavingTasks = new Set<TaskSnapshot>();
-  private readonly tasks = new Map<string, readonly TaskSnapshot[]>();
+  private readonly tasksByMachine = new Map<string, readonly TaskSnapshot[]>();
 
   constructor(private readonly partition: PartitionSnapshot) {
     this.accepting = partition.machines().filter(({ accepting }) => accepting);
@@ -27,28 +27,29 @@
     this.withFreeCpus = this.accepting.filter(({ free }) => free.cpus > 0).slice(0, MAX_TARGETS_SCANNED);
   }
 
-  /** What is free on a machine after the plans made so far. */
+  /** What is free on a machine after the plans made so far; nothing on one that accepts no tasks. */
   free(machine: string): Resources {
-    return this.freeByMachine.get(machine) ?? { cpus: 0, accelerators: 0, memoryGb: 0 };
+    return this.freeByMachine.get(machine) ?? NO_RESOURCES;
   }
 
-  reserve(machine: string, needs: Resources): void {
-    this.freeByMachine.set(machine, addResources(this.free(machine), needs, -1));
+  /** A plan uses resources of a machine. */
+  reserve(machine: string, resources: Resources): void {
+    this.freeByMachine.set(machine, addResources(this.free(machine), resources, -1));
   }
 
-  /** Tasks that stay on a machine after the plans made so far. */
-  tasksOn(machine: string): readonly TaskSnapshot[] {
-    const known = this.tasks.get(machine) ?? this.partition.tasksOn(machine);
-    this.tasks.set(machine, known);
-    return this.leavingTasks.size === 0 ? known : known.filter((task) => !this.leavingTasks.has(task));
-  }
-
-  /** A plan takes this task off its machine. */
+  /** A plan takes a task off its machine. */
   removeTask(machine: string, task: TaskSnapshot): void {
     this.leavingTasks.add(task);
     this.freeByMachine.set(machine, addResources(this.free(machine), task.spec.resources, 1));
   }
 
+  /** Tasks that stay on a machine after the plans made so far. */
+  tasksOn(machine: string): readonly TaskSnapshot[] {
+    const tasks = this.tasksByMachine.get(machine) ?? this.partition.tasksOn(machine);
+    this.tasksByMachine.set(machine, tasks);
+    return this.leavingTasks.size === 0 ? tasks : tasks.filter((task) => !this.leavingTasks.has(task));
+  }
+
   /** Machines that could hold a task of this job if they were empty. */
   suitableMachines({ job, resources }: JobSnapshot): MachineSnapshot[] {
     return this.accepting.filter(
@@ -56,24 +57,24 @@
     );
   }
 
-  /** Machines that have room for a task now. */
+  /** Machines on which a task fits now, `reserved` left out. */
   targetsFor(
-    task: TaskSnapshot,
+    { spec }: TaskSnapshot,
     source: string,
     reserved: ReadonlyMap<string, Resources>,
   ): MachineSnapshot[] {
-    const { spec } = task;
-    const found: MachineSnapshot[] = [];
-    let others = 0;
+    const targets: MachineSnapshot[] = [];
+    let remoteCount = 0;
     for (const machine of this.withFreeCpus) {
-      const local = machine.hasImage(spec.image);
-      if (machine.id === source || (!local && others >= MAX_REMOTE_TARGETS)) continue;
-      const used = reserved.get(machine.id);
-      const free = used ? addResources(this.free(machine.id), used, -1) : this.free(machine.id);
-      if (!fits(free, spec.resources) || !this.partition.allows(spec.job, machine.id)) continue;
-      if (!local) others++;
-      found.push(machine);
+      const hasImage = machine.hasImage(spec.image);
+      if (machine.id === source || (!hasImage && remoteCount >= MAX_REMOTE_TARGETS)) continue;
+      const reservedHere = reserved.get(machine.id);
+      const free = this.free(machine.id);
+      const left = reservedHere ? addResources(free, reservedHere, -1) : free;
+      if (!fits(left, spec.resources) || !this.partition.allows(spec.job, machine.id)) continue;
+      if (!hasImage) remoteCount++;
+      targets.push(machine);
     }
-    return found;
+    return targets;
   }
 }
--- a/packages/load-balancer/src/move-cost.ts
+++ b/packages/load-balancer/src/move-cost.ts
@@ -1,25 +1,27 @@
-import { type JobSnapshot, type MachineSnapshot, type TaskSnapshot } from './partition-view';
+import { type JobSnapshot, type MachineSnapshot, type TaskSnapshot } from './partition-snapshot';
 import { type RuntimeEstimator } from './runtime-estimator';
 
-/** Image fetches are slower than stated by up to a third. */
+/** Image fetches take up to a third longer than stated. */
 const FETCH_TIME_RATIO = 1.33;
 
-/** What ends with this probability is taken to end. */
+/** A task that ends with this probability is taken to end. */
 const LIKELY_END_PROBABILITY = 0.5;
 
 /** What a move costs the task that is moved, in seconds by which it ends later. */
 export interface MoveCost {
-  /** Until the source has heard of the stop and the target of the start. */
+  /** Until the source has received the stop and the target the start. */
   messagesS: number;
+  /** Writing a checkpoint when the task is stopped. */
   saveS: number;
-  /** Reading the checkpoint back takes about as long as writing it. */
+  /** Reading the checkpoint back, which takes about as long as writing it. */
   restoreS: number;
+  /** Fetching the image at the target. */
   fetchS: number;
-  /** Work since the last checkpoint that is done again. */
+  /** Work that is lost and done again. */
   lostS: number;
-  /** Waiting for room, where none is reserved for it. */
+  /** Waiting for free resources, where none are reserved. */
   queuedS: number;
-  /** Evenness: for how long the target is busier than the mean, by the share of it that the task takes. */
+  /** Seconds of work that the target has beyond the mean, by the share of its CPUs that the task takes. */
   crowdingS: number;
 }
 
@@ -28,13 +30,13 @@
   heartbeatIntervalS: number;
   localityWeight: number;
   estimator: RuntimeEstimator;
-  /** Seconds until a task that is put back to wait finds room again. */
-  requeueS(job: JobSnapshot): number;
-  /** Seconds of work outstanding on a machine beyond the mean of the partition. */
-  excessWorkS(machine: string): number;
+  /** Seconds until a task that is put back to wait is started again. */
+  requeueS: (job: JobSnapshot) => number;
+  /** Seconds of work that a machine has beyond the mean of its partition; negative: it has less. */
+  excessWorkS: (machine: string) => number;
 }
 
-/** Seconds until a machine would have an image, sharing its bandwidth with the fetches under way. */
+/** Seconds until a machine would have an image, its bandwidth shared with the fetches in progress; Infinity: never. */
 export function fetchSeconds(
   { image, imageGb }: Pick<JobSnapshot, 'image' | 'imageGb'>,
   machine: Pick<MachineSnapshot, 'fetching' | 'fetchGbPerS' | 'hasImage'>,
@@ -47,15 +49,15 @@
 /** What it costs to move a task to a machine; null: to put it back to wait. */
 export function moveCost(task: TaskSnapshot, target: MachineSnapshot | null, context: CostContext): MoveCost {
   const { spec, phase, elapsedS } = task;
-  const runs = phase === 'running';
-  const saves = runs && spec.checkpointS > 0;
+  const isRunning = phase === 'running';
+  const saves = isRunning && spec.checkpointS > 0;
   return {
-    // Each side hears of it with its next report, after half an interval on average.
+    // Source and target each learn of it with their next heartbeat, after half an interval on average.
     messagesS: context.heartbeatIntervalS,
     saveS: saves ? spec.saveS : 0,
     restoreS: saves ? spec.saveS : 0,
     fetchS: target ? fetchSeconds(spec, target) : 0,
-    lostS: runs && !saves ? elapsedS : 0,
+    lostS: isRunning && !saves ? elapsedS : 0,
     queuedS: target ? 0 : context.requeueS(spec),
     crowdingS: target ? crowdingSeconds(spec, target, context) : 0,
   };
@@ -69,21 +71,21 @@
   return Math.max(0, context.excessWorkS(id)) * (resources.cpus / Math.max(1, capacity.cpus));
 }
 
-/** One number for a move's cost. Locality against evenness is this sum: fetching is what the weight multiplies. */
+/** A move's cost as one number, in which the weight multiplies the time of fetching: locality against evenness. */
 export function costSeconds(cost: MoveCost, localityWeight: number): number {
   const { messagesS, saveS, restoreS, fetchS, lostS, queuedS, crowdingS } = cost;
   const delayS = messagesS + saveS + restoreS + lostS + queuedS + crowdingS;
   return delayS + (fetchS > 0 ? localityWeight * fetchS : 0);
 }
 
-/** A task that has less left than this share of its run time is near its finish and stays. */
+/** A task that has less left than this share of its run time is not moved. */
 const NEAR_COMPLETION_RATIO = 0.1;
 
-/** Whether a task is near its finish, or will probably have ended by the time at which a move would have it going again, queues aside. */
+/** Whether a task is near its end, or will probably have ended before a move would have it running again, queues aside. */
 export function endsBeforeMove(task: TaskSnapshot, cost: MoveCost, estimator: RuntimeEstimator): boolean {
   if (task.phase !== 'running') return false;
   const { messagesS, saveS, restoreS, fetchS, lostS } = cost;
   const movedInS = messagesS + saveS + restoreS + fetchS + lostS;
-  const stays = Math.max(movedInS, NEAR_COMPLETION_RATIO * estimator.total(task.spec).meanS);
-  return estimator.remainingS(task.spec, task.elapsedS, LIKELY_END_PROBABILITY) <= stays;
+  const minRemainingS = Math.max(movedInS, NEAR_COMPLETION_RATIO * estimator.total(task.spec).meanS);
+  return estimator.remainingS(task.spec, task.elapsedS, LIKELY_END_PROBABILITY) <= minRemainingS;
 }
--- a/packages/load-balancer/src/move-plan.ts
+++ b/packages/load-balancer/src/move-plan.ts
@@ -1,14 +1,14 @@
 import { type MoveCost } from './move-cost';
-import { type TaskSnapshot } from './partition-view';
+import { type TaskSnapshot } from './partition-snapshot';
 
 /** Why tasks are moved. */
 export type MoveCause =
-  /** Room for waiting tasks of a job that fit nowhere as the room lies. */
+  /** To free resources for pending tasks of a job that fit on no machine. */
   | { kind: 'make-room'; job: string }
-  /** Its image would come sooner on a machine that has it. */
+  /** To start tasks of a job sooner, on a machine that has their image. */
   | { kind: 'fetch'; job: string };
 
-/** A cause as a key: for the same one nothing is moved twice. */
+/** A cause as a key: nothing is moved twice for the same one. */
 export function causeKey({ kind, job }: MoveCause): string {
   return `${kind}:${job}`;
 }
@@ -17,24 +17,24 @@
 export interface PlannedMove {
   task: TaskSnapshot;
   source: string;
-  /** Where it goes on at once; null: it waits for room like any other task of its job. */
+  /** Where resources are reserved for it; null: it is put back to wait like any other task of its job. */
   target: string | null;
   cost: MoveCost;
   costS: number;
 }
 
-/** Moves that are worth their cost together, and not alone. */
+/** Moves that are worth their cost together, and not one by one. */
 export interface MovePlan {
   cause: MoveCause;
-  /** The machine that is cleared for a task of the waiting job; null: none is. */
+  /** The machine that is cleared for a task of the pending job; null: none is. */
   clearedMachine: string | null;
   moves: PlannedMove[];
-  /** Seconds of waiting that they save. */
+  /** Seconds of waiting that they save, weighted by priority. */
   gainS: number;
   costS: number;
 }
 
-/** Why something was not moved. */
+/** Why something was not moved; shown in `GET /status`. */
 export const REFUSALS = [
   'costs more than it gains',
   'ends first',
@@ -57,10 +57,6 @@
     this.counts.set(reason, (this.counts.get(reason) ?? 0) + 1);
   }
 
-  get total(): number {
-    return [...this.counts.values()].reduce((sum, n) => sum + n, 0);
-  }
-
   byReason(): { reason: Refusal; count: number }[] {
     return [...this.counts].map(([reason, count]) => ({ reason, count }));
   }
--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -1,62 +1,62 @@
-/** Where a move stands. */
+/** The state of a move. */
 export type MoveState =
-  /** Room is held at the target; the source is to be told to stop the task. */
+  /** Resources are reserved at the target; the source is to be sent the stop. */
   | 'reserved'
-  /** The source was told; it may be saving, or may not have heard. */
+  /** The stop was sent; the task may be making its checkpoint, or the stop may not have arrived. */
   | 'stopping'
-  /** The task is surely gone from its source; the target starts it when it next reports. */
+  /** The task is certainly gone from its source; the target gets it with the response to its next heartbeat. */
   | 'restarting'
-  /** The start went out to the target. */
+  /** The start was sent to the target. */
   | 'starting'
-  /** The target has shown the task. */
+  /** The target has reported the task. */
   | 'completed'
-  /** Given up: the task is placed in the ordinary way, or needs no place any more. */
+  /** The task is placed in the ordinary way, or is not started again. */
   | 'abandoned';
 
-/** What may happen to a move. */
+/** What may happen to a move, whenever and in whatever order. */
 export type MoveEvent =
   | { kind: 'stop-sent' }
-  /** The task is surely not on its source any more. */
+  /** The task is certainly not on its source any more. */
   | { kind: 'source-gone' }
-  /** The same for a task that was to wait again. */
+  /** The same, of a task that is put back to wait. */
   | { kind: 'put-back' }
-  /** It completed before it was stopped. */
+  /** The task completed before it was stopped. */
   | { kind: 'finished' }
-  /** It failed on its source: whether and when it is tried again is no matter of load. */
+  /** The task failed on its source; whether it is retried does not concern the move. */
   | { kind: 'source-failed' }
-  /** The job is over: done, cancelled or failed. */
+  /** The job is done, cancelled or failed. */
   | { kind: 'job-closed' }
   | { kind: 'start-sent' }
-  /** The target shows the task. */
+  /** The target has reported the task. */
   | { kind: 'target-seen' }
-  /** The target is surely without the task that was started there. */
+  /** The task is certainly not on the target where it was started. */
   | { kind: 'target-gone' }
-  /** The target can take nothing any more: it is gone, leaves, is about to be taken away, or is at fault. */
+  /** The target accepts no tasks any more: it is gone, draining, about to be preempted, or quarantined. */
   | { kind: 'target-lost' }
-  /** The room is not there when the task is to be started. */
+  /** The target's resources are not free when the task is to be started. */
   | { kind: 'target-full' }
   | { kind: 'timeout' };
 
-/** What the partition must do when a move goes on. */
+/** What the executor must do on a change of state. */
 export type MoveEffect = 'stop-source' | 'hold-task' | 'free-task' | 'release-room';
 
-/** The next state, and what is to be done on the way there. */
+/** A change of state, and its effects in their order. */
 export interface MoveStep {
   state: MoveState;
   effects: MoveEffect[];
-  /** Why it was given up. */
+  /** Why the move is abandoned. */
   reason?: string;
 }
 
-/** Whether nothing more happens to a move. */
-export function isTerminal(state: MoveState): boolean {
+/** Whether a move has ended. */
+export function isTerminal(state: MoveState): state is 'completed' | 'abandoned' {
   return state === 'completed' || state === 'abandoned';
 }
 
 /**
- * The protocol of a move, one event at a time. An event that does not fit the state changes nothing, so each may come any
- * number of times and in any order. Room at the target is released on every way out, and a task that is held for its target is
- * freed on every way out that does not start it there.
+ * The protocol of a move, one event at a time. An event that does not fit the state changes nothing, so events may be repeated
+ * and reordered. The reservation at the target is released by every end of a move, and a task that is held for its target is
+ * released by every end that does not start it there.
  */
 export function nextStep(state: MoveState, event: MoveEvent): MoveStep {
   const stays: MoveStep = { state, effects: [] };
@@ -71,7 +71,7 @@
     case 'put-back':
       return state === 'stopping' ? { state: 'completed', effects: ['release-room'] } : stays;
     case 'start-sent':
-      // The start itself takes the room now.
+      // The start itself uses the resources now.
       return state === 'restarting' ? { state: 'starting', effects: ['release-room'] } : stays;
     case 'target-seen':
       return state === 'starting' ? { state: 'completed', effects: [] } : stays;
@@ -99,7 +99,7 @@
 };
 
 function abandonFor(state: MoveState, ending: AbandonCause): MoveStep {
-  // A task that was started at its target is the target's: what becomes of it is no part of the move.
+  // Once the start was sent, the task is an ordinary task of the target, and the move has done its work.
   if (state === 'starting' && ending !== 'timeout') return { state: 'completed', effects: [] };
   return abandon(state, ABANDON_REASONS[ending]);
 }
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -1,72 +1,60 @@
-import { isTerminal, nextStep, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
+import { type MoveExecutor } from './move-executor';
 import { type MoveCause, type MovePlan, type PlannedMove } from './move-plan';
-import { taskKey, type TaskId } from './partition-view';
-import { type Resources } from './resources';
-
-/** How the service carries out the steps of moves. */
-export interface MoveExecutor {
-  /** Holds room on a machine for a task; false: it is not there. */
-  reserve(machine: string, task: TaskId): boolean;
-  release(machine: string, task: TaskId): void;
-  /** Has the task stopped, saving if it can; repeated by the service until it is gone. */
-  stop(machine: string, task: TaskId): void;
-  /** Lets nobody but the move start the task, and nobody else use what its team is allowed, until this moment at most. */
-  holdTask(task: TaskId, untilMs: number): void;
-  releaseHeldTask(task: TaskId): void;
-  /** Keeps what comes free on a machine for the next task of a job; its room may not be there yet. */
-  reserveForJob(machine: string, job: string): void;
-  releaseJobReservation(machine: string, job: string): void;
-}
+import { isTerminal, nextStep, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
+import { taskKey, type TaskId } from './partition-snapshot';
 
-/** Room that is being made on a machine for a waiting job. */
+/** Resources that are being freed on a machine for a pending job. */
 export interface JobReservation {
   readonly machine: string;
   readonly job: string;
-  dueAt: number;
+  /** When it is given up. */
+  readonly dueAt: number;
 }
 
 /** A move that was begun. */
 export interface Move {
   readonly id: string;
-  readonly epoch: number;
   readonly task: TaskId;
-  readonly needs: Resources;
   readonly source: string;
-  /** Null: it is put back to wait. */
+  /** Null: the task is put back to wait. */
   readonly target: string | null;
   readonly cause: MoveCause;
   readonly gainS: number;
   readonly costS: number;
   state: MoveState;
-  /** When it is given up unless it goes on. */
+  /** When it is abandoned unless its state changes. */
   dueAt: number;
+  /** Why it was abandoned; null: it was not. */
   reason: string | null;
 }
 
-/** What was decided of a move, for the operators' log. */
+/** What was decided of a move, for the log. */
 export interface MoveDecision {
   move: Readonly<Move>;
   event: 'begun' | 'completed' | 'abandoned';
 }
 
-/** How long a move may stay in each state before it is given up. */
+/** What the timeouts of moves are computed from. */
 export interface MoveTimeouts {
   heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
-/** Reports that may pass before a step that hangs on one is given up. */
+/** Heartbeats within which a step that depends on one must be done. */
 const MAX_PENDING_HEARTBEATS = 4;
-/** Decisions that are kept for the log until they are asked for. */
+/** Decisions that are kept until they are taken; later ones are dropped. */
 const MAX_BUFFERED_DECISIONS = 200;
 
-/** The moves of one partition under one owner. It ends with the owner's epoch, and nothing of it outlives the process. */
+/**
+ * The moves of one partition under one owner. They end with the owner's epoch, and none is kept anywhere else: the tasks of a
+ * move that is forgotten are placed in the ordinary way.
+ */
 export class MoveTracker {
+  /** Number of moves by outcome; shown in `GET /status`. */
+  readonly counters = { begun: 0, completed: 0, abandoned: 0 };
   private readonly moves = new Map<string, Move>();
   private readonly decisions: MoveDecision[] = [];
   private jobReservations: JobReservation[] = [];
-  private count = 0;
-  readonly counters = { begun: 0, completed: 0, abandoned: 0 };
 
   constructor(
     private readonly epoch: number,
@@ -78,7 +66,7 @@
     return this.moves.size;
   }
 
-  /** Nothing is moved, and no room is kept. */
+  /** Whether there are neither moves nor reservations for jobs. */
   get isIdle(): boolean {
     return this.moves.size === 0 && this.jobReservations.length === 0;
   }
@@ -87,35 +75,41 @@
     return [...this.moves.values()];
   }
 
+  /** Whether a task is being moved, by its key. */
   isMoving(task: string): boolean {
     return this.moves.has(task);
   }
 
-  /** Whether moves for this job are under way. */
+  /** Whether moves for this job are in progress, or what they freed waits for a task of it. */
   hasMovesFor(job: string): boolean {
     return (
-      this.jobReservations.some((room) => room.job === job) ||
+      this.jobReservations.some((reservation) => reservation.job === job) ||
       this.movesInProgress.some(({ cause }) => cause.job === job)
     );
   }
 
-  /** Reserves room for all moves of a plan, then has the tasks stopped; false: some room is gone, and nothing was begun. */
+  /** Reserves the targets of a plan and has its tasks stopped; false: a target is no longer free, and nothing was begun. */
   begin(plan: MovePlan, now: number): boolean {
+    if (!this.reserveTargets(plan.moves)) return false;
+    if (plan.clearedMachine !== null) this.reserveForJob(plan.clearedMachine, plan, now);
+    for (const planned of plan.moves) this.track(planned, plan, now);
+    return true;
+  }
+
+  private reserveTargets(moves: readonly PlannedMove[]): boolean {
     const reserved: PlannedMove[] = [];
-    for (const move of plan.moves) {
-      if (!this.moves.has(taskKey(move.task)) && this.reserve(move)) {
+    for (const move of moves) {
+      if (!this.isMoving(taskKey(move.task)) && this.reserveTarget(move)) {
         reserved.push(move);
         continue;
       }
       for (const { target, task } of reserved) if (target !== null) this.executor.release(target, task);
       return false;
     }
-    if (plan.clearedMachine !== null) this.reserveForJob(plan.clearedMachine, plan, now);
-    for (const planned of reserved) this.track(planned, plan, now);
     return true;
   }
 
-  private reserve({ target, task }: PlannedMove): boolean {
+  private reserveTarget({ target, task }: PlannedMove): boolean {
     return target === null || this.executor.reserve(target, task);
   }
 
@@ -125,56 +119,57 @@
     this.executor.reserveForJob(machine, cause.job);
   }
 
-  /** Rooms that are being made on a machine. */
-  jobReservationsOn(machine: string): readonly JobReservation[] {
-    return this.jobReservations.filter((room) => room.machine === machine);
-  }
-
-  /** A kept room was taken by who it was for, or is needed no more. */
-  releaseJobReservations(isOver: (room: JobReservation) => boolean): void {
-    const over = this.jobReservations.filter(isOver);
-    this.jobReservations = this.jobReservations.filter((room) => !over.includes(room));
-    for (const { machine, job } of over) this.executor.releaseJobReservation(machine, job);
-  }
-
   private track({ task, source, target, costS }: PlannedMove, plan: MovePlan, now: number): void {
     const { job, index, spec } = task;
     const move: Move = {
-      ...{
-        id: `${this.epoch}-${++this.count}`,
-        epoch: this.epoch,
-        task: { job, index },
-        needs: spec.resources,
-      },
-      ...{ source, target, cause: plan.cause, gainS: plan.gainS, costS },
-      ...{ state: 'reserved', dueAt: now, reason: null },
+      id: `${this.epoch}-${++this.counters.begun}`,
+      task: { job, index },
+      source,
+      target,
+      cause: plan.cause,
+      gainS: plan.gainS,
+      costS,
+      state: 'reserved',
+      dueAt: now,
+      reason: null,
     };
     this.moves.set(taskKey(task), move);
-    this.counters.begun++;
     this.recordDecision(move, 'begun');
     this.apply(move, { kind: 'stop-sent' }, now, spec.saveS);
   }
 
-  /** Something happened to a task that may be moving. */
+  /** Reservations for jobs on a machine. */
+  jobReservationsOn(machine: string): readonly JobReservation[] {
+    return this.jobReservations.filter((reservation) => reservation.machine === machine);
+  }
+
+  /** Ends the reservations for which `isOver` holds: they were used, or are not needed any more. */
+  releaseJobReservations(isOver: (reservation: JobReservation) => boolean): void {
+    const over = this.jobReservations.filter(isOver);
+    this.jobReservations = this.jobReservations.filter((reservation) => !over.includes(reservation));
+    for (const { machine, job } of over) this.executor.releaseJobReservation(machine, job);
+  }
+
+  /** Takes what happened to a task; nothing follows if it is not being moved. */
   handleEvent(task: TaskId, event: MoveEvent, now: number): void {
     const move = this.moves.get(taskKey(task));
     if (!move) return;
-    const putBack = move.target === null && event.kind === 'source-gone';
-    this.apply(move, putBack ? { kind: 'put-back' } : event, now);
+    const isPutBack = move.target === null && event.kind === 'source-gone';
+    this.apply(move, isPutBack ? { kind: 'put-back' } : event, now);
   }
 
-  /** A machine takes nothing any more. */
+  /** A machine accepts no tasks any more. */
   targetLost(machine: string, now: number): void {
-    this.releaseJobReservations((room) => room.machine === machine);
-    for (const move of this.movesInProgress)
-      if (move.target === machine) this.handleEvent(move.task, { kind: 'target-lost' }, now);
+    this.releaseJobReservations((reservation) => reservation.machine === machine);
+    for (const { target, task } of this.movesInProgress)
+      if (target === machine) this.handleEvent(task, { kind: 'target-lost' }, now);
   }
 
-  /** All tasks of a job need no place any more. */
+  /** A job is closed, and its tasks are not started again. */
   jobClosed(job: string, now: number): void {
-    this.releaseJobReservations((room) => room.job === job);
-    for (const move of this.movesInProgress)
-      if (move.task.job === job) this.handleEvent(move.task, { kind: 'job-closed' }, now);
+    this.releaseJobReservations((reservation) => reservation.job === job);
+    for (const { task } of this.movesInProgress)
+      if (task.job === job) this.handleEvent(task, { kind: 'job-closed' }, now);
   }
 
   /** Tasks that are to be started on this machine now. */
@@ -185,13 +180,14 @@
     return due;
   }
 
+  /** Abandons what is due. */
   tick(now: number): void {
-    this.releaseJobReservations((room) => now >= room.dueAt);
-    for (const move of this.movesInProgress)
-      if (now >= move.dueAt) this.handleEvent(move.task, { kind: 'timeout' }, now);
+    this.releaseJobReservations(({ dueAt }) => now >= dueAt);
+    for (const { dueAt, task } of this.movesInProgress)
+      if (now >= dueAt) this.handleEvent(task, { kind: 'timeout' }, now);
   }
 
-  /** Decisions since they were last asked for. */
+  /** Decisions since the last call, at most MAX_BUFFERED_DECISIONS. */
   takeDecisions(): MoveDecision[] {
     return this.decisions.splice(0);
   }
@@ -203,18 +199,21 @@
     move.dueAt = now + this.timeoutMs(state, saveS);
     move.reason = reason ?? null;
     for (const effect of effects) this.carryOut(effect, move);
-    if (!isTerminal(state)) return;
+    if (isTerminal(state)) this.end(move, state);
+  }
+
+  private end(move: Move, outcome: 'completed' | 'abandoned'): void {
     this.moves.delete(taskKey(move.task));
-    if (state === 'completed') this.counters.completed++;
-    else this.counters.abandoned++;
-    this.recordDecision(move, state === 'completed' ? 'completed' : 'abandoned');
+    this.counters[outcome]++;
+    this.recordDecision(move, outcome);
   }
 
   private timeoutMs(state: MoveState, saveS: number): number {
     const { heartbeatIntervalMs, leaseMs } = this.timeouts;
-    // A source that falls silent is surely without its tasks after its lease, and not sooner.
-    if (state === 'stopping') return leaseMs + saveS * 1000 + MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
-    return state === 'starting' ? leaseMs : MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    const heartbeatsMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    // A source that falls silent is certainly without its tasks only once their lease has expired.
+    if (state === 'stopping') return leaseMs + saveS * 1000 + heartbeatsMs;
+    return state === 'starting' ? leaseMs : heartbeatsMs;
   }
 
   private carryOut(effect: MoveEffect, move: Move): void {
--- a/packages/load-balancer/src/partition-balancer.ts
+++ b/packages/load-balancer/src/partition-balancer.ts
@@ -1,18 +1,21 @@
 import { planFetchMoves } from './fetch-planner';
-import { partitionWorkload, outstandingS, totalWork, Trend, type PartitionWorkload } from './load-model';
+import { outstandingS, partitionWorkload, totalWork, type PartitionWorkload } from './load-model';
 import { type LoadSummary } from './load-summary';
 import { MoveBudget } from './move-budget';
 import { RefusalCounter, type MovePlan } from './move-plan';
-import { MovePlanner, type PlanContext } from './move-planner';
-import { MoveTracker, type MoveExecutor, type MoveTimeouts } from './move-tracker';
-import { taskKey, type JobSnapshot, type PartitionSnapshot } from './partition-view';
+import { MovePlanner } from './move-planner';
+import { type MoveExecutor } from './move-executor';
+import { MoveTracker, type MoveTimeouts } from './move-tracker';
+import { type PlanContext } from './plan-context';
+import { taskKey, type JobSnapshot, type PartitionSnapshot } from './partition-snapshot';
 import { RuntimeEstimator } from './runtime-estimator';
 import { type BalancerSettings } from './settings';
+import { Trend } from './statistics';
 
-/** What a partition's balancer is made of. */
 export interface PartitionBalancerOptions {
+  /** The partition's name. */
   partition: string;
-  /** How many priorities there are. */
+  /** Number of priorities. */
   priorities: number;
   settings: BalancerSettings;
   timeouts: MoveTimeouts;
@@ -20,14 +23,17 @@
   executor: MoveExecutor;
 }
 
-/** Balances the load of one partition, for its owner. Pure but for what it is given: time comes in as an argument. */
+/**
+ * Balances the load of one partition, for its owner. It has no clock, no timers and no input or output of its own: time comes
+ * in as an argument, the partition through the snapshot, and moves go out through the executor.
+ */
 export class PartitionBalancer {
   readonly estimator = new RuntimeEstimator();
   readonly tracker: MoveTracker;
   private readonly budget: MoveBudget;
   private readonly refusals = new RefusalCounter();
   private readonly trend = new Trend();
-  private planned = 0;
+  private plannedCount = 0;
   private sequence = 0;
 
   constructor(private readonly options: PartitionBalancerOptions) {
@@ -36,23 +42,22 @@
     this.budget = new MoveBudget(settings);
   }
 
-  /** One round of planning; how often it is due is the service's to say, by what it costs. */
+  /** Plans and begins the moves of one round. The caller decides how often that is due. */
   plan(now: number): void {
     const { snapshot, settings } = this.options;
     if (!settings.task_moves) return;
     const machines = snapshot.machines().length;
-    const left = this.budget.remaining(now, machines, this.tracker.inFlight);
     const context = this.context(now);
-    const plans = new MovePlanner(snapshot, context, left).plan();
-    this.beginMoves(plans, now);
-    // Planned from the rooms that are left: what was just reserved is taken.
-    const rest = this.budget.remaining(now, machines, this.tracker.inFlight);
-    if (rest > 0) this.beginMoves(planFetchMoves(snapshot, context, rest), now);
+    const maxMoves = this.budget.remaining(now, machines, this.tracker.inFlight);
+    this.beginMoves(new MovePlanner(snapshot, context, maxMoves).plan(), now);
+    // Planned from the snapshot as the moves above have left it, with their reservations.
+    const maxFetchMoves = this.budget.remaining(now, machines, this.tracker.inFlight);
+    if (maxFetchMoves > 0) this.beginMoves(planFetchMoves(snapshot, context, maxFetchMoves), now);
   }
 
-  private beginMoves(plans: MovePlan[], now: number): void {
+  private beginMoves(plans: readonly MovePlan[], now: number): void {
     for (const plan of plans) {
-      this.planned += plan.moves.length;
+      this.plannedCount += plan.moves.length;
       if (!this.tracker.begin(plan, now)) {
         this.refusals.count('no room elsewhere');
         continue;
@@ -63,53 +68,56 @@
 
   private context(now: number): PlanContext {
     const { settings, timeouts } = this.options;
-    let busier: Map<string, number> | null = null;
-    const requeue = this.requeueSeconds();
+    let excessWork: Map<string, number> | null = null;
     return {
-      ...{ now, settings, budget: this.budget, refusals: this.refusals, estimator: this.estimator },
+      now,
+      settings,
+      budget: this.budget,
+      refusals: this.refusals,
+      estimator: this.estimator,
       heartbeatIntervalS: timeouts.heartbeatIntervalMs / 1000,
       localityWeight: settings.locality_weight,
       isMoving: (task) => this.tracker.isMoving(task),
       hasMovesInProgress: (job) => this.tracker.hasMovesFor(job),
-      requeueS: (job) => requeue(job),
-      // Only a round that weighs targets pays for the picture of all machines.
-      excessWorkS: (machine) => (busier ??= this.excessWorkByMachine()).get(machine) ?? 0,
+      requeueS: this.requeueSeconds(),
+      // Computed for all machines at once, and only in a round that weighs targets.
+      excessWorkS: (machine) => (excessWork ??= this.excessWorkByMachine()).get(machine) ?? 0,
     };
   }
 
   /**
-   * Seconds until a task that is put back finds room: after what waits already of its priority and of higher ones, and the next
-   * natural ends.
+   * Estimates in how many seconds a task that is put back to wait starts again: once the pending work of its priority and of
+   * higher ones, and the task's own, has been completed on all CPUs.
    */
   private requeueSeconds(): (job: JobSnapshot) => number {
     const { snapshot } = this.options;
     const pendingJobs = snapshot.pendingTasks();
     const cpus = snapshot.machines().reduce((sum, { capacity }) => sum + capacity.cpus, 0);
     return (job) => {
-      const totalS = this.estimator.total(job).meanS;
-      let ahead = 0;
-      for (const { spec, tasks } of pendingJobs)
-        if (spec.priority <= job.priority)
-          ahead += tasks * spec.resources.cpus * this.estimator.total(spec).meanS;
-      return (ahead + totalS * job.resources.cpus) / Math.max(1, cpus);
+      const ownWork = this.estimator.total(job).meanS * job.resources.cpus;
+      let workAhead = 0;
+      for (const { spec, tasks } of pendingJobs) {
+        if (spec.priority > job.priority) continue;
+        workAhead += tasks * spec.resources.cpus * this.estimator.total(spec).meanS;
+      }
+      return (workAhead + ownWork) / Math.max(1, cpus);
     };
   }
 
   private excessWorkByMachine(): Map<string, number> {
-    const { snapshot, priorities } = this.options;
-    const { byMachine } = partitionWorkload(snapshot, this.estimator, priorities);
-    const cpus = new Map(snapshot.machines().map(({ id, capacity }) => [id, capacity.cpus]));
-    const seconds = new Map([...byMachine].map(([id, load]) => [id, outstandingS(load, cpus.get(id) ?? 1)]));
+    const { byMachine } = this.workload();
+    const cpus = new Map(this.options.snapshot.machines().map(({ id, capacity }) => [id, capacity.cpus]));
+    const seconds = new Map([...byMachine].map(([id, work]) => [id, outstandingS(work, cpus.get(id) ?? 1)]));
     const mean = [...seconds.values()].reduce((sum, s) => sum + s, 0) / Math.max(1, seconds.size);
     return new Map([...seconds].map(([id, s]) => [id, s - mean]));
   }
 
-  /** How the partition stands, by machine and team. */
+  /** The outstanding work of the partition, by machine and team. */
   workload(): PartitionWorkload {
     return partitionWorkload(this.options.snapshot, this.estimator, this.options.priorities);
   }
 
-  /** What the leader and operators are told. */
+  /** The load as it is sent to the leader; each call gets the next sequence number. */
   summary(now: number): LoadSummary {
     const { partition, snapshot } = this.options;
     const { total, cpus, freeCpus, byTeam } = this.workload();
@@ -117,13 +125,22 @@
     const { begun, completed, abandoned } = this.tracker.counters;
     const accepting = snapshot.machines().filter((machine) => machine.accepting);
     return {
-      ...{ partition, epoch: snapshot.epoch, sequence: ++this.sequence, ageMs: 0 },
-      ...{ cpus, freeCpus, running: total.running, waiting: total.queued, trendPerS: this.trend.changePerS },
+      partition,
+      epoch: snapshot.epoch,
+      sequence: ++this.sequence,
+      ageMs: 0,
+      cpus,
+      freeCpus,
       largestFreeCpus: Math.max(0, ...accepting.map(({ free }) => free.cpus)),
+      running: total.running,
+      waiting: total.queued,
+      trendPerS: this.trend.changePerS,
       teams: [...byTeam].map(([team, { running, queued }]) => ({
-        ...{ team, running: totalWork(running), waiting: totalWork(queued) },
+        team,
+        running: totalWork(running),
+        waiting: totalWork(queued),
       })),
-      moves: { planned: this.planned, begun, completed, abandoned, inFlight: this.tracker.inFlight },
+      moves: { planned: this.plannedCount, begun, completed, abandoned, inFlight: this.tracker.inFlight },
       refusals: this.refusals.byReason(),
     };
   }
--- a/packages/load-balancer/src/partition-view.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -15,18 +15,19 @@
 export interface JobSnapshot {
   job: string;
   team: string;
-  /** Class of jobs, whose run times resemble each other. */
+  /** Class of jobs whose run times resemble each other. */
   workload: string;
   /** 0 is the most urgent. */
   priority: number;
+  /** What one task uses. */
   resources: Resources;
   image: string;
   imageGb: number;
-  /** The owner's estimate of a task's run time. */
+  /** The submitter's estimate of a task's run time. */
   expectedS: number;
-  /** Interval of its checkpoints, 0: it never saves. */
+  /** Interval of its checkpoints, 0: it makes none. */
   checkpointS: number;
-  /** Time that it takes to save when it is stopped. */
+  /** Time that a checkpoint takes when the task is stopped. */
   saveS: number;
 }
 
@@ -36,46 +37,47 @@
   phase: 'fetching' | 'running';
   /** Time in this phase. */
   elapsedS: number;
-  /** Why it must stay where it is, whatever it costs; null: it may be moved. */
+  /** Why it must stay where it is, whatever that costs; null: it may be moved. */
   pinned: 'starting' | 'stopping' | 'run once' | 'zone bound' | 'job over' | null;
 }
 
-/** A machine of the partition, as cheap to tell as can be: planning looks at all of them. */
+/** A machine of the partition. Planning reads all of them, so this is cheap to make. */
 export interface MachineSnapshot {
   id: string;
   capacity: Resources;
-  /** Room that is neither taken nor reserved. */
+  /** Resources that are neither used nor reserved. */
   free: Resources;
-  /** New tasks may be put on it: it was heard lately, hears its owner, stays in the partition and is not at fault. */
+  /** New tasks may be placed on it: it sent a heartbeat lately, receives its owner's responses, stays and is healthy. */
   accepting: boolean;
-  /** Images that it is fetching now. */
+  /** Number of images that it is fetching. */
   fetching: number;
   fetchGbPerS: number;
   hasImage(image: string): boolean;
 }
 
-/** Tasks of a job that wait. */
+/** Tasks of a job that are pending. */
 export interface PendingTasks {
   spec: JobSnapshot;
-  /** How many may start now as far as their team's limit and the records go. */
+  /** How many could start now if there were a machine, within their team's limit. */
   tasks: number;
   pendingS: number;
   /** The job is within its team's guarantee. */
   withinGuarantee: boolean;
 }
 
-/** What a team uses, and what it may use whatever others want. */
+/** What a team uses, and what it is guaranteed. */
 export interface TeamUsage {
   usedCpus: number;
   guaranteedCpus: number;
 }
 
-/** What the service tells the balancer of a partition that it owns. */
+/** What the service tells the balancer of a partition that it owns, as of one moment. */
 export interface PartitionSnapshot {
-  /** Fences earlier owners. */
+  /** Fences earlier owners: it grows with each change of the owner. */
   readonly epoch: number;
   pendingTasks(): readonly PendingTasks[];
   machines(): readonly MachineSnapshot[];
+  /** Tasks of a machine; empty for an unknown one. */
   tasksOn(machine: string): readonly TaskSnapshot[];
   /** Whether a job allows a machine: its type, zone and way of buying. */
   allows(job: string, machine: string): boolean;
--- a/packages/load-balancer/src/resources.ts
+++ b/packages/load-balancer/src/resources.ts
@@ -1,13 +1,17 @@
-/** What a task takes of a machine, or what a machine has. */
+/** What a task uses of a machine, or what a machine has. */
 export interface Resources {
   cpus: number;
   accelerators: number;
   memoryGb: number;
 }
 
+/** No resources at all. */
+export const NO_RESOURCES: Readonly<Resources> = { cpus: 0, accelerators: 0, memoryGb: 0 };
+
+/** Sums of fractions of CPUs are off by less than this. */
 const EPSILON = 1e-9;
 
-/** Whether `need` fits into `free`. */
+/** Whether `requested` fits into `free`. */
 export function fits(free: Resources, requested: Resources): boolean {
   return (
     requested.cpus <= free.cpus + EPSILON &&
@@ -16,7 +20,7 @@
   );
 }
 
-/** How many tasks of a shape fit into `free`. */
+/** How many times `requested` fits into `free`; Infinity if nothing is requested. */
 export function countFitting(free: Resources, requested: Resources): number {
   const ratios = [
     requested.cpus > 0 ? free.cpus / requested.cpus : Infinity,
@@ -26,7 +30,7 @@
   return Math.max(0, Math.floor(Math.min(...ratios) + EPSILON));
 }
 
-/** `a + sign * b`. */
+/** `a + sign * b`, as a new object. */
 export function addResources(a: Resources, b: Resources, sign: 1 | -1): Resources {
   return {
     cpus: a.cpus + sign * b.cpus,
--- a/packages/load-balancer/src/runtime-estimator.ts
+++ b/packages/load-balancer/src/runtime-estimator.ts
@@ -13,11 +13,11 @@
   expectedS: number;
 }
 
-/** Owners' estimates are often wrong by half. */
+/** Submitters' estimates are often wrong by half. */
 const PRIOR_ERROR_RATIO = 0.5;
-/** Weight of the owner's estimate against observed tasks, in tasks. */
+/** Weight of the submitter's estimate against observed tasks, in tasks. */
 const PRIOR_WEIGHT_TASK_COUNT = 4;
-/** Machines of a type differ by a tenth: no estimate is better than this. */
+/** Machines of one type differ by a tenth, so no estimate is better than this. */
 const MIN_ERROR_RATIO = 0.1;
 /** A task that has run for longer than was expected goes on for at least this share of the error. */
 const MIN_REMAINING_ERROR_RATIO = 0.2;
@@ -43,21 +43,21 @@
 }
 
 /**
- * Learns from finished tasks how far owners' estimates are off: first what holds for a class of jobs, then what holds for the
- * job itself. Each is a correction of the estimate below it, the more so the more tasks were seen.
+ * Learns from completed tasks how far submitters' estimates are off: for a class of jobs, and for each job. Each level
+ * corrects the estimate below it, the more so the more tasks it has seen.
  */
 export class RuntimeEstimator {
   private readonly byWorkload = new Map<string, RunningStatistics>();
   private readonly byJob = new Map<string, RunningStatistics>();
 
-  /** A task of this job has completed after so long, from the image's arrival to its end. */
+  /** Takes the run time of a completed task, from the image's arrival to its end. */
   learn({ job, workload, expectedS }: EstimatedJob, actualS: number): void {
     if (!(actualS > 0) || !(expectedS > 0)) return;
     statisticsFor(this.byWorkload, workload).add(actualS / expectedS);
     statisticsFor(this.byJob, job).add(actualS);
   }
 
-  /** The job is over. */
+  /** Forgets a job that is closed. */
   forget(job: string): void {
     this.byJob.delete(job);
   }
@@ -72,16 +72,16 @@
   }
 
   /**
-   * Seconds within which a task that has run for so long ends with this probability. Run times are taken as log-normal: a task
-   * that has outlived its estimate is not about to end, it is one of the long ones.
+   * Seconds within which a task that has run for `elapsedS` ends with this probability. Run times are taken as log-normal: a
+   * task that has outlived its estimate is not about to end, but one of the long ones.
    */
   remainingS(job: EstimatedJob, elapsedS: number, probability: number): number {
     const { meanS, errorS } = this.total(job);
     const sigma = Math.sqrt(Math.log(1 + (errorS / meanS) ** 2));
-    const median = Math.log(meanS) - sigma ** 2 / 2;
-    const survived = elapsedS > 0 ? 1 - normalProbability((Math.log(elapsedS) - median) / sigma) : 1;
+    const logMedian = Math.log(meanS) - sigma ** 2 / 2;
+    const survived = elapsedS > 0 ? 1 - normalProbability((Math.log(elapsedS) - logMedian) / sigma) : 1;
     const left = clampProbability(survived * (1 - probability));
-    const leftS = Math.exp(median + sigma * normalQuantile(1 - left)) - elapsedS;
+    const leftS = Math.exp(logMedian + sigma * normalQuantile(1 - left)) - elapsedS;
     return Math.max(elapsedS > meanS ? MIN_REMAINING_ERROR_RATIO * errorS : 0, leftS);
   }
 }
