--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -3,35 +3,36 @@
 import { type Log } from '../../transport/log';
 import { RateLimiter } from '../../transport/rate-limiter';
 import {
+  deprovisionBody,
   machineListPath,
   parseCatalog,
   parseMachineList,
   parseProvisioned,
   provisionBody,
-  deprovisionBody,
   type ListedMachine,
-  type MachineType,
   type MachineRequest,
+  type MachineType,
 } from '../../protocol/cloud';
 
-/** How a request reaches the cloud; null: no answer in time. */
+/** How a request reaches the cloud; null: no response within `timeoutMs`. */
 export interface CloudTransport {
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse | null>;
 }
 
-/** What the cloud says to an order. */
+/** The cloud's answer to a request for machines. */
 export type ProvisionResult =
   | { kind: 'provisioned'; machines: string[] }
-  /** It has none of this kind just now. */
+  /** It has no machine of this kind at present. */
   | { kind: 'capacity-exhausted' }
-  /** No answer, or none that is understood: the order may be carried out yet. */
+  /** No response, or a malformed one: the request may still be carried out. */
   | { kind: 'unknown' };
 
-const CLOUD_REQUEST_TIMEOUT_MS = 4000;
-/** Of the calls that the cloud allows, the share that one controller makes. */
+const REQUEST_TIMEOUT_MS = 4000;
+/** The share of the cloud's request limit that one controller uses. */
 const RATE_LIMIT_RATIO = 0.8;
+const CAPACITY_EXHAUSTED_STATUS = 503;
 
-/** The calls to the cloud, within its limit. */
+/** The calls to the cloud. Every call but the pages of a list is to be preceded by a successful `tryAcquireCall`. */
 export class CloudClient {
   private readonly limiter: RateLimiter;
 
@@ -39,34 +40,31 @@
     private readonly transport: CloudTransport,
     private readonly clock: Clock,
     private readonly log: Log,
-    rate: number,
+    /** Requests per second that the cloud allows. */
+    requestRate: number,
   ) {
-    this.limiter = new RateLimiter(rate * RATE_LIMIT_RATIO, rate);
+    this.limiter = new RateLimiter(requestRate * RATE_LIMIT_RATIO, requestRate);
   }
 
-  /** Takes the right to one call; false: not just now. */
+  /** Takes one call of the request limit; false: none is left at present. */
   tryAcquireCall(): boolean {
     return this.limiter.take(this.clock.steady(), 1);
   }
 
+  /** The machine types that the cloud offers; null: no response, or a malformed one. */
   async fetchCatalog(): Promise<MachineType[] | null> {
-    const response = await this.transport.call('GET', '/catalog', undefined, CLOUD_REQUEST_TIMEOUT_MS);
+    const response = await this.call('GET', '/catalog');
     return response?.status === 200 ? this.checkParsed(parseCatalog(response.body), 'catalog') : null;
   }
 
-  /** All pages of the list of machines; null if one of them does not come. */
+  /** All pages of the list of machines; null: one of them did not come, or was malformed. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after = '';
     for (;;) {
-      const response = await this.transport.call(
-        'GET',
-        machineListPath(after),
-        undefined,
-        CLOUD_REQUEST_TIMEOUT_MS,
-      );
-      const page =
-        response?.status === 200 ? this.checkParsed(parseMachineList(response.body), 'machine list') : null;
+      const response = await this.call('GET', machineListPath(after));
+      if (response?.status !== 200) return null;
+      const page = this.checkParsed(parseMachineList(response.body), 'machine list');
       if (!page) return null;
       machines.push(...page.machines);
       const last = page.machines[page.machines.length - 1];
@@ -75,34 +73,26 @@
     }
   }
 
-  /** Orders machines under a name that was never used before. */
+  /** Requests machines under a name that no request had before. */
   async provision(name: string, request: MachineRequest): Promise<ProvisionResult> {
-    const response = await this.transport.call(
-      'POST',
-      '/rentals',
-      provisionBody(name, request),
-      CLOUD_REQUEST_TIMEOUT_MS,
-    );
+    const response = await this.call('POST', '/rentals', provisionBody(name, request));
+    const status = response?.status ?? null;
     const machines = response?.status === 200 ? parseProvisioned(response.body) : null;
-    this.log.info(
-      { request, status: response?.status ?? null, provisioned: machines?.length ?? null },
-      'scale-out request',
-    );
+    this.log.info({ request, status, provisioned: machines?.length ?? null }, 'scale-out request');
     if (machines) return { kind: 'provisioned', machines };
-    return { kind: response?.status === 503 ? 'capacity-exhausted' : 'unknown' };
+    return { kind: status === CAPACITY_EXHAUSTED_STATUS ? 'capacity-exhausted' : 'unknown' };
   }
 
-  /** True once the machines are surely gone. */
+  /** Gives machines back; true: the cloud has confirmed that they are gone. */
   async deprovision(machines: string[]): Promise<boolean> {
-    const response = await this.transport.call(
-      'POST',
-      '/rentals/return',
-      deprovisionBody(machines),
-      CLOUD_REQUEST_TIMEOUT_MS,
-    );
+    const response = await this.call('POST', '/rentals/return', deprovisionBody(machines));
     return response?.status === 200;
   }
 
+  private call(method: string, path: string, body?: unknown): Promise<HttpResponse | null> {
+    return this.transport.call(method, path, body, REQUEST_TIMEOUT_MS);
+  }
+
   private checkParsed<T>(parsed: T | null, endpoint: string): T | null {
     if (parsed === null) this.log.info({ endpoint }, 'malformed cloud response');
     return parsed;
--- a/src/coordination/membership/reachability.ts
+++ b/src/coordination/membership/reachability.ts
@@ -1,42 +1,49 @@
-import { type PartitionLoad, type MisroutedCount } from '../../protocol/peers';
+import { type MisroutedCount, type PartitionLoad } from '../../protocol/peers';
 
-/** For how long a machine that came to the wrong controller counts as misrouted: it tries the owner, waits 4 s, comes again. */
+/** A machine counts as misrouted for this long: it tries the owner, pauses for 4 s, and comes again. */
 const MISROUTED_WINDOW_MS = 6000;
-/** Of a partition's machines, the share that must have come here of late for their reports to be kept waiting. */
+/** Heartbeats are deferred if this share of a partition's machines came to the wrong controller within the window. */
 const MIN_DEFERRING_RATIO = 0.1;
 const DEFERRING_WINDOW_MS = 2000;
+/** Fewer misrouted machines than this show nothing. */
 const MIN_MISROUTED_COUNT = 2;
-/** An owner is cut off if it has missed reports of this share of its machines while this share came to others. */
+/** An owner is unreachable if this share of its machines is silent, and this share of them came to other controllers. */
 const MIN_SILENT_RATIO = 0.8;
 const MIN_MISROUTED_RATIO = 0.25;
-/** For this long at least a controller that machines could not reach gets no partition. */
+/** A machine is silent after this many heartbeat intervals and the margin. */
+const MAX_SILENT_INTERVALS = 1.25;
+const SILENT_MARGIN_MS = 1000;
+/** A controller that machines could not reach gets no partition for at least this long. */
 const MIN_AVOIDANCE_MS = 20_000;
-/** After this long it gets another chance though it has heard nothing: perhaps nobody had a reason to come. */
+/** After this long it may get one again although it receives no heartbeats: perhaps no machine had a reason to come. */
 const MAX_AVOIDANCE_MS = 60_000;
 const MAX_STATS_AGE_MS = 6000;
 
-/** The machines that came to this controller though another owns their partition. */
+/** The machines whose heartbeats came to this controller although another one owns their partition. */
 export class MisroutedHeartbeats {
+  /** Partition, machine, time; a partition's machines in the order in which they came last. */
   private readonly lastSeenAt = new Map<string, Map<string, number>>();
 
+  /** Takes a misrouted heartbeat, and forgets those that no longer count. */
   note(partition: string, machine: string, now: number): void {
-    let ofPartition = this.lastSeenAt.get(partition);
-    if (!ofPartition) this.lastSeenAt.set(partition, (ofPartition = new Map<string, number>()));
-    // The order of the map is that in which they came.
-    ofPartition.delete(machine);
-    ofPartition.set(machine, now);
-    for (const [id, at] of ofPartition) {
+    let machines = this.lastSeenAt.get(partition);
+    if (!machines) this.lastSeenAt.set(partition, (machines = new Map<string, number>()));
+    // Deleted first, so that it goes to the end of the map's order.
+    machines.delete(machine);
+    machines.set(machine, now);
+    for (const [id, at] of machines) {
       if (now - at <= MISROUTED_WINDOW_MS) break;
-      ofPartition.delete(id);
+      machines.delete(id);
     }
   }
 
-  /** Whether so many of a partition's machines come here that their owner may be about to change. */
+  /** Whether so many of a partition's machines come here that its owner may be about to change. */
   exceedsDeferringRatio(partition: string, machines: number, now: number): boolean {
     const recent = this.countWithin(partition, DEFERRING_WINDOW_MS, now);
     return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRING_RATIO * machines;
   }
 
+  /** Misrouted machines by partition, as they are sent to the leader. */
   counts(now: number): MisroutedCount[] {
     return [...this.lastSeenAt.keys()].map((partition) => ({
       partition,
@@ -44,28 +51,30 @@
     }));
   }
 
-  private countWithin(partition: string, ms: number, now: number): number {
-    let n = 0;
-    for (const at of this.lastSeenAt.get(partition)?.values() ?? []) if (now - at <= ms) n++;
-    return n;
+  private countWithin(partition: string, windowMs: number, now: number): number {
+    let count = 0;
+    for (const at of this.lastSeenAt.get(partition)?.values() ?? []) if (now - at <= windowMs) count++;
+    return count;
   }
 }
 
-/** What a controller tells of the machines that come to it. */
+/** What a controller tells the leader of the heartbeats that it receives. */
 export interface HeartbeatStats {
   misrouted: readonly MisroutedCount[];
-  /** Time since it last heard any machine, -1: never. */
+  /** Time since it last received any heartbeat, -1: never. */
   sinceHeartbeatMs: number;
 }
 
 /**
- * How well machines reach the controllers, as the leader sees it. An owner that is cut from its machines alone keeps its
- * session lease and its partitions; the others would go on sending its machines back to it until all their leases have run out.
+ * How well machines reach the controllers, as the leader sees it. An owner that only its machines cannot reach keeps its
+ * session lease and its partitions, and the other controllers redirect its machines back to it: without a handover, the
+ * leases of all its tasks would expire.
  */
 export class Reachability {
   private readonly statsByMember = new Map<string, HeartbeatStats & { at: number }>();
   private readonly avoidedSince = new Map<string, number>();
 
+  /** Takes a member's stats; a member that receives heartbeats again is no longer avoided after a while. */
   recordStats(member: string, stats: HeartbeatStats, now: number): void {
     this.statsByMember.set(member, { ...stats, at: now });
     const since = this.avoidedSince.get(member);
@@ -74,14 +83,14 @@
     if (receivesHeartbeats || now - since > MAX_AVOIDANCE_MS) this.avoidedSince.delete(member);
   }
 
-  /** Machines have lately failed to reach this controller. */
+  /** Whether machines have lately failed to reach this controller. */
   isAvoided(member: string): boolean {
     return this.avoidedSince.has(member);
   }
 
   /**
-   * To whom a partition should go because its machines reach others and not its owner; null: it stays. Machines that are
-   * gone come to nobody, so their silence moves nothing.
+   * The member that should get a partition because its machines reach that member and not the owner; null: the owner keeps
+   * it. Machines that are gone come to no controller, so their silence changes nothing. The owner is avoided from then on.
    */
   betterOwner(
     owner: string,
@@ -90,22 +99,36 @@
     members: readonly string[],
     now: number,
   ): string | null {
-    const maxSilentMs = 1.25 * heartbeatIntervalMs + 1000;
-    const booted = load.machines.filter((m) => m.sinceHeartbeatMs >= 0);
-    const silent = booted.filter((m) => m.sinceHeartbeatMs > maxSilentMs).length;
+    const maxSilentMs = MAX_SILENT_INTERVALS * heartbeatIntervalMs + SILENT_MARGIN_MS;
+    const booted = load.machines.filter((machine) => machine.sinceHeartbeatMs >= 0);
+    const silent = booted.filter((machine) => machine.sinceHeartbeatMs > maxSilentMs).length;
     if (booted.length === 0 || silent < MIN_SILENT_RATIO * booted.length) return null;
-    // One that hears some machine, late as it may, is not cut off but has too much to do: a take-over makes it more.
-    const sinceHeartbeatMs = this.statsByMember.get(owner)?.sinceHeartbeatMs ?? 0;
-    if (sinceHeartbeatMs < maxSilentMs) return null;
-    const misroutedAt = (member: string): number => {
-      const stats = this.statsByMember.get(member);
-      if (!stats || now - stats.at > MAX_STATS_AGE_MS) return 0;
-      return stats.misrouted.find((s) => s.partition === load.partition)?.machines ?? 0;
-    };
-    const reached = members.filter((m) => m !== owner && !this.isAvoided(m) && misroutedAt(m) > 0);
-    const misroutedCount = reached.reduce((n, m) => n + misroutedAt(m), 0);
-    if (misroutedCount < Math.max(MIN_MISROUTED_COUNT, MIN_MISROUTED_RATIO * booted.length)) return null;
+    // An owner that receives any heartbeat is not cut off but overloaded, and a handover would add to the load.
+    const sinceAnyHeartbeatMs = this.statsByMember.get(owner)?.sinceHeartbeatMs ?? 0;
+    if (sinceAnyHeartbeatMs < maxSilentMs) return null;
+    const counts = this.misroutedCounts(load.partition, owner, members, now);
+    const total = counts.reduce((sum, { machines }) => sum + machines, 0);
+    if (total < Math.max(MIN_MISROUTED_COUNT, MIN_MISROUTED_RATIO * booted.length)) return null;
     this.avoidedSince.set(owner, now);
-    return reached.sort((a, b) => misroutedAt(b) - misroutedAt(a))[0] ?? null;
+    return counts.sort((a, b) => b.machines - a.machines)[0]?.member ?? null;
+  }
+
+  /** How many of a partition's machines came lately to each of the other members that may get it. */
+  private misroutedCounts(
+    partition: string,
+    owner: string,
+    members: readonly string[],
+    now: number,
+  ): { member: string; machines: number }[] {
+    return members
+      .filter((member) => member !== owner && !this.isAvoided(member))
+      .map((member) => ({ member, machines: this.misroutedAt(member, partition, now) }))
+      .filter(({ machines }) => machines > 0);
+  }
+
+  private misroutedAt(member: string, partition: string, now: number): number {
+    const stats = this.statsByMember.get(member);
+    if (!stats || now - stats.at > MAX_STATS_AGE_MS) return 0;
+    return stats.misrouted.find((count) => count.partition === partition)?.machines ?? 0;
   }
 }
