--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -1,7 +1,9 @@
 import { type Clock } from '../../transport/clock';
 import { type ReplicaView } from '../../storage/replica-view';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
-import { keys, type MemberRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
+import { type MemberRecord } from '../../protocol/records';
 import { type Membership } from '../membership/membership';
 
 const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
@@ -37,7 +39,7 @@
   /** Creates the leader's record if there is none; does nothing while another controller leads. */
   async claim(): Promise<void> {
     const { member, stateStore, replica } = this.deps;
-    if (this.claiming || !member.alive() || !stateStore.synced) return;
+    if (this.claiming || !member.alive() || !stateStore.replica.synced) return;
     if (replica.leader) return this.recognizeOwnClaim(replica.leader);
     this.claiming = true;
     const record: MemberRecord = { member: member.name };
--- a/src/coordination/leader/machine-catalog.ts
+++ b/src/coordination/leader/machine-catalog.ts
@@ -1,7 +1,8 @@
 import { type ReplicaView } from '../../storage/replica-view';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
 import { type MachineType } from '../../protocol/cloud';
-import { keys } from '../../protocol/records';
+import { keys } from '../../protocol/keys';
 import { type CloudClient } from './cloud-client';
 
 const REFRESH_INTERVAL_MS = 20_000;
--- a/src/coordination/leader/machine-record-writer.ts
+++ b/src/coordination/leader/machine-record-writer.ts
@@ -1,12 +1,10 @@
 import { type Clock } from '../../transport/clock';
 import { mayBeRepeated } from '../../storage/fleets';
 import { type ReplicaView } from '../../storage/replica-view';
-import {
-  RequestPriority,
-  type StateStoreClient,
-  type TransactionResult,
-} from '../../storage/state-store-client';
-import { encodeFleet, initialFleetValueName, keys, type MachineRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
+import { initialFleetValueName, keys } from '../../protocol/keys';
+import { encodeFleet, type MachineRecord } from '../../protocol/records';
 import { type Settings } from '../../protocol/settings';
 import { type Condition, type Write } from '../../protocol/store';
 import { type Membership } from '../membership/membership';
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -2,11 +2,8 @@
 import { type Log } from '../../transport/log';
 import { planFleetEdit } from '../../storage/fleets';
 import { type ReplicaView } from '../../storage/replica-view';
-import {
-  RequestPriority,
-  type StateStoreClient,
-  type TransactionResult,
-} from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
 import { type MachineRecord } from '../../protocol/records';
 import { type Settings } from '../../protocol/settings';
 import { type Heartbeat } from '../../protocol/workers';
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../src/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer-codec';
+import { type PeerMessage } from '../src/protocol/peers';
 import {
   decodeBatch,
   decodeFleet,
@@ -8,8 +9,8 @@
   encodeAccepted,
   encodeFleet,
   encodeProgress,
-  keys,
 } from '../src/protocol/records';
+import { keys } from '../src/protocol/keys';
 
 /** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
 const status: PeerMessage = {
