--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -200,7 +200,7 @@
       clock,
       log,
       member: this.membership,
-      ledger: this.stateStore,
+      stateStore: this.stateStore,
       replica: this.replica,
       cloud: new CloudClient(dependencies.cloudTransport, clock, log, settings.cloudRequestRate),
       extensions: this.leaseExtensions,
--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -87,7 +87,7 @@
     const { leader, replica } = this.deps;
     if (!leader.leading)
       return reply({ kind: 'redirect', owner: this.redirectTarget(replica.leader?.member) });
-    leader.send({ kind: 'unknown-machine-heartbeat', report: heartbeat });
+    leader.send({ kind: 'unknown-machine-heartbeat', heartbeat });
     reply({ kind: 'busy' });
   }
 
--- a/test/fleet/autoscaler.test.ts
+++ b/test/fleet/autoscaler.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planCapacity } from '../../src/coordination/fleet/autoscaler';
-import { type FleetSnapshot } from '../../src/coordination/fleet/capacity-plan';
+import { type FleetSnapshot } from '../../src/coordination/fleet/fleet-snapshot';
 import { DEFAULT_POLICY } from '../../src/protocol/policy';
 import { DRAIN_TO_CLOUD } from '../../src/protocol/peers';
 import { LARGE_TYPE, SMALL_TYPE } from '../support/machine-types';
--- a/test/support/fleet-builders.ts
+++ b/test/support/fleet-builders.ts
@@ -1,5 +1,5 @@
 /** Builders of what the leader plans capacity from. */
-import { type FleetMachine } from '../../src/coordination/fleet/capacity-plan';
+import { type FleetMachine } from '../../src/coordination/fleet/fleet-snapshot';
 import { type Demand, type MachineLoad, type PartitionLoad } from '../../src/protocol/peers';
 
 /** Ten tasks of one CPU that wait, a minute each. */
