--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -28,7 +28,7 @@
 /** The library for histograms is loaded only after the start, which is short of processor time. */
 const METRICS_LOAD_DELAY_MS = 20_000;
 /** A watch is held by the state store for a fraction of the time after which its news would be too old. */
-const WATCHES_PER_STALENESS_BOUND_COUNT = 4;
+const WATCHES_PER_STALENESS_BOUND = 4;
 
 /** What a controller reaches the rest of the world by. */
 export interface ControllerDependencies {
@@ -173,22 +173,22 @@
       requestRate,
       writeRate,
       controllers: settings.peers.length + 1,
-      watchHoldMs: this.maxStalenessMs / WATCHES_PER_STALENESS_BOUND_COUNT,
+      watchHoldMs: this.maxStalenessMs / WATCHES_PER_STALENESS_BOUND,
     };
     const { storeTransport, watchTransport } = dependencies;
     return new StateStoreClient(storeTransport, watchTransport, clock, log, rates, metrics);
   }
 
   private createMembership(): Membership {
-    return new Membership(
-      this.settings.member,
-      this.stateStore,
-      this.clock,
-      this.log,
-      this.leaseExtensions,
-      this.maxStalenessMs,
-      () => this.reconcilePartitions(),
-    );
+    return new Membership({
+      name: this.settings.member,
+      stateStore: this.stateStore,
+      clock: this.clock,
+      log: this.log,
+      extensions: this.leaseExtensions,
+      maxStalenessMs: this.maxStalenessMs,
+      onJoined: () => this.reconcilePartitions(),
+    });
   }
 
   private createLeader(): Leader {
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -1,3 +1,4 @@
+/** Membership of this controller in the cluster: a session lease in the state store, renewed for as long as it runs. */
 import { MAX_CLOCK_DRIFT_RATIO, type Clock } from '../../transport/clock';
 import { Actor } from '../../transport/actor';
 import { type Log } from '../../transport/log';
@@ -5,56 +6,85 @@
 import { keys, type MemberRecord } from '../../protocol/records';
 import { type LeaseExtensions } from './lease-extension';
 
-/** How long a session lease lasts without renewal: the time in which a dead controller is noticed. */
+/** How long a session lease lasts without renewal: the time in which a failed controller is noticed. */
 export const SESSION_LEASE_MS = 4000;
 const LEASE_RENEWAL_INTERVAL_MS = 800;
-/** Steady clocks drift, timers fire late: this much before its end a session lease counts as ended. */
+const FAILED_RENEWAL_RETRY_MS = 250;
+/** Timers fire late: this much before its end a session lease counts as expired. */
 const LEASE_EXPIRY_MARGIN_MS = 250;
+const REJOIN_DELAY_MS = 100;
+/** After a request that the state store has not answered, or while the previous session lease runs on. */
+const JOIN_RETRY_MS = 300;
+/** After another writer got in between. */
+const JOIN_CONFLICT_RETRY_MS = 200;
+const JOIN_AFTER_REVOCATION_MS = 1;
+
+export interface MembershipDependencies {
+  /** The name of this controller. */
+  name: string;
+  stateStore: StateStoreClient;
+  clock: Clock;
+  log: Log;
+  extensions: LeaseExtensions;
+  /** How long workers may be answered without knowing what was cancelled (see staleness-bound.ts). */
+  maxStalenessMs: number;
+  /** Called each time a session lease has been acquired. */
+  onJoined: () => void;
+}
+
+type RenewalResult = 'renewed' | 'ended' | 'failed';
+
+interface JoinedMessage {
+  kind: 'joined';
+  leaseId: number;
+  incarnation: number;
+  /** Steady time at which the lease was asked for. */
+  sentAt: number;
+}
 
 type MembershipMessage =
   | { kind: 'join' }
-  | { kind: 'joined'; leaseId: number; incarnation: number; sentAt: number }
+  | JoinedMessage
   | { kind: 'renew' }
-  | { kind: 'renewed'; leaseId: number; result: 'renewed' | 'ended' | 'failed'; sentAt: number };
+  | { kind: 'renewed'; leaseId: number; result: RenewalResult; sentAt: number };
 
-/** This controller's session lease. Whoever acts asks `alive()` first, every time. */
+/**
+ * The session lease of this controller, and with it the right to act. Whoever acts asks `alive()` first, every time: the
+ * right may end between any two moments.
+ */
 export class Membership extends Actor<MembershipMessage> {
+  readonly name: string;
+  /** Revision of our member record, a fencing token for all that we write; 0: we hold no session lease. */
+  memberIncarnation = 0;
   private currentLeaseId: number | null = null;
+  /** On the steady clock. */
   private leaseExpiresAt = Number.NEGATIVE_INFINITY;
-  /** Version of our member record; 0: we have none. */
-  memberIncarnation = 0;
 
-  constructor(
-    readonly name: string,
-    private readonly stateStore: StateStoreClient,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly extensions: LeaseExtensions,
-    /** How long workers may be answered without knowing what was cancelled. */
-    private readonly maxStalenessMs: number,
-    private readonly onJoined: () => void,
-  ) {
-    super((error) => log.error({ error }, 'membership actor failed'));
+  constructor(private readonly deps: MembershipDependencies) {
+    super((error) => deps.log.error({ error }, 'membership actor failed'));
+    this.name = deps.name;
   }
 
+  /** Whether this controller may act: its session lease has not expired, or all its peers have extended it. */
   alive(): boolean {
-    const now = this.clock.steady();
-    return this.memberIncarnation !== 0 && (now < this.leaseExpiresAt || this.extensions.allHeld(now));
+    const now = this.deps.clock.steady();
+    return this.memberIncarnation !== 0 && (now < this.leaseExpiresAt || this.deps.extensions.allHeld(now));
   }
 
-  /** When we last surely knew of every cancellation that anybody had confirmed. */
+  /** The last moment of the steady clock up to which every cancellation that any controller confirmed is known here. */
   get freshAsOf(): number {
-    return Math.max(this.stateStore.freshAsOf, this.extensions.freshAsOf);
+    return Math.max(this.deps.stateStore.freshAsOf, this.deps.extensions.freshAsOf);
   }
 
   /**
-   * Whether workers may be answered: each answer keeps their tasks for a lease, so we must act rightfully and know well
-   * enough what was cancelled (see staleness.ts).
+   * Whether workers may be answered: each answer renews the leases of their tasks, so we must be allowed to act and must
+   * know recent enough cancellations (see staleness-bound.ts).
    */
   mayRenewLeases(): boolean {
-    return this.alive() && this.clock.steady() < this.freshAsOf + this.maxStalenessMs;
+    return this.alive() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
   }
 
+  /** Id of the session lease in the state store, 0: none. */
   get sessionLeaseId(): number {
     return this.currentLeaseId ?? 0;
   }
@@ -65,38 +95,53 @@
         void this.join();
         return;
       case 'joined':
-        this.currentLeaseId = message.leaseId;
-        this.memberIncarnation = message.incarnation;
-        this.extendLease(message.sentAt);
-        this.log.info({ memberIncarnation: this.memberIncarnation }, 'session lease acquired');
-        this.onJoined();
-        this.sendLater('renew', LEASE_RENEWAL_INTERVAL_MS);
-        return;
-      case 'renew': {
-        const leaseId = this.currentLeaseId;
-        if (leaseId === null) return;
-        const sentAt = this.clock.steady();
-        void this.stateStore
-          .renewLease(leaseId)
-          .then((result) => this.send({ kind: 'renewed', leaseId, result, sentAt }));
-        return;
-      }
+        return this.handleJoined(message);
+      case 'renew':
+        return this.renew();
+      case 'renewed':
+        if (message.leaseId === this.currentLeaseId) this.handleRenewal(message.result, message.sentAt);
+    }
+  }
+
+  private handleJoined({ leaseId, incarnation, sentAt }: JoinedMessage): void {
+    this.currentLeaseId = leaseId;
+    this.memberIncarnation = incarnation;
+    this.extendLease(sentAt);
+    this.deps.log.info({ memberIncarnation: incarnation }, 'session lease acquired');
+    this.deps.onJoined();
+    this.sendLater('renew', LEASE_RENEWAL_INTERVAL_MS);
+  }
+
+  private renew(): void {
+    const leaseId = this.currentLeaseId;
+    if (leaseId === null) return;
+    const sentAt = this.deps.clock.steady();
+    void this.deps.stateStore
+      .renewLease(leaseId)
+      .then((result) => this.send({ kind: 'renewed', leaseId, result, sentAt }));
+  }
+
+  private handleRenewal(result: RenewalResult, sentAt: number): void {
+    switch (result) {
+      case 'ended':
+        return this.handleExpiry();
       case 'renewed':
-        if (message.leaseId !== this.currentLeaseId) return;
-        if (message.result === 'ended') {
-          this.log.info('session lease expired, rejoining');
-          this.currentLeaseId = null;
-          this.memberIncarnation = 0;
-          this.leaseExpiresAt = Number.NEGATIVE_INFINITY;
-          this.sendLater('join', 100);
-          return;
-        }
-        if (message.result === 'renewed') this.extendLease(message.sentAt);
-        this.sendLater('renew', message.result === 'renewed' ? LEASE_RENEWAL_INTERVAL_MS : 250);
+        this.extendLease(sentAt);
+        return this.sendLater('renew', LEASE_RENEWAL_INTERVAL_MS);
+      case 'failed':
+        return this.sendLater('renew', FAILED_RENEWAL_RETRY_MS);
     }
   }
 
-  /** Counted from when the touch was sent: the state service cannot have begun the new term earlier. */
+  private handleExpiry(): void {
+    this.deps.log.info('session lease expired, rejoining');
+    this.currentLeaseId = null;
+    this.memberIncarnation = 0;
+    this.leaseExpiresAt = Number.NEGATIVE_INFINITY;
+    this.sendLater('join', REJOIN_DELAY_MS);
+  }
+
+  /** Counted from when the request was sent: the state store cannot have begun the new period earlier. */
   private extendLease(sentAt: number): void {
     this.leaseExpiresAt = Math.max(
       this.leaseExpiresAt,
@@ -105,30 +150,33 @@
   }
 
   private sendLater(kind: 'join' | 'renew', ms: number): void {
-    this.clock.schedule(ms, () => this.send({ kind }));
+    this.deps.clock.schedule(ms, () => this.send({ kind }));
   }
 
+  /** One attempt to acquire a session lease and to write the member record under it. */
   private async join(): Promise<void> {
-    const key = keys.member(this.name);
-    const previous = await this.stateStore.read(key);
-    if (previous.kind === 'failed') return this.sendLater('join', 300);
-    if (previous.kind === 'entry') {
-      // An earlier life of this controller is over: only one process runs here at a time.
-      const revoked =
-        previous.entry.leaseId !== null && (await this.stateStore.endLease(previous.entry.leaseId));
-      if (!revoked) this.log.info('waiting for the previous session lease to expire');
-      return this.sendLater('join', revoked ? 1 : 300);
-    }
-    const sentAt = this.clock.steady();
-    const leaseId = await this.stateStore.openLease(SESSION_LEASE_MS);
-    if (leaseId === null) return this.sendLater('join', 300);
-    const record: MemberRecord = { member: this.name };
-    const written = await this.stateStore.transact(
+    const { name, stateStore, clock } = this.deps;
+    const key = keys.member(name);
+    const previous = await stateStore.read(key);
+    if (previous.kind === 'failed') return this.sendLater('join', JOIN_RETRY_MS);
+    if (previous.kind === 'entry') return this.endPreviousSession(previous.entry.leaseId);
+    const sentAt = clock.steady();
+    const leaseId = await stateStore.openLease(SESSION_LEASE_MS);
+    if (leaseId === null) return this.sendLater('join', JOIN_RETRY_MS);
+    const record: MemberRecord = { member: name };
+    const written = await stateStore.transact(
       [{ key, revision: 0 }],
       [{ put: key, value: record, leaseId }],
       RequestPriority.Lease,
     );
-    if (written.kind !== 'applied') return this.sendLater('join', 200);
+    if (written.kind !== 'applied') return this.sendLater('join', JOIN_CONFLICT_RETRY_MS);
     this.send({ kind: 'joined', leaseId, incarnation: written.revision, sentAt });
   }
+
+  /** An earlier process of this controller is no more, for only one runs at a time: its session lease need not run out. */
+  private async endPreviousSession(leaseId: number | null): Promise<void> {
+    const revoked = leaseId !== null && (await this.deps.stateStore.endLease(leaseId));
+    if (!revoked) this.deps.log.info('waiting for the previous session lease to expire');
+    this.sendLater('join', revoked ? JOIN_AFTER_REVOCATION_MS : JOIN_RETRY_MS);
+  }
 }
