--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -8,7 +8,8 @@
 import { type Heartbeat } from '../../protocol/workers';
 import { ReplicaView } from '../../storage/replica-view';
 import { SubmissionBatcher } from '../../storage/submission-batcher';
-import { StateStoreClient, type StoreTransport } from '../../storage/state-store-client';
+import { StateStoreClient } from '../../storage/state-store-client';
+import { type StoreTransport } from '../../storage/store-connection';
 import { type Balancing } from '../balancing/balancing';
 import { CloudClient, type CloudTransport } from '../leader/cloud-client';
 import { Leader } from '../leader/leader';
@@ -70,7 +71,7 @@
   ) {
     this.maxStalenessMs = maxStalenessMs(settings.leaseMs, settings.cancelMs);
     this.stateStore = this.createStateStore();
-    this.replica = new ReplicaView(this.stateStore, log);
+    this.replica = new ReplicaView(this.stateStore.replica, log);
     this.leaseExtensions = new LeaseExtensions(this.peers(), clock.steady());
     this.membership = this.createMembership();
     this.leader = this.createLeader();
@@ -81,7 +82,7 @@
     this.statusPublisher = this.createStatusPublisher();
     this.jobService = this.createJobService();
     this.replica.events.subscribe((event) => this.partitions.forwardReplicaEvent(event));
-    this.stateStore.batches.subscribe(() => this.reconcilePartitions());
+    this.stateStore.replica.batches.subscribe(() => this.reconcilePartitions());
   }
 
   /** Joins the cluster and starts all timers. */
@@ -117,7 +118,7 @@
       member: this.settings.member,
       alive: this.membership.alive(),
       leading: this.leader.leading,
-      revision: this.stateStore.revision,
+      revision: this.stateStore.replica.revision,
       store: { ...this.stateStore.counters, changes: this.stateStore.changesByKind },
       users: this.jobService.counters,
       took: this.metrics.summary(),
@@ -146,7 +147,7 @@
 
   /** Ownership is taken from a complete replica only: a partial one would release partitions that are still ours. */
   private reconcilePartitions(): void {
-    if (!this.stateStore.synced) return;
+    if (!this.stateStore.replica.synced) return;
     this.partitions.reconcile();
     this.heartbeats.ownersChanged();
   }
@@ -160,7 +161,7 @@
   /** An owner asks for news though there may be none, so that an outage finds it with nearly all of its staleness bound left. */
   private refreshReplica(): void {
     const now = this.clock.steady();
-    const since = Math.max(this.stateStore.freshAsOf, this.refreshRequestedAt);
+    const since = Math.max(this.stateStore.replica.freshAsOf, this.refreshRequestedAt);
     if (this.partitions.size === 0 || now - since < refreshIntervalMs(this.maxStalenessMs)) return;
     this.refreshRequestedAt = now;
     void this.stateStore.ensureFresh();
@@ -176,7 +177,8 @@
       watchHoldMs: this.maxStalenessMs / WATCHES_PER_STALENESS_BOUND,
     };
     const { storeTransport, watchTransport } = dependencies;
-    return new StateStoreClient(storeTransport, watchTransport, clock, log, rates, metrics);
+    const transports = { transport: storeTransport, watchTransport };
+    return new StateStoreClient({ ...transports, clock, log, metrics }, rates);
   }
 
   private createMembership(): Membership {
@@ -280,7 +282,8 @@
     const { valueBytes, txnOps } = settings.stateStore;
     const { processIncarnation } = dependencies;
     const limits = { valueBytes, txnOps, processIncarnation };
-    const batcher = new SubmissionBatcher(this.stateStore, this.replica, clock, limits);
+    const { stateStore, replica } = this;
+    const batcher = new SubmissionBatcher({ stateStore, replica, clock }, limits);
     const teams = new Map(settings.teams.map((team) => [team.name, team]));
     return new JobService(
       this.stateStore,
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -1,7 +1,8 @@
 /** Messages between controllers: encoding, decoding, and the actors that they are for. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
-import { decodePeerMessage, encodePeerMessage, type PeerMessage } from '../../protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
+import { type PeerMessage } from '../../protocol/peers';
 import { type ReplicaView } from '../../storage/replica-view';
 import { type StateStoreClient } from '../../storage/state-store-client';
 import { type Leader } from '../leader/leader';
@@ -63,7 +64,7 @@
     const storeOk = stateStore.respondedWithin(STORE_SILENCE_MS);
     const extended = leaseExtensions.grant(status.member, this.mayVouchFor(status), storeOk, clock.steady());
     // A peer that is ahead of our replica still needs what we confirmed and do not see yet.
-    const since = Math.min(status.revision, stateStore.revision);
+    const since = Math.min(status.revision, stateStore.replica.revision);
     const cancelled = extended ? replica.cancelledSince(since) : [];
     const pages = Math.max(1, Math.ceil(cancelled.length / MAX_CANCELLATIONS_PER_PAGE));
     for (let page = 0; page < pages; page++) {
@@ -89,8 +90,8 @@
   private mayVouchFor({ member, memberIncarnation, revision }: StatusMessage): boolean {
     const { stateStore, replica } = this.deps;
     const memberSeen = replica.members.get(member) === memberIncarnation;
-    const revisionPlausible = revision <= stateStore.revision + MAX_REVISION_LEAD_COUNT;
-    return memberSeen && stateStore.synced && revisionPlausible;
+    const revisionPlausible = revision <= stateStore.replica.revision + MAX_REVISION_LEAD_COUNT;
+    return memberSeen && stateStore.replica.synced && revisionPlausible;
   }
 
   private handlePeerMessage(message: PeerMessage): void {
--- a/src/coordination/controller/readiness.ts
+++ b/src/coordination/controller/readiness.ts
@@ -33,7 +33,7 @@
    */
   ready(): boolean {
     const { peers, clock, stateStore, machineTypesKnown } = this.deps;
-    if (!stateStore.synced || !machineTypesKnown()) return false;
+    if (!stateStore.replica.synced || !machineTypesKnown()) return false;
     if (stateStore.respondedWithin(READY_STORE_SILENCE_MS)) return true;
     const now = clock.steady();
     const heardPeers = peers
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -58,7 +58,7 @@
       storeOk: stateStore.respondedWithin(STORE_SILENCE_MS),
       memberIncarnation: membership.memberIncarnation,
       sinceHeartbeatMs: heartbeats.sinceHeartbeatMs(now),
-      revision: stateStore.synced ? stateStore.revision : 0,
+      revision: stateStore.replica.synced ? stateStore.replica.revision : 0,
     };
     const forLeader = { ...status, partitions, misrouted: heartbeats.misroutedCounts(now) };
     const forPeer = { ...status, partitions: [], misrouted: [] };
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -2,8 +2,10 @@
 import { MAX_CLOCK_DRIFT_RATIO, type Clock } from '../../transport/clock';
 import { Actor } from '../../transport/actor';
 import { type Log } from '../../transport/log';
-import { RequestPriority, type StateStoreClient } from '../../storage/state-store-client';
-import { keys, type MemberRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
+import { type MemberRecord } from '../../protocol/records';
 import { type LeaseExtensions } from './lease-extension';
 
 /** How long a session lease lasts without renewal: the time in which a failed controller is noticed. */
@@ -73,7 +75,7 @@
 
   /** The last moment of the steady clock up to which every cancellation that any controller confirmed is known here. */
   get freshAsOf(): number {
-    return Math.max(this.deps.stateStore.freshAsOf, this.deps.extensions.freshAsOf);
+    return Math.max(this.deps.stateStore.replica.freshAsOf, this.deps.extensions.freshAsOf);
   }
 
   /**
