--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -177,8 +177,7 @@
       watchHoldMs: this.maxStalenessMs / WATCHES_PER_STALENESS_BOUND,
     };
     const { storeTransport, watchTransport } = dependencies;
-    const transports = { transport: storeTransport, watchTransport };
-    return new StateStoreClient({ ...transports, clock, log, metrics }, rates);
+    return new StateStoreClient({ transport: storeTransport, watchTransport, clock, log, metrics }, rates);
   }
 
   private createMembership(): Membership {
@@ -282,8 +281,10 @@
     const { valueBytes, txnOps } = settings.stateStore;
     const { processIncarnation } = dependencies;
     const limits = { valueBytes, txnOps, processIncarnation };
-    const { stateStore, replica } = this;
-    const batcher = new SubmissionBatcher({ stateStore, replica, clock }, limits);
+    const batcher = new SubmissionBatcher(
+      { stateStore: this.stateStore, replica: this.replica, clock },
+      limits,
+    );
     const teams = new Map(settings.teams.map((team) => [team.name, team]));
     return new JobService(
       this.stateStore,
