--- /dev/null
+++ b/test/load-attribution.test.ts
@@ -0,0 +1,102 @@
+import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
+import { type Profiler } from 'node:inspector';
+import { join } from 'node:path';
+import test from 'node:test';
+import { attribute } from '../tools/load/attribution';
+
+const SRC = 'src';
+const SAMPLE_US = 5000;
+
+/** A frame of the service: the function must still stand in that source file, or the tool's rules name nothing. */
+interface Frame {
+  functionName: string;
+  file: string;
+}
+
+function frame(functionName: string, file: string): Frame {
+  return { functionName, file };
+}
+
+/** A profile with one sample, whose stack is given from the outermost frame in. */
+function profileOf(stack: readonly Frame[]): Profiler.Profile {
+  const nodes = stack.map(({ functionName, file }, i) => ({
+    id: i + 1,
+    callFrame: {
+      functionName,
+      url: `file:///service/target-test/${file.replace(/\.ts$/, '.js')}`,
+      scriptId: '1',
+      lineNumber: 0,
+      columnNumber: 0,
+    },
+    children: i + 1 < stack.length ? [i + 2] : [],
+  }));
+  return { nodes, startTime: 0, endTime: SAMPLE_US, samples: [stack.length], timeDeltas: [0, SAMPLE_US] };
+}
+
+const PARTITION = `${SRC}/coordination/partition`;
+const CONTROLLER = `${SRC}/coordination/controller`;
+const REQUESTS = `${SRC}/coordination/requests`;
+const STORAGE = `${SRC}/storage`;
+
+const heartbeat = [
+  frame('answerHeartbeat', `${REQUESTS}/heartbeat-gateway.ts`),
+  frame('receiveHeartbeat', `${CONTROLLER}/heartbeat-router.ts`),
+];
+
+const cases: [name: string, stack: Frame[], cause: string][] = [
+  ['a heartbeat on its way to its partition', heartbeat, 'heartbeats'],
+  [
+    'a heartbeat in the machine that sent it',
+    [...heartbeat, frame('applyHeartbeat', `${PARTITION}/machine.ts`)],
+    'heartbeats',
+  ],
+  [
+    'commands that answer a heartbeat',
+    [...heartbeat, frame('takeCommands', `${PARTITION}/machine.ts`)],
+    'heartbeats',
+  ],
+  [
+    'placement within the answer to a heartbeat',
+    [
+      ...heartbeat,
+      frame('takeCommands', `${PARTITION}/machine.ts`),
+      frame('placeTasks', `${PARTITION}/task-placement.ts`),
+    ],
+    'placement',
+  ],
+  ['the order of jobs', [frame('schedulingOrder', `${PARTITION}/scheduling-order.ts`)], 'placement'],
+  ['writing progress', [frame('writeProgress', `${PARTITION}/partition-actor.ts`)], 'progress'],
+  ['changed values of progress', [frame('changedValues', `${STORAGE}/progress.ts`)], 'progress'],
+  ['the tick of a controller', [frame('tick', `${CONTROLLER}/controller.ts`)], 'partition tick'],
+  [
+    'a status to the other controllers',
+    [frame('publishStatus', `${CONTROLLER}/status-publisher.ts`)],
+    'frames between controllers',
+  ],
+  [
+    'a frame of another controller',
+    [frame('receiveFrame', `${CONTROLLER}/peer-messenger.ts`)],
+    'frames between controllers',
+  ],
+  ['the leader', [frame('receive', `${SRC}/coordination/leader/leader.ts`)], "leader's planning"],
+  ['a watch', [frame('publishIfComplete', `${STORAGE}/replica-feed.ts`)], 'watch events and refill'],
+  ['a submission', [frame('submit', `${REQUESTS}/job-service.ts`)], 'submissions and status queries'],
+  [
+    'an HTTP call',
+    [frame('call', `${SRC}/transport/http-client.ts`)],
+    'requests to the state store and the cloud',
+  ],
+];
+
+for (const [name, stack, cause] of cases) {
+  test(`processor time of ${name} counts as ${cause}`, () => {
+    for (const { functionName, file } of stack)
+      assert.match(readFileSync(join(process.cwd(), file), 'utf8'), new RegExp(`\\b${functionName}[(<]`));
+    assert.deepEqual([...attribute(profileOf(stack)).causes], [[cause, SAMPLE_US / 1000]]);
+  });
+}
+
+test('idle time is left out', () => {
+  assert.equal(attribute(profileOf([frame('(idle)', '')])).causes.size, 0);
+});
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -1,3 +1,4 @@
+/** Sums a processor profile of a controller by cause. The rules name functions and files of the service as compiled. */
 import { type Profiler } from 'node:inspector';
 
 /** Why processor time was spent. The first pattern that a sample's stack matches, from the innermost frame out, names it. */
@@ -25,7 +26,10 @@
     frames: /coordination\/(leader|fleet)\//,
   },
   { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
-  { cause: 'frames between controllers', frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/ },
+  {
+    cause: 'frames between controllers',
+    frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/,
+  },
   {
     cause: 'watch events and refill',
     frames: /(replica-feed|store-replica|replica-view|job-index|fleet-index)\.js/,
@@ -35,7 +39,7 @@
     frames: /\/express\/|express-app\.js|job-service\.js|submission-batcher\.js|\/router\/|_http_server/,
   },
   {
-    cause: 'requests to the state service and the cloud',
+    cause: 'requests to the state store and the cloud',
     frames:
       /(state-store-client|store-connection|request-queue|fresh-read-batcher)\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
   },
@@ -47,8 +51,9 @@
   { cause: 'event loop and timers', frames: /\(program\)|node:internal\/(timers|process)/ },
 ];
 
-/** A report is a message of the partition: its stack also holds the partition's frames. */
-const HEARTBEAT_FRAME = /(report|take|answer|isNews|adopt|exited) .*(partition|machine)\.js/;
+/** A heartbeat is a message to the partition's actor: its stack also holds the partition's frames. */
+const HEARTBEAT_FRAME =
+  /^(handleHeartbeat|applyHeartbeat|takeCommands|isNewer|adoptRunningTask|handleExit) .*coordination\/partition\//;
 const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
