--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -1,3 +1,4 @@
+/** Sums a processor profile of a controller by cause. The rules name functions and files of the service as compiled. */
 import { type Profiler } from 'node:inspector';
 
 /** Why processor time was spent. The first pattern that a sample's stack matches, from the innermost frame out, names it. */
@@ -43,7 +44,7 @@
     frames: /\/express\/|express-app\.js|job-service\.js|submission-batcher\.js|\/router\/|_http_server/,
   },
   {
-    cause: 'requests to the state service and the cloud',
+    cause: 'requests to the state store and the cloud',
     frames:
       /(state-store-client|store-connection|request-queue|fresh-read-batcher)\.js|http-client\.js|_http_client|_http_agent|http-connection\.js/,
   },
