--- a/test/client.test.ts
+++ b/test/cli/client.test.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
-import { cancel, EXIT_CODES, status, submit } from '../src/cli/client';
+import { cancel, EXIT_CODES, status, submit } from '../../src/cli/client';
 
 /** A controller that answers each request with what is in line for it, the last one for ever. */
 const answers: [number, object][] = [];
--- a/test/cluster/lease-extension-requests.test.ts
+++ b/test/cluster/lease-extension-requests.test.ts
@@ -14,15 +14,15 @@
   const { revision } = asker?.status() as ControllerStatus;
   const incarnation = (asker as unknown as { membership: Membership }).membership.memberIncarnation;
   const status = {
-    ...{
-      kind: 'status' as const,
-      member: 'velodrome-1',
-      sequence: 1,
-      storeOk: false,
-      memberIncarnation: incarnation,
-      partitions: [],
-    },
-    ...{ misrouted: [], sinceHeartbeatMs: 0, revision },
+    kind: 'status' as const,
+    member: 'velodrome-1',
+    sequence: 1,
+    storeOk: false,
+    memberIncarnation: incarnation,
+    partitions: [],
+    misrouted: [],
+    sinceHeartbeatMs: 0,
+    revision,
   };
   const cases: [string, Buffer, boolean | null][] = [
     ['a peer as it is', encodePeerMessage(status), true],
--- a/test/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -4,10 +4,10 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { coefficientOfVariation } from '@heathbridge/load-balancer';
-import { balance } from '../src/cli/balance-command';
-import { EXIT_CODES } from '../src/cli/client';
-import { type FakeWorker } from './standin/fake-worker';
-import { LoopbackCluster } from './standin/loopback';
+import { balance } from '../../src/cli/balance-command';
+import { EXIT_CODES } from '../../src/cli/client';
+import { type FakeWorker } from '../standin/fake-worker';
+import { LoopbackCluster } from '../standin/loopback';
 
 const FEATURES = `
 [load_balancer]
@@ -70,14 +70,12 @@
 
   async start(features: string | null): Promise<void> {
     this.cluster = await LoopbackCluster.start({
-      ...{
-        controllers: CONTROLLERS,
-        machines: MACHINES,
-        heartbeatIntervalMs: 500,
-        leaseMs: LEASE_MS,
-        teams: TEAMS,
-        features,
-      },
+      controllers: CONTROLLERS,
+      machines: MACHINES,
+      heartbeatIntervalMs: 500,
+      leaseMs: LEASE_MS,
+      teams: TEAMS,
+      features,
       hooks: {
         taskStarted: (worker, piece) => this.taskStarted(worker, piece),
         taskCompleted: (piece) => void this.completed.add(piece),
@@ -125,10 +123,22 @@
     this.submittedAt.set(job.ref, performance.now());
     const idle = job.urgency === 'idle';
     const body = {
-      ...{ ...job, workload: job.urgency, shape: 'sweep', accelerators: 0, memory_gb: 1, build: 'img-1' },
-      ...{ image_gb: 0.1, models: null, yard: null, together: false, apart: false, loaners: true },
-      ...{ expected_s: (idle ? IDLE_MS : URGENT_MS) / 1000, snapshot_every_s: idle ? 1 : 0 },
-      ...{ snapshot_s: idle ? 0.2 : 0, due_s: null },
+      ...job,
+      workload: job.urgency,
+      shape: 'sweep',
+      accelerators: 0,
+      memory_gb: 1,
+      build: 'img-1',
+      image_gb: 0.1,
+      models: null,
+      yard: null,
+      together: false,
+      apart: false,
+      loaners: true,
+      expected_s: (idle ? IDLE_MS : URGENT_MS) / 1000,
+      snapshot_every_s: idle ? 1 : 0,
+      snapshot_s: idle ? 0.2 : 0,
+      due_s: null,
     };
     void this.submitUntilDone(job.ref, body);
   }
@@ -191,7 +201,9 @@
       .map(([piece, at]) => at - (this.submittedAt.get(piece.split('/')[0] ?? '') ?? at))
       .sort((a, b) => a - b);
     return {
-      ...{ finished: this.done.size, jobs: this.jobs.size, violations: this.violations },
+      finished: this.done.size,
+      jobs: this.jobs.size,
+      violations: this.violations,
       moves: [...this.moves.values()].reduce((sum, n) => sum + n, 0),
       spread: this.spreads.reduce((sum, value) => sum + value, 0) / Math.max(1, this.spreads.length),
       urgentStartDelayMs: waits[Math.floor(0.95 * waits.length)] ?? 0,
--- a/test/pipelines.test.ts
+++ b/test/pipeline/pipelines.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { evaluatePipeline, type PipelineMember } from '../src/coordination/pipeline/pipelines';
-import { type EdgeKind, type JobSpec } from '../src/protocol/jobs';
-import { type JobState } from '../src/protocol/records';
+import { evaluatePipeline, type PipelineMember } from '../../src/coordination/pipeline/pipelines';
+import { type EdgeKind, type JobSpec } from '../../src/protocol/jobs';
+import { type JobState } from '../../src/protocol/records';
 
 interface Link {
   after?: [string, EdgeKind][];
--- a/test/policy.test.ts
+++ b/test/protocol/policy.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DEFAULT_POLICY, parsePolicy, PolicyError } from '../src/protocol/policy';
+import { DEFAULT_POLICY, parsePolicy, PolicyError } from '../../src/protocol/policy';
 
 test('a policy script', async (t) => {
   const cases: [string, string, object | RegExp][] = [
--- /dev/null
+++ b/test/protocol/settings.test.ts
@@ -0,0 +1,43 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { parseSettings, type ResourceQuota } from '../../src/protocol/settings';
+import { SETTINGS } from '../support/settings-file';
+
+test('settings: the first bad one is named', () => {
+  assert.equal(parseSettings(JSON.stringify({ ...SETTINGS, later: 1 })).leaseMs, 12_000);
+  const cases: [object, RegExp][] = [
+    [{ ...SETTINGS, member: 7 }, /^member: /],
+    [{ ...SETTINGS, serve_on: 'localhost' }, /^serve_on: .*IPv4/],
+    [{ ...SETTINGS, facts: { ...SETTINGS.facts, teams: [] } }, /^facts\.teams: /],
+    [{ ...SETTINGS, external: { cloud: '1.1.1.1:1' } }, /^external\.state: /],
+  ];
+  for (const [bad, reason] of cases)
+    assert.throws(() => parseSettings(JSON.stringify(bad)), { message: reason });
+  assert.throws(() => parseSettings('{'), { message: /^not JSON/ });
+});
+
+// Guests' jobs were refused with 422: their limit of 0 was taken for nothing allowed, where it says that there is none.
+test('settings: what limits a team', () => {
+  const cases: [object, ResourceQuota][] = [
+    [
+      { cpus: 1, cpus_max: 2, gpus: 0, gpus_max: 1 },
+      { cpus: 2, accelerators: 1 },
+    ],
+    [
+      { cpus: 1, cpus_max: 2 },
+      { cpus: 2, accelerators: 0 },
+    ],
+    [
+      { cpus: 0, cpus_max: 0 },
+      { cpus: Infinity, accelerators: Infinity },
+    ],
+    [
+      { cpus: 0, cpus_max: 8 },
+      { cpus: 8, accelerators: 0 },
+    ],
+  ];
+  for (const [team, limit] of cases) {
+    const facts = { ...SETTINGS.facts, teams: [{ name: 't', ...team }] };
+    assert.deepEqual(parseSettings(JSON.stringify({ ...SETTINGS, facts })).teams[0]?.limit, limit);
+  }
+});
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -122,13 +122,11 @@
   const startDelays = new StartDelays();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
   const cluster = new VirtualCluster(options.seed, {
-    ...{
-      controllers: 3,
-      maxMachines: options.machines,
-      teamLimitFactor: options.machines,
-      machineTypes: MACHINE_TYPES,
-      taskListener: startDelays,
-    },
+    controllers: 3,
+    maxMachines: options.machines,
+    teamLimitFactor: options.machines,
+    machineTypes: MACHINE_TYPES,
+    taskListener: startDelays,
     initialMachines: [{ kind: 'small', count: options.machines }],
     ...(settings ? { balancing: (clock) => loadBalancing(settings, clock) } : {}),
   });
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -74,15 +74,21 @@
   sendHeartbeat(core: PartitionCore, now: number): void {
     if (this.terminated) return;
     const heartbeat: Heartbeat = {
-      ...{ machine: this.id, address: 'x', type: 'small', zone: 'a', spot: true },
-      ...{
-        agentEpoch: this.agentEpoch,
-        sequence: ++this.sequence,
-        token: this.token,
-        preemptionNoticeS: this.preemptionNoticeS,
-      },
+      machine: this.id,
+      address: 'x',
+      type: 'small',
+      zone: 'a',
+      spot: true,
+      agentEpoch: this.agentEpoch,
+      sequence: ++this.sequence,
+      token: this.token,
+      preemptionNoticeS: this.preemptionNoticeS,
       tasks: [...this.tasks.values()].map(({ ref, index, attempt, phase, exit }) => ({
-        ...{ ref, index, attempt, phase, exit },
+        ref,
+        index,
+        attempt,
+        phase,
+        exit,
       })),
     };
     this.lastHeartbeat = heartbeat;
