--- a/test/protocol/records.test.ts
+++ b/test/protocol/task-ranges.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decodeRanges, encodeRanges } from '../../src/protocol/records';
+import { decodeRanges, encodeRanges } from '../../src/protocol/task-ranges';
 
 test('progress survives being written as ranges; cut short it only forgets', () => {
   fc.assert(
