--- /dev/null
+++ b/test/protocol/features.test.ts
@@ -0,0 +1,42 @@
+import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
+import { join } from 'node:path';
+import { test } from 'node:test';
+import Ajv2020 from 'ajv/dist/2020';
+import { parse } from 'smol-toml';
+import { checkFeatures, featuresJsonSchema } from '../../src/protocol/features';
+
+const root = join(__dirname, '..', '..', '..');
+
+const published = readFileSync(join(root, 'deploy', 'features.schema.json'), 'utf8');
+
+test('the published schema is the one that files are checked against', () => {
+  assert.deepEqual(JSON.parse(published), JSON.parse(JSON.stringify(featuresJsonSchema())));
+});
+
+/** The file, what is named as wrong with it, and whether the schema alone cannot see that. */
+const files: [string, string | null, boolean?][] = [
+  ['', null],
+  ['[load_balancer]', null],
+  ['[load_balancer]\nplacement = "even"\nhysteresis = 2', null],
+  ['[load_balancer]\nenabled = false', null],
+  ['[load_balancer]\nplacement = "best"', 'load_balancer.placement'],
+  ['[load_balancer]\nhysteresis = "2"', 'load_balancer.hysteresis'],
+  ['[load_balancer]\nin_flight_share = 0', 'load_balancer.in_flight_share'],
+  ['[load_balancer]\nspeed = 3', 'load_balancer.speed'],
+  ['[teleporter]\nenabled = true', 'teleporter'],
+  ['load_balancer = 7', 'load_balancer'],
+  ['[load_balancer]\nin_flight_share = 0.4\nper_minute_share = 0.3', 'load_balancer.in_flight_share', true],
+  ['[load_balancer]\ntask_moves = false\nmachine_moves = false', 'load_balancer.enabled', true],
+];
+
+for (const [text, field, contradiction = false] of files)
+  test(`features: ${JSON.stringify(text)} ${field === null ? 'is fine' : `is refused for ${field}`}`, () => {
+    const validate = new Ajv2020().compile(JSON.parse(published) as object);
+    assert.equal(validate(parse(text)), field === null || contradiction);
+    if (field === null) return void checkFeatures('f.toml', text);
+    assert.throws(
+      () => checkFeatures('f.toml', text),
+      (error: Error) => error.message.startsWith(`f.toml: ${field}: `),
+    );
+  });
