--- a/test/standin/fake-cloud.ts
+++ b/test/standin/fake-cloud.ts
@@ -1,6 +1,7 @@
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { SimulatedTime } from './clock';
 import { FakeWorker, type FleetHooks } from './fake-worker';
+import { jsonResponse } from './json-response';
 
 /** Machines on a page of the list unless said otherwise: what one page shows may have changed by the next. */
 const DEFAULT_PAGE_MACHINES = 4;
@@ -101,7 +102,7 @@
   }
 
   request(method: string, path: string, body: unknown): Promise<HttpResponse> {
-    if (this.unavailable) return respond(503, { error: 'trouble' });
+    if (this.unavailable) return jsonResponse(503, { error: 'trouble' });
     if (path === '/catalog') return this.catalog();
     if (path === '/rentals/return') return this.deprovision(body as { velodromes: string[] });
     if (method === 'POST') return this.provision(body as ProvisionBody);
@@ -122,27 +123,27 @@
       ready_s: bootMs / 1000,
       yards: zones,
     }));
-    return respond(200, { models });
+    return jsonResponse(200, { models });
   }
 
   private deprovision({ velodromes: names }: { velodromes: string[] }): Promise<HttpResponse> {
     for (const name of names) this.terminateMachine(name);
-    return respond(200, {});
+    return jsonResponse(200, {});
   }
 
   /** The same request once more gets the same machines. */
   private provision(body: ProvisionBody): Promise<HttpResponse> {
     const repeated = this.provisionedByRequest.get(body.hire_order);
-    if (repeated) return respond(200, { velodromes: repeated });
+    if (repeated) return jsonResponse(200, { velodromes: repeated });
     const available = this.options.maxMachines - this.workers.size - this.booting.size;
-    if (available <= 0) return respond(503, { error: 'no capacity' });
+    if (available <= 0) return jsonResponse(503, { error: 'no capacity' });
     const names: string[] = [];
     for (let i = 0; i < Math.min(available, body.how_many); i++) {
       const bootMs = this.options.bootMs * this.bootFactor();
       names.push(this.addMachine(body.model, body.yard, body.loaners, bootMs));
     }
     this.provisionedByRequest.set(body.hire_order, names);
-    return respond(200, { velodromes: names });
+    return jsonResponse(200, { velodromes: names });
   }
 
   /** A page of the list as it was some time ago. */
@@ -152,7 +153,7 @@
     const shown = this.lists.filter(({ at }) => at <= time.now - listLagMs).pop();
     const after = (shown?.rows ?? []).filter(({ ref }) => ref > from);
     const page = after.slice(0, pageMachines);
-    return respond(200, { velodromes: page, truncated: after.length > page.length });
+    return jsonResponse(200, { velodromes: page, truncated: after.length > page.length });
   }
 
   private machineRows(): WireMachineRow[] {
@@ -168,7 +169,3 @@
     return { ref, address: '10.1.0.1:9000', ...machine, status, age_s: ageMs / 1000 };
   }
 }
-
-function respond(status: number, content: unknown): Promise<HttpResponse> {
-  return Promise.resolve({ status, body: JSON.parse(JSON.stringify(content)) as unknown });
-}
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -1,5 +1,6 @@
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { SimulatedTime } from './clock';
+import { jsonResponse } from './json-response';
 
 interface StoredEntry {
   v: unknown;
@@ -50,64 +51,69 @@
     return this.keys.get(path)?.v;
   }
 
+  /** Answers a request; `refused`: the service refuses this sender now. */
   request(method: string, path: string, body: unknown, refused: () => boolean): Promise<HttpResponse> {
-    const respond = (status: number, content: unknown): Promise<HttpResponse> =>
-      Promise.resolve({ status, body: JSON.parse(JSON.stringify(content)) as unknown });
     const url = new URL(path, 'http://store');
-    if (this.down || refused()) return respond(503, {});
+    if (this.down || refused()) return jsonResponse(503, {});
     if (url.pathname === '/watch') return this.watch(url, refused);
-    if (method === 'GET' && url.pathname === '/store') {
-      const prefix = url.searchParams.get('prefix') ?? '';
-      const pairs = [...this.keys]
-        .filter(([key]) => key.startsWith(prefix))
-        .sort(([a], [b]) => (a < b ? -1 : 1));
-      const from = url.searchParams.get('from') ?? '';
-      const after = pairs.filter(([key]) => key > from);
-      const shown = after.slice(0, this.pageKeys).map(([key, e]) => ({ path: key, v: e.v, stamp: e.stamp }));
-      return respond(200, {
-        pairs: shown,
-        truncated: after.length > this.pageKeys,
-        ledger_rev: this.revision,
-      });
-    }
-    if (method === 'GET') {
-      const key = url.pathname.slice('/store/'.length);
-      const found = this.keys.get(key);
-      return found ? respond(200, { path: key, ...found }) : respond(404, { ledger_rev: this.revision });
-    }
-    if (url.pathname === '/multi') return this.applyTransaction(body as TransactionBody, respond);
-    if (url.pathname === '/grants') {
-      const ttl = (body as { ttl_ms: number }).ttl_ms;
-      this.leases.set(this.nextLeaseId, { ttl, until: this.time.now + ttl });
-      return respond(200, { permit: this.nextLeaseId++ });
-    }
-    const [, , id] = url.pathname.split('/');
-    const lease = this.leases.get(Number(id));
-    if (!lease) return respond(404, {});
+    if (method === 'GET' && url.pathname === '/store') return this.readPage(url);
+    if (method === 'GET') return this.readKey(url.pathname.slice('/store/'.length));
+    if (url.pathname === '/multi') return this.applyTransaction(body as TransactionBody);
+    if (url.pathname === '/grants') return this.grantLease((body as { ttl_ms: number }).ttl_ms);
+    return this.renewOrEndLease(method, Number(url.pathname.split('/')[2]));
+  }
+
+  private readPage(url: URL): Promise<HttpResponse> {
+    const prefix = url.searchParams.get('prefix') ?? '';
+    const from = url.searchParams.get('from') ?? '';
+    const entries = [...this.keys]
+      .filter(([key]) => key.startsWith(prefix) && key > from)
+      .sort(([a], [b]) => (a < b ? -1 : 1));
+    return jsonResponse(200, {
+      pairs: entries.slice(0, this.pageKeys).map(([key, { v, stamp }]) => ({ path: key, v, stamp })),
+      truncated: entries.length > this.pageKeys,
+      ledger_rev: this.revision,
+    });
+  }
+
+  private readKey(key: string): Promise<HttpResponse> {
+    const found = this.keys.get(key);
+    if (!found) return jsonResponse(404, { ledger_rev: this.revision });
+    return jsonResponse(200, { path: key, ...found });
+  }
+
+  private grantLease(ttl: number): Promise<HttpResponse> {
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { ttl, until: this.time.now + ttl });
+    return jsonResponse(200, { permit: id });
+  }
+
+  private renewOrEndLease(method: string, id: number): Promise<HttpResponse> {
+    const lease = this.leases.get(id);
+    if (!lease) return jsonResponse(404, {});
     if (method === 'DELETE') {
       lease.until = 0;
       this.expireLeases();
-    } else lease.until = this.time.now + lease.ttl;
-    return respond(200, {});
+    } else {
+      lease.until = this.time.now + lease.ttl;
+    }
+    return jsonResponse(200, {});
   }
 
-  private applyTransaction(
-    body: TransactionBody,
-    respond: (status: number, content: unknown) => Promise<HttpResponse>,
-  ): Promise<HttpResponse> {
+  private applyTransaction(body: TransactionBody): Promise<HttpResponse> {
     for (const op of body.apply) {
       if ('set' in op && op.permit != null && !this.leases.has(op.permit))
-        return respond(400, { error: 'no such lease' });
+        return jsonResponse(400, { error: 'no such lease' });
     }
     const failed = body.if.filter((c) => (this.keys.get(c.path)?.stamp ?? 0) !== c.stamp).map((c) => c.path);
-    if (failed.length > 0) return respond(409, { failed, ledger_rev: this.revision });
+    if (failed.length > 0) return jsonResponse(409, { failed, ledger_rev: this.revision });
     if (body.apply.length > 0) this.revision++;
     for (const op of body.apply) {
       if ('set' in op) this.put(op.set, op.v, op.permit ?? null);
       else this.remove(op.delete);
     }
     this.notifyWatchers();
-    return respond(200, { ledger_rev: this.revision });
+    return jsonResponse(200, { ledger_rev: this.revision });
   }
 
   private put(path: string, v: unknown, permit: number | null): void {
--- a/test/ledger.test.ts
+++ b/test/storage/state-store-client.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { type HttpResponse } from '../src/transport/http-client';
-import { StateStoreClient } from '../src/storage/state-store-client';
-import { settle, VirtualTime } from './standin/clock';
+import { type HttpResponse } from '../../src/transport/http-client';
+import { StateStoreClient } from '../../src/storage/state-store-client';
+import { settle, VirtualTime } from '../standin/clock';
 
 interface Row {
   key: string;
@@ -16,7 +16,7 @@
 function scriptedStateStore(
   pages: [Row[], number][],
   watches: [Row[], number][],
-): { ledger: StateStoreClient; time: VirtualTime } {
+): { stateStore: StateStoreClient; time: VirtualTime } {
   const time = new VirtualTime();
   const later = (answer: HttpResponse | null): Promise<HttpResponse | null> =>
     new Promise((resolve) => time.at(time.now + (answer ? 100 : 1e6), () => resolve(answer)));
@@ -37,7 +37,7 @@
   const rates = { requestRate: 1000, writeRate: 1000, controllers: 1 };
   const log = pino({ level: 'silent' });
   return {
-    ledger: new StateStoreClient(
+    stateStore: new StateStoreClient(
       { transport: { call }, watchTransport: { call }, clock: time.clock(() => true), log },
       rates,
     ),
@@ -45,8 +45,8 @@
   };
 }
 
-// A controller that had just started was given a partition between two pages of its first look: it missed a machine opened and
-// the start watermarks raised shortly before, and started tasks a second time.
+// A partition that is handed over between two pages of the first snapshot must not begin without what was recorded meanwhile:
+// machines assigned and start watermarks raised; its tasks would be started a second time.
 test('the replica is told as whole only once it is a picture at one revision', async (t) => {
   const a = { key: 'hb/opened/p0/0', stamp: 9 };
   const b = { key: 'hb/part/p0', stamp: 12 };
@@ -94,14 +94,14 @@
   ];
   for (const [name, pages, watches, expected] of cases) {
     await t.test(name, async () => {
-      const { ledger, time } = scriptedStateStore(pages, watches);
+      const { stateStore, time } = scriptedStateStore(pages, watches);
       const publishedRevisions: number[] = [];
-      ledger.replica.batches.subscribe(() => publishedRevisions.push(ledger.replica.revision));
-      void ledger.follow();
+      stateStore.replica.batches.subscribe(() => publishedRevisions.push(stateStore.replica.revision));
+      void stateStore.follow();
       await settle();
       await time.run(3000);
       assert.deepEqual(publishedRevisions, expected);
-      assert.equal(ledger.replica.synced, expected.length > 0);
+      assert.equal(stateStore.replica.synced, expected.length > 0);
     });
   }
 });
