--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -61,8 +61,13 @@
   /** Answers with the state of our connection to the store and, where one is due, with a lease extension. */
   private answerStatus(status: StatusMessage, answer: (bytes: Buffer) => void): void {
     const { stateStore, replica, leaseExtensions, clock } = this.deps;
-    const storeOk = stateStore.respondedWithin(STORE_SILENCE_MS);
-    const extended = leaseExtensions.grant(status.member, this.mayVouchFor(status), storeOk, clock.steady());
+    const storeReachable = stateStore.respondedWithin(STORE_SILENCE_MS);
+    const extended = leaseExtensions.grant(
+      status.member,
+      this.mayVouchFor(status),
+      storeReachable,
+      clock.steady(),
+    );
     // A peer that is ahead of our replica still needs what we confirmed and do not see yet.
     const since = Math.min(status.revision, stateStore.replica.revision);
     const cancelled = extended ? replica.cancelledSince(since) : [];
@@ -73,7 +78,7 @@
         kind: 'pong',
         member: this.deps.member,
         sequence: status.sequence,
-        storeOk,
+        storeReachable,
         extended,
         page,
         pages,
@@ -114,7 +119,7 @@
 
   private handleStatus(status: StatusMessage, now: number): void {
     const { leader, readiness } = this.deps;
-    readiness.recordPeer(status.member, status.storeOk, now);
+    readiness.recordPeer(status.member, status.storeReachable, now);
     leader.send({ kind: 'heartbeat-stats', member: status.member, stats: status, at: now });
     for (const load of status.partitions) leader.send({ kind: 'partition-load', load, at: now });
   }
@@ -124,7 +129,7 @@
     // The cancellations of an extension are recorded before it: only together with them does it count.
     for (const { job, revision } of pong.cancelled) replica.recordCancellation(job, revision);
     leaseExtensions.recordResponse(pong.member, pong.sequence, pong.extended, pong.page, pong.pages);
-    readiness.recordPeer(pong.member, pong.storeOk, now);
+    readiness.recordPeer(pong.member, pong.storeReachable, now);
   }
 
   private handleHandover(partition: string, to: string): void {
--- a/src/coordination/controller/readiness.ts
+++ b/src/coordination/controller/readiness.ts
@@ -17,13 +17,13 @@
 
 /** Weighs this controller's view of the state store against that of its peers. */
 export class Readiness {
-  private readonly peerStoreHealth = new Map<string, { storeOk: boolean; at: number }>();
+  private readonly peerStoreHealth = new Map<string, { storeReachable: boolean; at: number }>();
 
   constructor(private readonly deps: ReadinessDependencies) {}
 
   /** Notes what a peer says about its own connection to the state store. */
-  recordPeer(member: string, storeOk: boolean, now: number): void {
-    this.peerStoreHealth.set(member, { storeOk, at: now });
+  recordPeer(member: string, storeReachable: boolean, now: number): void {
+    this.peerStoreHealth.set(member, { storeReachable, at: now });
   }
 
   /**
@@ -40,6 +40,6 @@
       .map((peer) => this.peerStoreHealth.get(peer))
       .filter((peer) => peer !== undefined && now - peer.at < PEER_SILENCE_MS);
     const isolated = heardPeers.length === 0 && peers.length > 0;
-    return !isolated && !heardPeers.some((peer) => peer?.storeOk);
+    return !isolated && !heardPeers.some((peer) => peer?.storeReachable);
   }
 }
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -55,7 +55,7 @@
       kind: 'status' as const,
       member,
       sequence: leaseExtensions.recordRequest(now),
-      storeOk: stateStore.respondedWithin(STORE_SILENCE_MS),
+      storeReachable: stateStore.respondedWithin(STORE_SILENCE_MS),
       memberIncarnation: membership.memberIncarnation,
       sinceHeartbeatMs: heartbeats.sinceHeartbeatMs(now),
       revision: stateStore.replica.synced ? stateStore.replica.revision : 0,
--- a/src/protocol/peer-codec.ts
+++ b/src/protocol/peer-codec.ts
@@ -84,7 +84,7 @@
   status: {
     member: textType,
     sequence: 'long',
-    storeOk: 'boolean',
+    storeReachable: 'boolean',
     memberIncarnation: 'long',
     partitions: listOf(partitionLoadType),
     misrouted: listOf(misroutedCountType),
@@ -94,7 +94,7 @@
   pong: {
     member: textType,
     sequence: 'long',
-    storeOk: 'boolean',
+    storeReachable: 'boolean',
     extended: 'boolean',
     page: 'int',
     pages: 'int',
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -70,7 +70,7 @@
       kind: 'status';
       member: string;
       sequence: number;
-      storeOk: boolean;
+      storeReachable: boolean;
       memberIncarnation: number;
       partitions: PartitionLoad[];
       misrouted: MisroutedCount[];
@@ -88,7 +88,7 @@
       kind: 'pong';
       member: string;
       sequence: number;
-      storeOk: boolean;
+      storeReachable: boolean;
       extended: boolean;
       page: number;
       pages: number;
--- a/test/cluster/lease-extension-requests.test.ts
+++ b/test/cluster/lease-extension-requests.test.ts
@@ -18,7 +18,7 @@
       kind: 'status' as const,
       member: 'velodrome-1',
       sequence: 1,
-      storeOk: false,
+      storeReachable: false,
       memberIncarnation: incarnation,
       partitions: [],
     },
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -162,7 +162,7 @@
       kind: 'status',
       member: 'a',
       sequence: 1,
-      storeOk: true,
+      storeReachable: true,
       memberIncarnation: 4,
       partitions: [partition],
     },
@@ -170,7 +170,7 @@
   };
   const messages: PeerMessage[] = [
     {
-      ...{ kind: 'pong', member: 'a', sequence: 7, storeOk: false, extended: true, page: 1, pages: 2 },
+      ...{ kind: 'pong', member: 'a', sequence: 7, storeReachable: false, extended: true, page: 1, pages: 2 },
       cancelled: [{ job: 'job-000001', revision: 413 }],
     },
     { kind: 'move', machine: 'i-1', toPartition: 'p1', drain: true },
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -157,7 +157,14 @@
   const load = first.load(8000);
   assert.equal(load.machines.length, MACHINES);
   const frame: PeerMessage = {
-    ...{ kind: 'status', member: 'a', sequence: 1, storeOk: true, memberIncarnation: 1, misrouted: [] },
+    ...{
+      kind: 'status',
+      member: 'a',
+      sequence: 1,
+      storeReachable: true,
+      memberIncarnation: 1,
+      misrouted: [],
+    },
     ...{ sinceHeartbeatMs: 0, revision: 1, partitions: [load] },
   };
   const bytes = encodePeerMessage(frame);
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -18,7 +18,7 @@
     kind: 'status',
     member: 'a',
     sequence: 1,
-    storeOk: true,
+    storeReachable: true,
     memberIncarnation: 4,
     sinceHeartbeatMs: 1.5,
     revision: 412,
@@ -65,7 +65,7 @@
   ],
   [
     {
-      ...{ kind: 'pong', member: 'a', sequence: 7, storeOk: false, extended: true, page: 1, pages: 2 },
+      ...{ kind: 'pong', member: 'a', sequence: 7, storeReachable: false, extended: true, page: 1, pages: 2 },
       cancelled: [{ job: 'job-000001', revision: 413 }],
     },
     'AgJhDgABAgQCFGpvYi0wMDAwMDG6BgA=',
