--- a/src/storage/progress.ts
+++ b/src/storage/progress.ts
@@ -42,13 +42,13 @@
     const values = new Map<number, Map<string, JobProgress>>();
     for (const [ref, progress] of jobs) {
       const slot = this.slotFor(ref);
-      const jobsInSlot = values.get(slot) ?? new Map<string, JobProgress>();
-      jobsInSlot.set(ref, progress);
-      values.set(slot, jobsInSlot);
+      const slotJobs = values.get(slot) ?? new Map<string, JobProgress>();
+      slotJobs.set(ref, progress);
+      values.set(slot, slotJobs);
     }
     const changed: ProgressValue[] = [];
-    for (const [slot, jobsInSlot] of values) {
-      const fitting = this.truncateToFit(jobsInSlot);
+    for (const [slot, slotJobs] of values) {
+      const fitting = this.truncateToFit(slotJobs);
       const text = JSON.stringify(encodeProgress(fitting));
       if (text !== this.writtenTexts[slot]) changed.push({ slot, jobs: fitting, text });
     }
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -1,6 +1,6 @@
 import { createServer as createNetServer, type Server as NetServer, type Socket } from 'node:net';
 import type { Server } from 'node:http';
-import { NewestFirstQueue } from './fair-queue';
+import { NewestFirstQueue } from './newest-first-queue';
 import { PlainHeadCache, type PlainRequest } from './plain-request';
 
 /** A response to a plain request. */
--- a/test/transport/fair-queue.test.ts
+++ b/test/transport/newest-first-queue.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NewestFirstQueue } from '../../src/transport/fair-queue';
+import { NewestFirstQueue } from '../../src/transport/newest-first-queue';
 
 test('reports wait for their turn', async (t) => {
   type Step = (turns: NewestFirstQueue, log: string[], world: { now: number; gone: Set<string> }) => void;
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -18,7 +18,7 @@
   {
     cause: 'heartbeats',
     frames:
-      /request-server\.js|fair-queue\.js|workers\.js|(plainHeartbeatHandler|answerHeartbeat) |onconnection/,
+      /request-server\.js|newest-first-queue\.js|workers\.js|(plainHeartbeatHandler|answerHeartbeat) |onconnection/,
   },
   {
     cause: "leader's planning",
