--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -74,7 +74,8 @@
     const startedAt = clock.steady();
     const path = paths.watch(KEY_PREFIX, replica.revision, watchHoldMs);
     // Watches count as requests and wait for their turn like the others.
-    await queue.awaitTurn(RequestPriority.Decision, 0, Number.POSITIVE_INFINITY);
+    const maySend = await queue.awaitTurn(RequestPriority.Decision, 0, Number.POSITIVE_INFINITY);
+    if (!maySend) return;
     const askedAt = clock.steady();
     const response = await watchTransport.call('GET', path, undefined, watchHoldMs + WATCH_TIMEOUT_MARGIN_MS);
     const watched =
--- a/src/storage/request-queue.ts
+++ b/src/storage/request-queue.ts
@@ -62,6 +62,7 @@
   private readonly writeLimiter: RateLimiter;
   private readonly queue: QueuedRequest[] = [];
   private cancelRetry: (() => void) | null = null;
+  private closed = false;
 
   constructor(
     private readonly clock: Clock,
@@ -72,8 +73,9 @@
     this.writeLimiter = new RateLimiter(limits.writeRate * share, limits.writeRate * share);
   }
 
-  /** Resolves to true once a request may be sent, or to false if `deadline` (steady time) passes before. */
+  /** Resolves to true once a request may be sent, or to false if `deadline` (steady time) passes or the queue is closed before. */
   awaitTurn(priority: RequestPriority, writes: number, deadline: number): Promise<boolean> {
+    if (this.closed) return Promise.resolve(false);
     return new Promise((resolve) => {
       const request: QueuedRequest = {
         priority,
@@ -96,8 +98,9 @@
     if (writes > 0) this.writeLimiter.drain(now);
   }
 
-  /** Refuses everything that still waits and ends the timer. */
+  /** Refuses everything that still waits, and all later requests, and ends the timer. */
   close(): void {
+    this.closed = true;
     this.cancelRetry?.();
     this.cancelRetry = null;
     for (const request of this.queue.splice(0)) request.resolve(false);
--- a/test/storage/closing.test.ts
+++ b/test/storage/closing.test.ts
@@ -17,6 +17,7 @@
   queue.close();
   const granted = (await Promise.all(turns)).filter(Boolean).length;
   assert.ok(granted > 0 && granted < turns.length, `${granted} of ${turns.length} had their turn before`);
+  assert.equal(await queue.awaitTurn(RequestPriority.Lease, 0, Infinity), false, 'later ones as well');
   await time.run(10_000);
   assert.equal(time.now, 10_000);
 });
