--- a/src/coordination/partition/assigned-machine-writer.ts
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -1,5 +1,5 @@
 import { planAssignedEdit } from '../../storage/assigned-machines';
-import { RequestPriority } from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
 import { type PartitionCore } from './partition-core';
 import { type PartitionStore } from './partition-store';
 
@@ -34,7 +34,12 @@
     this.writing = true;
     this.startedAt = now;
     const exists = (id: string): boolean => core.machines.has(id);
-    const edit = planAssignedEdit(store.replica, store.partition, machines, exists, valueBytes);
+    const edit = planAssignedEdit(store.replica, {
+      partition: store.partition,
+      machines,
+      exists,
+      valueBytes,
+    });
     const result = await store.transact(
       [edit.condition],
       [edit.write],
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -1,5 +1,5 @@
 import { planFleetEdit, type FleetLimits } from '../../storage/fleets';
-import { RequestPriority } from '../../storage/state-store-client';
+import { RequestPriority } from '../../storage/request-queue';
 import { type MachineRecord } from '../../protocol/records';
 import { type Condition, type Write } from '../../protocol/store';
 import { type PartitionCore } from './partition-core';
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -1,5 +1,6 @@
-import { RequestPriority } from '../../storage/state-store-client';
-import { keys, type PartitionRecord } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { keys } from '../../protocol/keys';
+import { type PartitionRecord } from '../../protocol/records';
 import { type Write } from '../../protocol/store';
 import { type PartitionStore } from './partition-store';
 
--- a/src/coordination/partition/partition-messages.ts
+++ b/src/coordination/partition/partition-messages.ts
@@ -1,7 +1,7 @@
 import { type FleetEntry, type JobProgress, type JobState } from '../../protocol/records';
 import { type JobSpec } from '../../protocol/jobs';
 import { type Heartbeat } from '../../protocol/workers';
-import { type StoredProgress } from '../../storage/replica-view';
+import { type StoredProgress } from '../../storage/job-index';
 import { type HeartbeatAnswer } from './heartbeat-handler';
 
 /** A job that is open in the state store. */
--- a/src/coordination/partition/partition-store.ts
+++ b/src/coordination/partition/partition-store.ts
@@ -1,11 +1,8 @@
 import { type Clock } from '../../transport/clock';
 import { type ReplicaView } from '../../storage/replica-view';
-import {
-  type RequestPriority,
-  type StateStoreClient,
-  type TransactionResult,
-} from '../../storage/state-store-client';
-import { keys } from '../../protocol/records';
+import { type RequestPriority } from '../../storage/request-queue';
+import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
+import { keys } from '../../protocol/keys';
 import { type Condition, type Write } from '../../protocol/store';
 
 /** Time between two attempts of a transaction. */
--- a/src/coordination/partition/progress-writer.ts
+++ b/src/coordination/partition/progress-writer.ts
@@ -1,6 +1,7 @@
 import { ProgressSlots } from '../../storage/progress';
-import { RequestPriority } from '../../storage/state-store-client';
-import { encodeProgress, keys, type JobProgress } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { keys } from '../../protocol/keys';
+import { encodeProgress, type JobProgress } from '../../protocol/records';
 import { type PartitionStore } from './partition-store';
 import { type ProgressToWrite } from './start-watermarks';
 
--- a/src/coordination/partition/terminal-state-writer.ts
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -1,5 +1,6 @@
-import { RequestPriority } from '../../storage/state-store-client';
-import { keys, type TerminalState } from '../../protocol/records';
+import { RequestPriority } from '../../storage/request-queue';
+import { keys } from '../../protocol/keys';
+import { type TerminalState } from '../../protocol/records';
 import { type PartitionStore } from './partition-store';
 
 const MAX_STATES_PER_WRITE = 30;
@@ -49,7 +50,7 @@
     const { partition, replica, stateStore } = this.store;
     const last = replica.lastTerminalStatesIndex(partition);
     const key = keys.terminalStates(partition, last);
-    const current = stateStore.entries.get(key);
+    const current = stateStore.replica.entries.get(key);
     if (current === undefined) return { key, revision: 0, value: {} };
     if (JSON.stringify(current.value).length > MAX_VALUE_BYTES)
       return { key: keys.terminalStates(partition, last + 1), revision: 0, value: {} };
