--- a/src/coordination/partition/heartbeat-handler.ts
+++ b/src/coordination/partition/heartbeat-handler.ts
@@ -1,7 +1,8 @@
 import { type Command, type Heartbeat } from '../../protocol/workers';
 import { type PartitionJob } from './job';
 import { type MachineSet } from './machine-set';
-import { type MachineState, type TaskExit } from './machine';
+import { type TaskExit } from './in-flight-task';
+import { type MachineState } from './machine';
 import { type PartitionCounters, type TaskLifecycle } from './task-lifecycle';
 import { type TaskObserver } from './task-observer';
 import { type TaskPlacement } from './task-placement';
--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -49,7 +49,7 @@
       return;
     }
     const confirmed = this.hasNoEarlierTasks(id, revision);
-    const machine = new MachineState(id, record, revision, confirmed, now);
+    const machine = new MachineState({ id, record, revision, confirmed, now });
     machine.cordoned = record.phase === 'deprovisioning';
     this.machines.set(id, machine);
     if (!confirmed) this.options.unconfirmedMachines.set(id, this.freeOn(machine));
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -1,7 +1,8 @@
 import { type HeartbeatTask } from '../../protocol/workers';
 import { type PartitionJob } from './job';
 import { type JobSet } from './job-set';
-import { taskKey, type InFlightTask, type MachineState, type TaskExit } from './machine';
+import { taskKey, type InFlightTask, type TaskExit } from './in-flight-task';
+import { type MachineState } from './machine';
 import { type RuntimeEstimates } from './priority';
 import { type TaskObserver } from './task-observer';
 import { type TeamQuota } from './team-quota';
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -1,7 +1,8 @@
 import { type JobSpec } from '../../protocol/jobs';
 import { type Command } from '../../protocol/workers';
 import { type PartitionJob } from './job';
-import { taskKey, type InFlightTask, type MachineState } from './machine';
+import { taskKey, type InFlightTask } from './in-flight-task';
+import { type MachineState } from './machine';
 import { allowsMachine, countFitting, remainingInZone, type Resources } from './placement';
 import { type TeamQuota } from './team-quota';
 
