--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -35,7 +35,7 @@
   private pauseMs = 1000;
   /** Tasks from here on may not be started yet: a later owner would take them to be nowhere. */
   startWatermark: number;
-  /** Tasks before this one wait until all machines have spoken: an earlier owner may have started them. */
+  /** Tasks before this one wait until all machines are confirmed: an earlier owner may have started them. */
   readonly unconfirmedBelow: number;
   /** How many of those are neither done nor on a machine that we know of. */
   unconfirmedCount = 0;
@@ -52,7 +52,7 @@
     readonly acceptedAt: number,
     readonly deadlines: readonly number[],
     progress: JobProgress | null,
-    /** Accepted before we took the partition over: its tasks may be on machines that have not spoken yet. */
+    /** Accepted before this owner took over: its tasks may be on unconfirmed machines. */
     unconfirmed: boolean,
     /** When this owner first saw it. */
     readonly firstSeenAt: number,
@@ -198,7 +198,7 @@
   }
 
   /**
-   * How many wait that may be started. Until all machines have spoken that is what no earlier owner may have started;
+   * How many wait that may be started. Until all machines are confirmed that is what no earlier owner may have started;
    * to look for it among hundreds that may have been, at each of hundreds of first reports, costs what these need most.
    */
   startableCount(allConfirmed: boolean): number {
@@ -210,7 +210,7 @@
     return allConfirmed ? this.firstPending : Math.max(this.firstPending, this.unconfirmedBelow);
   }
 
-  /** Up to `n` waiting tasks that may start now; `settled`: nothing of earlier owners can be anywhere unseen. */
+  /** Up to `n` pending tasks that may start now; `allConfirmed`: no machine can have unreported tasks of earlier owners. */
   startableTasks(n: number, allConfirmed: boolean, now: number): number[] {
     const found: number[] = [];
     if (this.heldByPipeline) return found;
@@ -232,7 +232,7 @@
     return this.startWatermark > this.initialWatermark || this.doneCount > 0 || this.inFlight.size > 0;
   }
 
-  /** The smallest start watermark that lets `n` more waiting tasks start; what may not start before all have spoken is no help. */
+  /** The smallest start watermark that lets `n` more waiting tasks start; tasks that wait for machines to be confirmed do not count. */
   watermarkToStart(n: number, allConfirmed: boolean): number {
     let left = n;
     let i = this.firstStartable(allConfirmed);
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -8,7 +8,7 @@
 /** Of what a task was expected to take, the least that it is still expected to. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/** What a partition tells the leader: what waits within its teams' limits, and how its machines stand. */
+/** The load of a partition as its owner publishes it to the leader: pending tasks within their teams' quota, and its machines. */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const nothing = { cpus: 0, accelerators: 0, memoryGb: 0 };
@@ -32,7 +32,7 @@
       return {
         machine: m.id,
         tasks: m.tasks.size,
-        // Below nothing while room is being made: what is kept is more than what is free.
+        // Below zero while room is being made: more is reserved than is free.
         freeCpus: Math.max(0, free.cpus),
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
@@ -57,7 +57,7 @@
     let room = rooms.get(spec.team);
     if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
     const quota = countFitting({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
-    // Nothing is rented for what fails everywhere.
+    // No machine is provisioned for a job that fails everywhere.
     const tasks = Math.min(job.pendingCount, job.maxInFlight(now), quota);
     if (tasks === 0) continue;
     room.cpus -= tasks * spec.cpus;
--- a/src/coordination/partition/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -52,7 +52,7 @@
 
 /**
  * The zones in which more tasks of a job may start, given where they are in flight to be now; null: all. Room elsewhere is
- * none for it, and machines rented there would leave it waiting for ever.
+ * none for it, and machines provisioned there would leave it pending for ever.
  */
 export function eligibleZones(
   spec: JobSpec,
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -45,7 +45,7 @@
 const AGED_GUARANTEED_PRIORITY = 2;
 /** A job of which nothing has begun for so long goes first, however large, late or idle it is. */
 export const MAX_WAIT_TO_START_S = 150;
-/** Nor is a single task of hundreds a beginning: a large job with one was passed over for four minutes. */
+/** A single task of hundreds is no start: by this time half of what the quota allows at once must have started. */
 const MAX_WAIT_TO_HALF_STARTED_S = 210;
 /** Work within its team's guarantee goes up once this share of the time in which it is to begin is over. */
 const GUARANTEE_WAIT_RATIO = 0.3;
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -6,12 +6,12 @@
 import { allowsMachine, countFitting, remainingInZone, type Resources } from './placement';
 import { type TeamQuota } from './team-quota';
 
-/** Failures without a success between them after which a machine is taken to be the one at fault. */
+/** Failures without a success between them after which a machine is quarantined. */
 const QUARANTINE_FAILURE_COUNT = 3;
-/** Who has waited this long is not passed over for jobs whose image a machine holds. */
+/** A job that has waited this long is not deferred any more for jobs whose image a machine holds. */
 const MAX_IMAGE_AFFINITY_WAIT_MS = 30_000;
 const ATTEMPTS_PER_EPOCH = 1_000_000;
-/** A machine that has missed this many reports, and a moment, gets nothing new. */
+/** Heartbeat intervals, and a margin, after which a machine that sends no heartbeat is given no task. */
 const MAX_HEARTBEAT_AGE_RATIO = 1.5;
 const HEARTBEAT_AGE_MARGIN_MS = 1000;
 /** A task counts for at least so many CPUs. */
@@ -24,7 +24,7 @@
   readonly jobs: ReadonlyMap<string, PartitionJob>;
   readonly quota: TeamQuota;
   readonly heartbeatIntervalMs: number;
-  /** Machines that have not spoken since the partition was taken over. */
+  /** Machines that are not confirmed since the failover. */
   readonly unconfirmedCount: number;
   readonly counters: { started: number; placementPasses: number };
   /** Whether the store knows that tasks may be on this machine. */
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Whether it is the machine that is at fault when tasks fail on it. A job that succeeds elsewhere and fails here says so,
-   * and so do several jobs that fail here. One that has succeeded nowhere yet says it only of a machine where nothing was
-   * ever done: jobs with a mistake fail everywhere, and once had good machines sent back by the dozen.
+   * Whether tasks fail because of the machine. A job that succeeds elsewhere and fails here counts against the machine, and so do
+   * several jobs that fail here. A job that has succeeded nowhere counts only against a machine where no task ever succeeded:
+   * a faulty job fails everywhere, and would have healthy machines deprovisioned.
    */
   isQuarantined(machine: MachineState): boolean {
     let failures = 0;
@@ -82,7 +82,7 @@
     return failures >= QUARANTINE_FAILURE_COUNT || doubtful >= QUARANTINE_FAILURE_COUNT;
   }
 
-  /** Whether tasks may be started on it at all: nothing unseen is there, it hears us, and the store knows. */
+  /** Whether tasks may be started on it: it is confirmed, answers reach it, and the state store lists it as assigned. */
   private acceptsTasks(machine: MachineState, now: number): boolean {
     const { id, confirmed, tokenAcknowledged } = machine;
     return confirmed && tokenAcknowledged && this.host.isAssigned(id) && !this.isUnschedulable(machine, now);
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Cheap machines first, then the fullest, as far as what waits needs them: what is dear or nearly empty comes free
+   * Cheap machines first, then the fullest, as far as what waits needs them: what is expensive or nearly empty comes free
    * to be given back. The others are passed over until more waits.
    */
   prioritizeMachines(now: number): void {
--- a/src/coordination/partition/team-quota.ts
+++ b/src/coordination/partition/team-quota.ts
@@ -5,13 +5,13 @@
 
 const NOTHING: ResourceQuota = { cpus: 0, accelerators: 0 };
 
-/** What the teams of a partition may use, what their tasks take, and what must be kept free for tasks not seen yet. */
+/** Quota of the teams of a partition: what their tasks use, and what is reserved for tasks that were not reported yet. */
 export class TeamQuota {
   private readonly used = new Map<string, ResourceQuota>();
   readonly teams: ReadonlyMap<string, Team>;
-  /** What may be on machines that have not spoken, by team; null: to be summed up anew. */
+  /** What tasks on unconfirmed machines may use, by team; null: to be computed anew. */
   private reserved: Map<string, ResourceQuota> | null = null;
-  /** What cancelled jobs may still have there. */
+  /** What tasks of cancelled jobs may use on unconfirmed machines, by team. */
   private readonly cancelled = new Map<string, ResourceQuota>();
 
   constructor(
@@ -36,7 +36,7 @@
     return this.used.get(team) ?? NOTHING;
   }
 
-  /** What a team may still use, counting all of its own that may be on machines that have not spoken yet. */
+  /** What a team may still use; tasks that may be on unconfirmed machines count as if they ran. */
   remaining(team: string): ResourceQuota {
     const limit = this.teams.get(team)?.limit ?? NOTHING;
     const used = this.usageOf(team);
@@ -47,26 +47,26 @@
     };
   }
 
-  /** Tasks of a cancelled job may still be on machines that have not spoken. */
+  /** Reserves quota for tasks of a cancelled job that may be on unconfirmed machines. */
   reserveForCancelled(spec: JobSpec, tasks: number): void {
     addTo(this.cancelled, spec, tasks);
     this.invalidateReserved();
   }
 
-  /** All machines have spoken: nothing is on them unseen. */
+  /** All machines are confirmed: no task is on them that was not reported. */
   releaseCancelled(): void {
     this.cancelled.clear();
   }
 
-  /** Jobs or machines have changed: what is reserved is summed up anew. */
+  /** Jobs or machines have changed: what is reserved is to be computed anew. */
   invalidateReserved(): void {
     this.reserved = null;
   }
 
   /**
-   * What of a team may run unseen: no more than the machines that have not spoken have room for, nor than the tasks
-   * that an earlier owner may have started, that are neither done nor seen, and what cancelled jobs may have left.
-   * To count those machines as full against every team would hold teams back that have nothing on them.
+   * What tasks of a team may use without having been reported: no more than the unconfirmed machines have capacity for, nor than
+   * the tasks that an earlier owner may have started, and those of cancelled jobs. To count the machines as full against every team
+   * would hold back teams that have nothing on them.
    */
   private reservedFor(team: string): ResourceQuota {
     if (this.unconfirmed.count === 0) return NOTHING;
@@ -86,7 +86,7 @@
   }
 }
 
-/** Without a limit nothing that may run unseen matters. */
+/** An unlimited team stays unlimited, whatever is reserved: infinity less infinity is not a number. */
 function remainingOf(limit: number, used: number, reserved: number): number {
   return limit === Infinity ? Infinity : limit - used - reserved;
 }
--- a/src/coordination/partition/unconfirmed-machines.ts
+++ b/src/coordination/partition/unconfirmed-machines.ts
@@ -2,12 +2,12 @@
 import { type Resources } from './placement';
 
 /**
- * What may be on the machines that have not spoken since a partition was taken over. Kept up to date by differences: a
- * take-over hears hundreds of first reports, and to look through all machines at each costs the square of the fleet,
- * at the very time when the leases of those not answered yet run out.
+ * The machines that are not confirmed after a failover, and an upper bound of what unreported tasks may use on them. The sum is kept
+ * up to date by differences: computed anew at each first heartbeat, a failover would cost the square of the fleet's size while the
+ * leases of the workers not answered yet run out.
  */
 export class UnconfirmedMachines {
-  /** What each of them has free for tasks that nobody has told of; null: unknown. */
+  /** What unreported tasks may use on each machine; null: unknown. */
   private readonly shares = new Map<string, ResourceQuota | null>();
   private unknownCount = 0;
   private readonly sum: ResourceQuota = { cpus: 0, accelerators: 0 };
@@ -20,7 +20,7 @@
     return [...this.shares.keys()].slice(0, count);
   }
 
-  /** Notes how a machine that has not spoken stands; `has` is null while its type or its tasks are not known. */
+  /** Adds or updates an unconfirmed machine; `free` is null while its type, or a task on it, is unknown. */
   set(id: string, free: Resources | null): void {
     this.remove(id);
     const share = free && { cpus: Math.max(0, free.cpus), accelerators: Math.max(0, free.accelerators) };
@@ -28,7 +28,7 @@
     this.add(share, 1);
   }
 
-  /** It has spoken, is gone, or nobody can have answered it for a lease. True if it was the last one. */
+  /** Removes a machine that is confirmed or gone. True if it was the last one. */
   remove(id: string): boolean {
     const share = this.shares.get(id);
     if (share === undefined) return false;
@@ -37,7 +37,7 @@
     return this.shares.size === 0;
   }
 
-  /** All that may be on them. */
+  /** The most that unreported tasks may use on all of them. */
   get upperBound(): ResourceQuota {
     if (this.shares.size === 0) return { cpus: 0, accelerators: 0 };
     return this.unknownCount > 0 ? { cpus: Infinity, accelerators: Infinity } : this.sum;
