--- a/src/coordination/balancing/core-move-executor.ts
+++ b/src/coordination/balancing/core-move-executor.ts
@@ -1,8 +1,8 @@
 import { type MoveExecutor, type TaskId } from '@heathbridge/load-balancer';
 import { type JobSpec } from '../../protocol/jobs';
-import { taskKey } from '../partition/machine';
+import { taskKey } from '../partition/in-flight-task';
 import { type PartitionCore } from '../partition/partition-core';
-import { countFitting } from '../partition/placement';
+import { countFitting } from '../partition/resources';
 import { type CoreSnapshot } from './core-snapshot';
 
 /** Added to the time that a task states for its checkpoint: the stop must not cut it short. */
--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -8,9 +8,11 @@
 } from '@heathbridge/load-balancer';
 import { type JobSpec } from '../../protocol/jobs';
 import { type PartitionJob } from '../partition/job';
-import { type InFlightTask, type MachineState } from '../partition/machine';
+import { type MachineState } from '../partition/machine';
+import { type InFlightTask } from '../partition/in-flight-task';
 import { type PartitionCore } from '../partition/partition-core';
-import { allowsMachine, countFitting } from '../partition/placement';
+import { allowsMachine } from '../partition/placement';
+import { countFitting } from '../partition/resources';
 import { jobsWithinGuarantee } from '../partition/scheduling-order';
 
 /** A task that has been pending for this many heartbeats of its machines is not merely between two of them. */
--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -3,7 +3,7 @@
 import { type JobSpec } from '../../protocol/jobs';
 import { type MachineState } from '../partition/machine';
 import { type PartitionCore } from '../partition/partition-core';
-import { type Resources } from '../partition/placement';
+import { type Resources } from '../partition/resources';
 import { type PlacementSpreader } from '../partition/task-placement';
 
 /** Fills all machines of a partition to the same share of their CPUs. */
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -10,7 +10,8 @@
 import { WorkPacer } from '../../transport/work-pacer';
 import { PRIORITIES, type JobSpec } from '../../protocol/jobs';
 import { type Command } from '../../protocol/workers';
-import { taskKey, type MachineState } from '../partition/machine';
+import { type MachineState } from '../partition/machine';
+import { taskKey } from '../partition/in-flight-task';
 import { type PartitionCore } from '../partition/partition-core';
 import { type PlacementSpreader } from '../partition/task-placement';
 import { type PartitionBalancing } from '../partition/partition-balancing';
--- a/src/coordination/fleet/demand-matching.ts
+++ b/src/coordination/fleet/demand-matching.ts
@@ -1,6 +1,8 @@
 import { type MachineType } from '../../protocol/cloud';
 import { type Demand } from '../../protocol/peers';
-import { allowsMachineType, countFitting, type Resources } from '../partition/placement';
+import { allowsMachineType } from '../partition/placement';
+import { countFitting } from '../partition/resources';
+import { type Resources } from '../partition/resources';
 import { type MachineKind } from './fleet-snapshot';
 
 /** A machine, or one that could be provisioned. */
--- a/src/coordination/fleet/planned-partition.ts
+++ b/src/coordination/fleet/planned-partition.ts
@@ -1,6 +1,6 @@
 import { type MachineType } from '../../protocol/cloud';
 import { type Demand, type PartitionLoad } from '../../protocol/peers';
-import { type Resources } from '../partition/placement';
+import { type Resources } from '../partition/resources';
 import { canRun, reserveTasks } from './demand-matching';
 
 /** A machine that a partition can count on, with the resources that the plan leaves free on it. */
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,7 +1,7 @@
 import { type MachineRequest, type MachineType } from '../../protocol/cloud';
 import { PRIORITIES } from '../../protocol/jobs';
 import { type Demand } from '../../protocol/peers';
-import { countFitting } from '../partition/placement';
+import { countFitting } from '../partition/resources';
 import { type CapacityPlan, type EmptyMachine } from './capacity-plan';
 import { allowsMachineKind, canRun, fullCapacity, reserveTasks } from './demand-matching';
 import { kindKey } from './fleet-snapshot';
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -33,7 +33,7 @@
       epoch: OWNER_EPOCH,
       teams: [team, { ...team, name: 'u' }],
       types: () => new Map([['small', SMALL_TYPE]]),
-      specOfClosedJob: (r) => this.specs.get(r),
+      specOfClosedJob: (ref) => this.specs.get(ref),
       options,
       assignedMachines: this.assigned,
     });
