--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -24,7 +24,8 @@
 import { taskKey, type InFlightTask } from '../partition/in-flight-task';
 import { type MachineState } from '../partition/machine';
 import { type PartitionCore } from '../partition/partition-core';
-import { allowsMachine, countFitting, type Resources } from '../partition/placement';
+import { allowsMachine } from '../partition/placement';
+import { countFitting, countWithinQuota, type Resources } from '../partition/resources';
 import { jobsWithinGuarantee } from '../partition/scheduling-order';
 import { type PlacementSpreader } from '../partition/task-placement';
 import { type TaskObserver } from '../partition/task-observer';
@@ -204,7 +205,7 @@
     )
       return 0;
     const teamFree = this.core.quota.remaining(spec.team);
-    const allowedByTeam = countFitting({ ...teamFree, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
+    const allowedByTeam = countWithinQuota(teamFree, spec);
     return Math.max(0, Math.min(job.pendingCount, job.maxInFlight(this.now), allowedByTeam));
   }
 
--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -1,7 +1,8 @@
 import { type MachineType, type MachineRequest } from '../../protocol/cloud';
 import { type Policy } from '../../protocol/policy';
 import { DRAIN_TO_CLOUD, type Demand, type MachineLoad, type PartitionLoad } from '../../protocol/peers';
-import { allowsMachineType, countFitting, type Resources } from '../partition/placement';
+import { allowsMachineType } from '../partition/placement';
+import { countFitting, type Resources } from '../partition/resources';
 
 /** A machine as the leader knows it. */
 export interface FleetMachine {
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -14,7 +14,7 @@
   type MachineCapacity,
   type PendingDemand,
 } from './capacity-plan';
-import { countFitting } from '../partition/placement';
+import { countFitting } from '../partition/resources';
 
 /** Within how many seconds the waiting work of an urgency is meant to be done; index as in URGENCIES. */
 const TARGET_COMPLETION_S = [15, 15, 30, 50] as const;
--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -1,7 +1,7 @@
 import { type MachineType } from '../../protocol/cloud';
 import { type MachineRecord } from '../../protocol/records';
 import { MachineState } from './machine';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 import { type UnconfirmedMachines } from './unconfirmed-machines';
 
 export interface MachineSetOptions {
--- a/src/coordination/partition/machine-usage.ts
+++ b/src/coordination/partition/machine-usage.ts
@@ -1,5 +1,5 @@
 import { type JobSpec } from '../../protocol/jobs';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 
 /** What the tasks on a machine, and reservations for tasks that are to be moved there, take of it. */
 export class MachineUsage {
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -4,7 +4,7 @@
 import { type Command, type Heartbeat, type HeartbeatTask } from '../../protocol/workers';
 import { taskKey, type InFlightTask, type TaskExit } from './in-flight-task';
 import { MachineUsage } from './machine-usage';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 
 /** What a heartbeat has shown. */
 export interface HeartbeatOutcome {
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -17,7 +17,7 @@
 import { MachineSet, type DrainedMachine } from './machine-set';
 import { partitionLoad } from './partition-load';
 import { type PartitionState } from './partition-state';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 import { RuntimeEstimates } from './priority';
 import { SchedulingQueue } from './scheduling-queue';
 import { progressToWrite, type ProgressToWrite } from './start-watermarks';
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -3,7 +3,8 @@
 import { type ResourceQuota } from '../../protocol/settings';
 import { type PartitionState } from './partition-state';
 import { type PartitionJob } from './job';
-import { countFitting, eligibleZones } from './placement';
+import { eligibleZones } from './placement';
+import { countWithinQuota } from './resources';
 
 /** Of what a task was expected to take, the least that it is still expected to. */
 const MIN_REMAINING_RATIO = 0.2;
@@ -56,7 +57,7 @@
     if (job.pendingCount === 0 || job.state !== 'open') continue;
     let room = rooms.get(spec.team);
     if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
-    const quota = countFitting({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
+    const quota = countWithinQuota(room, spec);
     // No machine is provisioned for a job that fails everywhere.
     const tasks = Math.min(job.pendingCount, job.maxInFlight(now), quota);
     if (tasks === 0) continue;
--- a/src/coordination/partition/partition-state.ts
+++ b/src/coordination/partition/partition-state.ts
@@ -1,7 +1,7 @@
 import { type MachineType } from '../../protocol/cloud';
 import { type PartitionJob } from './job';
 import { type MachineState } from './machine';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 import { type RuntimeEstimates } from './priority';
 import { type TeamQuota } from './team-quota';
 
--- a/src/coordination/partition/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -1,22 +1,6 @@
 import { type MachineType } from '../../protocol/cloud';
 import { type JobSpec } from '../../protocol/jobs';
-
-export interface Resources {
-  cpus: number;
-  accelerators: number;
-  memoryGb: number;
-}
-
-const EPSILON = 1e-9;
-
-/** How many tasks of this shape fit into what is free. */
-export function countFitting(free: Resources, need: Resources): number {
-  let n = Number.POSITIVE_INFINITY;
-  if (need.cpus > 0) n = Math.min(n, Math.floor(free.cpus / need.cpus + EPSILON));
-  if (need.accelerators > 0) n = Math.min(n, Math.floor(free.accelerators / need.accelerators + EPSILON));
-  if (need.memoryGb > 0) n = Math.min(n, Math.floor(free.memoryGb / need.memoryGb + EPSILON));
-  return Math.max(0, n);
-}
+import { countFitting } from './resources';
 
 interface MachineKind {
   type: string;
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -3,7 +3,8 @@
 import { type PartitionJob } from './job';
 import { taskKey, type InFlightTask } from './in-flight-task';
 import { type MachineState } from './machine';
-import { allowsMachine, countFitting, remainingInZone, type Resources } from './placement';
+import { allowsMachine, remainingInZone } from './placement';
+import { countFitting, countWithinQuota, subtractResources, type Resources } from './resources';
 import { type TeamQuota } from './team-quota';
 
 /** Failures without a success between them after which a machine is quarantined. */
@@ -217,7 +218,7 @@
     for (const index of job.startableTasks(n, this.host.unconfirmedCount === 0, now)) {
       if (machine.tasks.has(taskKey(job.ref, index))) continue;
       commands.push(this.startTask(job, index, machine, now));
-      subtract(free, job.spec);
+      subtractResources(free, job.spec);
     }
   }
 
@@ -238,7 +239,7 @@
     if (job.doneCount === 0 && (machine.failuresByJob.get(job.ref) ?? 0) >= QUARANTINE_FAILURE_COUNT)
       return 0;
     const room = this.host.quota.remaining(spec.team);
-    const ofTeam = countFitting({ ...room, memoryGb: Infinity }, { ...spec, memoryGb: 0 });
+    const ofTeam = countWithinQuota(room, spec);
     const n = Math.min(
       places,
       job.startableCount(this.host.unconfirmedCount === 0),
@@ -274,9 +275,3 @@
     return zones;
   }
 }
-
-function subtract(free: Resources, { cpus, accelerators, memoryGb }: JobSpec): void {
-  free.cpus -= cpus;
-  free.accelerators -= accelerators;
-  free.memoryGb -= memoryGb;
-}
--- a/src/coordination/partition/unconfirmed-machines.ts
+++ b/src/coordination/partition/unconfirmed-machines.ts
@@ -1,5 +1,5 @@
 import { type ResourceQuota } from '../../protocol/settings';
-import { type Resources } from './placement';
+import { type Resources } from './resources';
 
 /**
  * The machines that are not confirmed after a failover, and an upper bound of what unreported tasks may use on them. The sum is kept
--- a/test/partition/placement.test.ts
+++ b/test/partition/placement.test.ts
@@ -1,12 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import {
-  countFitting,
-  infeasibleReason,
-  eligibleZones,
-  remainingInZone,
-} from '../../src/coordination/partition/placement';
+import { infeasibleReason, eligibleZones, remainingInZone } from '../../src/coordination/partition/placement';
+import { countFitting } from '../../src/coordination/partition/resources';
 import { type JobSpec } from '../../src/protocol/jobs';
 import { LARGE_TYPE, SMALL_TYPE } from '../support/machine-types';
 import { JOB_SPEC } from '../support/job-spec';
