--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -12,7 +12,7 @@
 import { type InFlightTask } from '../partition/in-flight-task';
 import { type PartitionCore } from '../partition/partition-core';
 import { allowsMachine } from '../partition/placement';
-import { countFitting } from '../partition/resources';
+import { countWithinQuota } from '../partition/resources';
 import { jobsWithinGuarantee } from '../partition/scheduling-order';
 
 /** A task that has been pending for this many heartbeats of its machines is not merely between two of them. */
@@ -68,8 +68,7 @@
     const { spec } = job;
     if (job.heldByPipeline || job.pendingCount === 0 || job.state !== 'open') return 0;
     if (spec.singleZone || spec.spreadZones) return 0;
-    const quota = { ...this.core.quota.remaining(spec.team), memoryGb: Infinity };
-    const allowedByTeam = countFitting(quota, { ...spec, memoryGb: 0 });
+    const allowedByTeam = countWithinQuota(this.core.quota.remaining(spec.team), spec);
     return Math.max(0, Math.min(job.pendingCount, job.maxInFlight(this.now), allowedByTeam));
   }
 
