--- a/packages/load-balancer/test/model.ts
+++ b/packages/load-balancer/test/model.ts
@@ -4,6 +4,7 @@
   taskKey,
   type BalancerSettings,
   type JobSnapshot,
+  type LoadSummary,
   type MachineSnapshot,
   type MoveExecutor,
   type PartitionSnapshot,
@@ -24,15 +25,23 @@
   tasks: TaskSnapshot[];
 }
 
-const REPORT_MS = 2000;
+const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
 
 /** A job with everything that a test does not care about. */
 export function job(name: string, change: Partial<JobSnapshot> & { cpus?: number } = {}): JobSnapshot {
   const { cpus = 1, ...rest } = change;
   return {
-    ...{ job: name, team: 'north', workload: 'w', priority: 3, resources: needs(cpus) },
-    ...{ image: 'i', imageGb: 1, expectedS: 200, checkpointS: 10, saveS: 1 },
+    job: name,
+    team: 'north',
+    workload: 'w',
+    priority: 3,
+    resources: needs(cpus),
+    image: 'i',
+    imageGb: 1,
+    expectedS: 200,
+    checkpointS: 10,
+    saveS: 1,
     ...rest,
   };
 }
@@ -46,22 +55,42 @@
   return { job: spec.job, index, spec, phase: 'running', elapsedS: 60, pinned: null, ...change };
 }
 
+/** The summary of a partition with light load. */
+export function summary(change: Partial<LoadSummary> = {}): LoadSummary {
+  return {
+    partition: 'p0',
+    epoch: 5,
+    sequence: 10,
+    ageMs: 100,
+    cpus: 100,
+    freeCpus: 10,
+    largestFreeCpus: 4,
+    running: [0, 0, 0, 500],
+    waiting: [0, 0, 0, 100],
+    trendPerS: 0,
+    teams: [],
+    moves: { planned: 0, begun: 0, completed: 0, abandoned: 0, inFlight: 0 },
+    refusals: [],
+    ...change,
+  };
+}
+
 /** A partition whose machines can be set up by hand, and which carries moves out at once or step by step. */
 export class ModelPartition implements PartitionSnapshot, MoveExecutor {
   readonly epoch = 7;
-  readonly waits: PendingTasks[] = [];
+  readonly pending: PendingTasks[] = [];
   readonly teams = new Map<string, TeamUsage>();
   readonly reserved = new Map<string, Resources>();
   readonly held = new Set<string>();
-  readonly kept = new Set<string>();
+  readonly jobReservations = new Set<string>();
   readonly stopped: string[] = [];
-  /** Room that is refused although it looked free. */
+  /** Machines whose reservations are refused although they looked free. */
   refuses = new Set<string>();
 
   constructor(readonly fleet: ModelMachine[]) {}
 
   pendingTasks(): PendingTasks[] {
-    return this.waits;
+    return this.pending;
   }
 
   machines(): MachineSnapshot[] {
@@ -79,7 +108,8 @@
   private free(machine: ModelMachine): Resources {
     let cpus = machine.cpus;
     for (const { spec } of machine.tasks) cpus -= spec.resources.cpus;
-    for (const [key, room] of this.reserved) if (key.startsWith(`${machine.id}:`)) cpus -= room.cpus;
+    for (const [key, resources] of this.reserved)
+      if (key.startsWith(`${machine.id}:`)) cpus -= resources.cpus;
     return needs(cpus);
   }
 
@@ -130,13 +160,13 @@
   }
 
   reserveForJob(machine: string, name: string): void {
-    const wait = this.waits.find(({ spec }) => spec.job === name);
-    this.kept.add(`${machine}:${name}`);
-    if (wait) this.reserved.set(`${machine}:${name}/next`, wait.spec.resources);
+    const pending = this.pending.find(({ spec }) => spec.job === name);
+    this.jobReservations.add(`${machine}:${name}`);
+    if (pending) this.reserved.set(`${machine}:${name}/next`, pending.spec.resources);
   }
 
   releaseJobReservation(machine: string, name: string): void {
-    this.kept.delete(`${machine}:${name}`);
+    this.jobReservations.delete(`${machine}:${name}`);
     this.reserved.delete(`${machine}:${name}/next`);
   }
 
@@ -154,8 +184,11 @@
   change: Partial<BalancerSettings> = {},
 ): PartitionBalancer {
   return new PartitionBalancer({
-    ...{ partition: 'p0', priorities: 4, snapshot: partition, executor: partition },
+    partition: 'p0',
+    priorities: 4,
+    snapshot: partition,
+    executor: partition,
     settings: balancerSettingsSchema.parse(change),
-    timeouts: { heartbeatIntervalMs: REPORT_MS, leaseMs: LEASE_MS },
+    timeouts: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
   });
 }
--- a/packages/load-balancer/test/planning.test.ts
+++ b/packages/load-balancer/test/move-planner.test.ts
@@ -163,7 +163,7 @@
 } {
   const partition = new ModelPartition(structuredCloneFleet(fleet));
   for (const { of: spec, withinGuarantee = false, tasks = 1 } of waits)
-    partition.waits.push({ spec, tasks, pendingS: 30, withinGuarantee });
+    partition.pending.push({ spec, tasks, pendingS: 30, withinGuarantee });
   const balancer = balancerOf(partition, settings);
   for (let i = 0; i < learned; i++) balancer.estimator.learn(idle, idle.expectedS);
   balancer.plan(0);
@@ -203,11 +203,14 @@
 
 test('planning: room that is gone at the reservation begins nothing', () => {
   const partition = new ModelPartition(structuredCloneFleet([halfFull('m0'), halfFull('m1')]));
-  partition.waits.push({ spec: urgent, tasks: 1, pendingS: 30, withinGuarantee: false });
+  partition.pending.push({ spec: urgent, tasks: 1, pendingS: 30, withinGuarantee: false });
   partition.refuses.add('m0').add('m1');
   const balancer = balancerOf(partition);
   balancer.plan(0);
-  assert.deepEqual([partition.stopped, [...partition.reserved], [...partition.kept]], [[], [], []]);
+  assert.deepEqual(
+    [partition.stopped, [...partition.reserved], [...partition.jobReservations]],
+    [[], [], []],
+  );
 });
 
 const someTask = fc.record({
@@ -239,8 +242,11 @@
       });
       const partition = new ModelPartition(machines);
       waits.forEach(({ cpus, priority, tasks }, i) =>
-        partition.waits.push({
-          ...{ spec: job(`w${i}`, { cpus, priority }), tasks, pendingS: 30, withinGuarantee: false },
+        partition.pending.push({
+          spec: job(`w${i}`, { cpus, priority }),
+          tasks,
+          pendingS: 30,
+          withinGuarantee: false,
         }),
       );
       const balancer = balancerOf(partition);
@@ -251,7 +257,7 @@
         for (const move of balancer.tracker.movesInProgress)
           assert.ok(move.gainS > move.costS - 1e-9 || move.costS === 0);
         for (const view of partition.machines()) {
-          const kept = [...partition.kept].filter((key) => key.startsWith(`${view.id}:`));
+          const kept = [...partition.jobReservations].filter((key) => key.startsWith(`${view.id}:`));
           if (kept.length === 0) assert.ok(view.free.cpus >= 0, 'a target is not filled beyond what it has');
           const leaving = partition.tasksOn(view.id).filter((t) => t.pinned === 'stopping');
           const cleared = leaving.reduce((sum, t) => sum + t.spec.resources.cpus, view.free.cpus);
@@ -267,7 +273,7 @@
 
 test('planning: needs of nothing and machines of nothing plan nothing', () => {
   const partition = new ModelPartition([{ id: 'm0', cpus: 0, images: [], tasks: [] }]);
-  partition.waits.push({
+  partition.pending.push({
     spec: job('w', { resources: needs(0) }),
     tasks: 1,
     pendingS: 30,
--- a/packages/load-balancer/test/moves.test.ts
+++ b/packages/load-balancer/test/move-tracker.test.ts
@@ -27,7 +27,7 @@
   'target-full',
   'timeout',
 ];
-const DEEPEST = 5;
+const MAX_EXPLORED_EVENT_COUNT = 5;
 
 /** What a move has taken and not given back. */
 interface Account {
@@ -66,7 +66,7 @@
 }
 
 test('moves: no order of events leaks room or a task, and each event counts once', () => {
-  const seen = explore('reserved', { room: 1, held: 0, stops: 0 }, DEEPEST, []);
+  const seen = explore('reserved', { room: 1, held: 0, stops: 0 }, MAX_EXPLORED_EVENT_COUNT, []);
   assert.ok(seen > 200_000, `${seen} states were seen`);
 });
 
@@ -119,7 +119,10 @@
 function plan(targets: (string | null)[]): MovePlan {
   const tasks = [moved, other].slice(0, targets.length);
   return {
-    ...{ cause: { kind: 'make-room', job: 'w' }, clearedMachine: 'm0', gainS: 50, costS: 4 },
+    cause: { kind: 'make-room', job: 'w' },
+    clearedMachine: 'm0',
+    gainS: 50,
+    costS: 4,
     moves: tasks.map((t, i) => ({ task: t, source: 'm0', target: targets[i] ?? null, cost: COST, costS: 4 })),
   };
 }
--- /dev/null
+++ b/packages/load-balancer/test/statistics.test.ts
@@ -0,0 +1,17 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { coefficientOfVariation, Trend } from '../src/index';
+
+test('a trend follows a load that doubles and then halves', () => {
+  const trend = new Trend();
+  for (let s = 0; s <= 60; s++) trend.observe(1000 + 50 * s, s * 1000);
+  assert.ok(trend.changePerS > 40 && trend.changePerS <= 50);
+  for (let s = 61; s <= 120; s++) trend.observe(4000 - 50 * (s - 60), s * 1000);
+  assert.ok(trend.changePerS < -30);
+});
+
+test('spread is nothing where all are alike, and grows with the difference', () => {
+  assert.equal(coefficientOfVariation([3, 3, 3]), 0);
+  assert.equal(coefficientOfVariation([]), 0);
+  assert.ok(coefficientOfVariation([1, 5]) > coefficientOfVariation([2, 4]));
+});
