--- a/src/coordination/requests/deferred-heartbeats.ts
+++ b/src/coordination/requests/deferred-heartbeats.ts
@@ -1,7 +1,7 @@
 import { type Clock } from '../../transport/clock';
 import { type Heartbeat } from '../../protocol/workers';
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
-import { MisroutedHeartbeats } from '../membership/reachability';
+import { MisroutedHeartbeats } from '../membership/misrouted-heartbeats';
 import { type HeartbeatReply } from './heartbeat-gateway';
 
 /** Machines that come here within this time of a change of owner are merely on their way. */
--- a/test/membership/reachability.test.ts
+++ b/test/membership/reachability.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reachability, MisroutedHeartbeats } from '../../src/coordination/membership/reachability';
+import { MisroutedHeartbeats } from '../../src/coordination/membership/misrouted-heartbeats';
+import { Reachability } from '../../src/coordination/membership/reachability';
 import { type MachineLoad } from '../../src/protocol/peers';
 import { machineLoad, partitionLoad } from '../support/fleet-builders';
 
