--- a/test/load-attribution.test.ts
+++ b/test/load-attribution.test.ts
@@ -65,8 +65,17 @@
     ],
     'placement',
   ],
+  [
+    'an exit that a heartbeat names',
+    [
+      ...heartbeat,
+      frame('handle', `${PARTITION}/heartbeat-handler.ts`),
+      frame('handleExit', `${PARTITION}/task-lifecycle.ts`),
+    ],
+    'heartbeats',
+  ],
   ['the order of jobs', [frame('schedulingOrder', `${PARTITION}/scheduling-order.ts`)], 'placement'],
-  ['writing progress', [frame('writeProgress', `${PARTITION}/partition-actor.ts`)], 'progress'],
+  ['writing progress', [frame('writeIfDue', `${PARTITION}/progress-writer.ts`)], 'progress'],
   ['changed values of progress', [frame('changedValues', `${STORAGE}/progress.ts`)], 'progress'],
   ['the tick of a controller', [frame('tick', `${CONTROLLER}/controller.ts`)], 'partition tick'],
   [
--- a/test/partition/unconfirmed-machines.test.ts
+++ b/test/partition/unconfirmed-machines.test.ts
@@ -108,7 +108,7 @@
         8 - hidden,
       );
       partition.core.tick(13_000, 0);
-      assert.equal(partition.core.remainingQuota('t').cpus, 8, 'all leases over, nothing is hidden');
+      assert.equal(partition.core.quota.remaining('t').cpus, 8, 'all leases over, nothing is hidden');
     },
   ]),
   [
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -28,15 +28,15 @@
       limit: { cpus: limit, accelerators: 0 },
     };
     const options = { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] };
-    this.core = new PartitionCore(
-      'p0',
-      OWNER_EPOCH,
-      [team, { ...team, name: 'u' }],
-      () => new Map([['small', SMALL_TYPE]]),
-      (r) => this.specs.get(r),
+    this.core = new PartitionCore({
+      id: 'p0',
+      epoch: OWNER_EPOCH,
+      teams: [team, { ...team, name: 'u' }],
+      types: () => new Map([['small', SMALL_TYPE]]),
+      specOfClosedJob: (ref) => this.specs.get(ref),
       options,
-      this.assigned,
-    );
+      assignedMachines: this.assigned,
+    });
   }
 
   /** A machine that is recorded as assigned. */
@@ -66,11 +66,12 @@
 
   addJob(job: JobSpec, version = AFTER_OWNER, doneRanges = '', startWatermark = job.tasks): void {
     this.specs.set(job.ref, job);
-    this.core.openJob(job, 0, version, { doneRanges, doneCount: 0, runningCount: 0, startWatermark }, 0);
+    const progress = { doneRanges, doneCount: 0, runningCount: 0, startWatermark };
+    this.core.openJob({ spec: job, acceptedAt: 0, revision: version, progress }, 0);
   }
 
   addTerminatedJob(job: JobSpec, state: JobState = 'cancelled'): void {
-    this.core.addCancelled(job, state, BEFORE_OWNER);
+    this.core.addCancelled({ spec: job, revision: BEFORE_OWNER }, state);
   }
 
   closeJob(ref: string, state: JobState): void {
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -13,7 +13,8 @@
   },
   {
     cause: 'progress',
-    frames: /writeProgress|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
+    frames:
+      /progress-writer\.js|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
   },
   { cause: 'partition loads', frames: /partition-load\.js/ },
   {
@@ -25,7 +26,11 @@
     cause: "leader's planning",
     frames: /coordination\/(leader|fleet)\//,
   },
-  { cause: 'partition tick', frames: /partition-(core|actor)\.js|tick .*controller\.js/ },
+  {
+    cause: 'partition tick',
+    frames:
+      /partition-(core|actor|store)\.js|(terminal-state|assigned-machine|machine-record)-writer\.js|tick .*controller\.js/,
+  },
   {
     cause: 'frames between controllers',
     frames: /(peer-link|peer-codec)\.js|avsc|publishStatus|receiveFrame/,
@@ -51,9 +56,9 @@
   { cause: 'event loop and timers', frames: /\(program\)|node:internal\/(timers|process)/ },
 ];
 
-/** A heartbeat is a message to the partition's actor: its stack also holds the partition's frames. */
+/** A heartbeat is a message of the partition actor: its stack also holds the partition's frames. */
 const HEARTBEAT_FRAME =
-  /^(handleHeartbeat|applyHeartbeat|takeCommands|isNewer|adoptRunningTask|handleExit) .*coordination\/partition\//;
+  /heartbeat-handler\.js|handleHeartbeat .*partition-core\.js|(applyHeartbeat|takeCommands|isNewer) .*machine\.js/;
 const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
