--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -286,14 +286,14 @@
       limits,
     );
     const teams = new Map(settings.teams.map((team) => [team.name, team]));
-    return new JobService(
-      this.stateStore,
-      this.replica,
+    return new JobService({
+      stateStore: this.stateStore,
+      replica: this.replica,
       batcher,
       clock,
       teams,
-      () => this.machineTypes(),
-      this.metrics,
-    );
+      machineTypes: () => this.machineTypes(),
+      metrics: this.metrics,
+    });
   }
 }
--- a/src/coordination/requests/deferred-heartbeats.ts
+++ b/src/coordination/requests/deferred-heartbeats.ts
@@ -1,39 +1,43 @@
+/** Heartbeats that wait for a failover or handover of their partition. */
 import { type Clock } from '../../transport/clock';
 import { type Heartbeat } from '../../protocol/workers';
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
 import { MisroutedHeartbeats } from '../membership/reachability';
 import { type HeartbeatReply } from './heartbeat-gateway';
 
-/** Machines that come here within this time of a change of owner are merely on their way. */
+/** Machines that send heartbeats here within this time of a change of owner are being redirected to the new one. */
 const OWNER_SETTLED_MS = 8000;
 /** Of the 4 s that a machine waits for an answer. */
 const DEFERRAL_MS = 2000;
 const SHORT_DEFERRAL_MS = 800;
 
-/** A report of a machine whose partition may be about to change hands. */
+/** A heartbeat of a machine whose partition may be about to change its owner. */
 interface DeferredHeartbeat {
   heartbeat: Heartbeat;
   reply: (reply: HeartbeatReply) => void;
   partition: string;
-  /** Version of the partition's record when it came. */
+  /** Of the partition when the heartbeat came. */
   epoch: number;
 }
 
-/** Keeps misrouted reports for a moment instead of sending them back, where their partition may be about to change hands. */
+/**
+ * Defers misrouted heartbeats for a moment instead of redirecting them, where their partition may be about to change its
+ * owner. Each is answered exactly once, when the owner has changed or at the end of that time.
+ */
 export class DeferredHeartbeats {
   readonly misrouted = new MisroutedHeartbeats();
-  /** When the replica first showed a partition's present owner. */
+  /** When the replica first showed the present owner of a partition, on the steady clock. */
   private readonly ownedSince = new Map<string, { epoch: number; at: number }>();
   private deferred: DeferredHeartbeat[] = [];
 
   constructor(
     private readonly replica: ReplicaView,
     private readonly clock: Clock,
-    /** Answers a report once more, and does not have it kept again. */
+    /** Answers a heartbeat, and does not defer it again. */
     private readonly answer: (heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void) => void,
   ) {}
 
-  /** Keeps a report of another owner's machine if the owner may change; false: it may not, and nothing is kept. */
+  /** Defers a heartbeat if the owner of its partition may change. Returns false if not: the caller is to answer. */
   defer(heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void, stored: StoredPartition): boolean {
     if (!this.ownerMayChange(stored.id, heartbeat.machine)) return false;
     const entry: DeferredHeartbeat = { heartbeat, reply, partition: stored.id, epoch: stored.epoch };
@@ -42,7 +46,7 @@
     return true;
   }
 
-  /** Answers reports of partitions whose owners have changed. */
+  /** Answers the deferred heartbeats of partitions whose owners have changed. */
   ownersChanged(): void {
     const now = this.clock.steady();
     for (const { id, epoch } of this.replica.partitions.values())
@@ -51,8 +55,9 @@
   }
 
   /**
-   * Many machines come here at once that another controller has owned for a while: it is gone, or cut from them. Sent
-   * back there they would lose seconds of their leases, each time anew, until the partition has changed hands.
+   * Many machines send their heartbeats here although another controller has owned them for a while: it has failed, or is
+   * cut off from them. Redirected to it they would lose seconds of their leases, each time again, until the partition is
+   * assigned to another controller.
    */
   private ownerMayChange(partition: string, machine: string): boolean {
     const now = this.clock.steady();
@@ -61,7 +66,7 @@
     return this.misrouted.exceedsDeferringRatio(partition, machines, now);
   }
 
-  /** Just after a change of owner they are on their way to the new one, who is glad if not all come at once. */
+  /** Just after a change of owner a short time: it only spreads the heartbeats that the new owner receives. */
   private deferralMs({ id, epoch }: StoredPartition): number {
     const since = this.ownedSince.get(id);
     const settled = since?.epoch === epoch && this.clock.steady() - since.at > OWNER_SETTLED_MS;
--- a/src/coordination/requests/heartbeat-gateway.ts
+++ b/src/coordination/requests/heartbeat-gateway.ts
@@ -1,3 +1,4 @@
+/** The HTTP side of workers' heartbeats. */
 import { type PlainHandler } from '../../transport/request-server';
 import { type Log } from '../../transport/log';
 import {
@@ -8,23 +9,24 @@
   type Heartbeat,
 } from '../../protocol/workers';
 
-/** How a report is answered: by the machine's owner, with a redirection, or not at all (`busy`). */
+/** The reply to a heartbeat: of the machine's owner, a redirection to it, or a request to try again later (`busy`). */
 export type HeartbeatReply =
   | { kind: 'answer'; token: number; commands: Command[] }
   | { kind: 'redirect'; owner: string | null }
   | { kind: 'busy' };
 
 export interface HeartbeatDependencies {
+  /** Calls `reply` exactly once, at once or within a few seconds. */
   receiveHeartbeat: (heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void) => void;
   log: Log;
 }
 
-/** Of a request's body, in bytes. */
+/** Of a request's body. */
 export const MAX_BODY_BYTES = 64 * 1024;
 export const HEARTBEAT_PATH = '/hello';
 export const MALFORMED_HEARTBEAT = { error: 'not a report' };
 
-/** Answers a worker's report, however it came in. */
+/** Responds to a worker's heartbeat, given the parsed JSON of its request. */
 export function answerHeartbeat(
   dependencies: HeartbeatDependencies,
   body: unknown,
@@ -42,7 +44,7 @@
   });
 }
 
-/** The same for reports that were read straight from the socket. */
+/** The same for heartbeats that were read straight from the socket. */
 export function plainHeartbeatHandler(dependencies: HeartbeatDependencies): PlainHandler {
   return (text, answer) => {
     let body: unknown;
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -1,3 +1,4 @@
+/** What users ask of the cluster: submissions, cancellations and the status of jobs. */
 import { type Clock } from '../../transport/clock';
 import { type Metrics } from '../../transport/metrics';
 import { type ReplicaView } from '../../storage/replica-view';
@@ -19,10 +20,12 @@
 import { evaluatePipeline } from '../pipeline/pipelines';
 import { infeasibleReason } from '../partition/placement';
 
+/** An HTTP response to a user. */
 export interface ApiResponse {
   status: number;
+  /** Sent as JSON. */
   body: object;
-  /** Seconds after which the user may come back. */
+  /** Seconds after which the user may try again. */
   retryAfterS?: number;
 }
 
@@ -30,45 +33,52 @@
 const UNKNOWN_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
 const DURABLE_WRITE_TIMEOUT_MS = 3000;
 const MAX_CANCEL_ATTEMPT_COUNT = 6;
-/** Questions waiting for the store beyond this many are shed: their users would have given up before the answer. */
+/** Status queries that wait for the state store beyond this many are shed: their users would have given up before the response. */
 const MAX_PENDING_QUERY_COUNT = 400;
-/** Submissions waiting for the store beyond this many are shed: reports and decisions come first. */
+/** Submissions that wait for the state store beyond this many are shed: heartbeats and scheduling decisions come first. */
 const MAX_PENDING_SUBMISSION_COUNT = 300;
 
+export interface JobServiceDependencies {
+  stateStore: StateStoreClient;
+  replica: ReplicaView;
+  batcher: SubmissionBatcher;
+  clock: Clock;
+  teams: ReadonlyMap<string, Team>;
+  /** Empty as long as no controller has heard of them from the cloud. */
+  machineTypes: () => ReadonlyMap<string, MachineType>;
+  metrics: Metrics;
+}
+
 /**
- * What users ask for. Any controller answers it from the store's picture alone, so no partition's owner needs to be
- * alive for it. An answer that is not final is given only once the replica is no older than the question.
+ * Responds to users on any controller, from the replica of the state store alone: the owner of a job's partition need not be
+ * alive for it. A status that may still change is given only once the replica is no older than the query.
  */
 export class JobService {
   private pendingQueryCount = 0;
+  /** Shown in `GET /status`. */
   readonly counters = { accepted: 0, cancelled: 0, shed: 0, unavailable: 0 };
 
-  constructor(
-    private readonly stateStore: StateStoreClient,
-    private readonly replica: ReplicaView,
-    private readonly batcher: SubmissionBatcher,
-    private readonly clock: Clock,
-    private readonly teams: ReadonlyMap<string, Team>,
-    private readonly machineTypes: () => ReadonlyMap<string, MachineType>,
-    private readonly metrics: Metrics,
-  ) {}
+  constructor(private readonly deps: JobServiceDependencies) {}
 
+  /** Accepts a job durably, or says why not. Safe to repeat: a job is known by its ref. */
   submit(body: unknown): Promise<ApiResponse> {
     return this.measure('submission', this.acceptSubmission(body));
   }
 
+  /** The state of a job as it is now, or an error if that cannot be told in time. */
   status(ref: string): Promise<ApiResponse> {
     return this.measure('question', this.answerStatusQuery(ref));
   }
 
+  /** Cancels a job durably, unless it has ended already. Safe to repeat. */
   cancel(ref: string): Promise<ApiResponse> {
     return this.measure('cancellation', this.cancelJob(ref));
   }
 
   private async measure(operation: string, answer: Promise<ApiResponse>): Promise<ApiResponse> {
-    const startedAt = this.clock.steady();
+    const startedAt = this.deps.clock.steady();
     const result = await answer;
-    this.metrics.record(operation, this.clock.steady() - startedAt);
+    this.deps.metrics.record(operation, this.deps.clock.steady() - startedAt);
     return result;
   }
 
@@ -76,26 +86,26 @@
     const submission = parseSubmission(body);
     if (!submission.ok) return { status: 400, body: { error: submission.reason } };
     const { spec } = submission;
-    // A job that was accepted once is known for ever, whatever its teams and types look like by now.
-    if (this.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
-    const team = this.teams.get(spec.team);
-    const catalog = [...this.machineTypes().values()];
+    // A job that was accepted once stays accepted, whatever teams and machine types there are by now.
+    if (this.deps.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
+    const team = this.deps.teams.get(spec.team);
+    const catalog = [...this.deps.machineTypes().values()];
     if (team && catalog.length === 0) return this.answerUnavailable('machine types not known yet');
-    const job = { spec, acceptedAt: this.clock.wallClock().toISOString() };
+    const job = { spec, acceptedAt: this.deps.clock.wallClock().toISOString() };
     const impossibleReason = team ? infeasibleReason(spec, catalog, team.limit) : `unknown team ${spec.team}`;
-    const tooLarge = !this.batcher.fitsInValue(job);
+    const tooLarge = !this.deps.batcher.fitsInValue(job);
     if (impossibleReason !== null || tooLarge || spec.pipeline) {
-      if (!(await this.stateStore.ensureFresh())) return this.answerUnavailable('no answer yet');
-      if (this.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
-      const reason = impossibleReason ?? pipelineLinkError(spec, this.replica);
+      if (!(await this.deps.stateStore.ensureFresh())) return this.answerUnavailable('no answer yet');
+      if (this.deps.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
+      const reason = impossibleReason ?? pipelineLinkError(spec, this.deps.replica);
       if (reason !== null) return { status: 422, body: { error: reason } };
       if (tooLarge) return { status: 400, body: { error: 'the description is too large to be kept' } };
     }
-    if (this.batcher.pendingCount >= MAX_PENDING_SUBMISSION_COUNT) {
+    if (this.deps.batcher.pendingCount >= MAX_PENDING_SUBMISSION_COUNT) {
       this.counters.shed++;
       return { status: 429, body: { error: 'overloaded' }, retryAfterS: 2 };
     }
-    const result = await this.batcher.submit(job);
+    const result = await this.deps.batcher.submit(job);
     if (result === 'known') return this.answerKnownJob(spec.ref);
     if (result === 'failed') return this.answerUnavailable('no durable answer in time');
     this.counters.accepted++;
@@ -113,7 +123,7 @@
   }
 
   private async answerStatusQuery(ref: string): Promise<ApiResponse> {
-    const known = this.replica.jobs.get(ref);
+    const known = this.deps.replica.jobs.get(ref);
     if (known && isTerminal(known)) return { status: 200, body: this.jobBody(known) };
     if (this.pendingQueryCount >= MAX_PENDING_QUERY_COUNT) {
       this.counters.shed++;
@@ -133,7 +143,7 @@
       if (isTerminal(job)) return { status: 200, body: this.jobBody(job) };
       const conditions = this.openJobConditions(job);
       if (!conditions) break;
-      const result = await this.stateStore.transact(
+      const result = await this.deps.stateStore.transact(
         conditions,
         [{ put: keys.cancel(ref), value: 1 }],
         RequestPriority.Decision,
@@ -142,7 +152,7 @@
       if (result.kind === 'applied') {
         this.counters.cancelled++;
         // Before the user hears of it: from now on an extension of ours must tell it, and our own partitions must know.
-        this.replica.recordCancellation(ref, result.revision);
+        this.deps.replica.recordCancellation(ref, result.revision);
         return { status: 200, body: { ref, status: 'aborted' } };
       }
       // Some job of the partition ended between reading and writing: look again.
@@ -153,27 +163,27 @@
 
   /** What must hold for a job to be cancelled: nobody did so yet, and nobody wrote down that it has ended. */
   private openJobConditions(job: StoredJob): Condition[] | null {
-    const partition = this.replica.partitionOfTeam(job.spec.team)?.id;
+    const partition = this.deps.replica.partitionOfTeam(job.spec.team)?.id;
     if (partition === undefined) return null;
-    const last = this.replica.lastTerminalStatesIndex(partition);
+    const last = this.deps.replica.lastTerminalStatesIndex(partition);
     const current = keys.terminalStates(partition, last);
     return [
       { key: keys.cancel(job.spec.ref), revision: 0 },
-      { key: current, revision: this.stateStore.revisionOf(current) },
+      { key: current, revision: this.deps.stateStore.revisionOf(current) },
       { key: keys.terminalStates(partition, last + 1), revision: 0 },
     ];
   }
 
   /** A final state never changes, so the replica's word is enough; anything else must be as it is now. */
   private async findJob(ref: string): Promise<StoredJob | 'absent' | null> {
-    const known = this.replica.jobs.get(ref);
+    const known = this.deps.replica.jobs.get(ref);
     if (known && isTerminal(known)) return known;
-    if (!(await this.stateStore.ensureFresh())) return null;
-    return this.replica.jobs.get(ref) ?? 'absent';
+    if (!(await this.deps.stateStore.ensureFresh())) return null;
+    return this.deps.replica.jobs.get(ref) ?? 'absent';
   }
 
   private jobBody({ spec, state }: StoredJob): object {
-    const progress = this.replica.progressOf(spec.ref);
+    const progress = this.deps.replica.progressOf(spec.ref);
     const running = state === 'open' ? (progress?.runningCount ?? 0) : 0;
     const done = state === 'done' ? spec.tasks : (progress?.doneCount ?? 0);
     const open: JobStatus = running > 0 ? 'running' : 'queued';
@@ -184,7 +194,7 @@
 
   private pipelineStanding({ ref, pipeline }: JobSpec): ({ ref: string } & PipelineJobStatus) | undefined {
     if (!pipeline) return undefined;
-    const members = (this.replica.pipelines.get(pipeline.ref) ?? []).map((j) => ({
+    const members = (this.deps.replica.pipelines.get(pipeline.ref) ?? []).map((j) => ({
       ...j,
       order: j.revision,
     }));
@@ -193,7 +203,7 @@
   }
 }
 
-/** Nothing that may still come changes it. */
+/** Whether the state of a job never changes any more. */
 function isTerminal({ state }: StoredJob): boolean {
   return state === 'done' || state === 'cancelled';
 }
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -49,7 +49,15 @@
       processIncarnation: 'a-1',
     },
   );
-  return new JobService(ledger, replica, batcher, clock, teams, types, new Metrics());
+  return new JobService({
+    stateStore: ledger,
+    replica,
+    batcher,
+    clock,
+    teams,
+    machineTypes: types,
+    metrics: new Metrics(),
+  });
 }
 
 /** The routes over a stand-in store; its time passes only while somebody waits for an answer. */
