--- a/test/cluster/combined-faults.test.ts
+++ b/test/cluster/combined-faults.test.ts
@@ -10,7 +10,7 @@
   type Fault,
 } from './faults';
 
-/** Two troubles at once, as the operators met them; each day plays its meeting twice. */
+/** Two faults at once, as the operators met them; each is injected twice a day. */
 const combinedFaults: Record<string, Fault> = {
   'transactions carried out late while leaders change': (cluster) => {
     cluster.network.delayOneWriteIn = 3;
--- a/test/cluster/machine-failures.test.ts
+++ b/test/cluster/machine-failures.test.ts
@@ -5,7 +5,7 @@
 
 const DAY_MS = 340_000;
 
-/** How machines that are rented during the trouble come up, `n` counting them. */
+/** By how much the machines provisioned during the fault boot late; `n` counts them. */
 const bootFactors: Record<string, (n: number) => number> = {
   'every second machine never comes up': (n) => (n % 2 === 0 ? Infinity : 1),
   'machines take eight times as long': () => 8,
--- a/test/cluster/overlapping-faults.test.ts
+++ b/test/cluster/overlapping-faults.test.ts
@@ -5,7 +5,7 @@
 
 const DAY_MS = 340_000;
 
-/** Troubles that meet, as the operators listed them; each is played twice a day. */
+/** Faults that overlap, as the operators listed them; each is injected twice a day. */
 const overlappingFaults: Record<string, Fault> = {
   'changes are made at once, their answers are lost, and others read them while users cancel': (cluster) => {
     cluster.network.loseOneResponseIn = 3;
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -6,9 +6,9 @@
   action: () => void;
 }
 
-/** What the stand-ins need of time, virtual or real. */
+/** What fakes need of time, virtual or real. */
 export interface SimulatedTime {
-  /** Milliseconds since the stand-ins began. */
+  /** Milliseconds since the start. */
   readonly now: number;
   /** Runs `action` at this moment; `cancel` takes it back. */
   at(ms: number, action: () => void): unknown;
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -17,7 +17,7 @@
 const BOOT_MS = 2000;
 const LIST_LAG_MS = 1000;
 
-/** Controllers as real processes on the loopback interface, with stand-ins for all else. */
+/** What a loopback cluster consists of. */
 export interface LoopbackOptions {
   controllers: number;
   machines: number;
@@ -38,7 +38,7 @@
   return ports;
 }
 
-/** A cluster of real controllers. */
+/** Controllers as real processes on the loopback interface, with fakes for all else. */
 export class LoopbackCluster {
   readonly cloud: FakeCloud;
   private readonly time = new RealTime();
@@ -56,7 +56,7 @@
     const hooks: FleetHooks = {
       ...options.hooks,
       leaseExpired: () => undefined,
-      deliver: (node, worker, report) => this.deliverHeartbeat(node, worker, report),
+      deliver: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex: (name) => Number(name.split('-')[1]),
       controllers: options.controllers,
       heartbeatIntervalMs: options.heartbeatIntervalMs,
@@ -120,11 +120,11 @@
     writeFileSync(config, JSON.stringify(this.settings(index)));
     const program = join(__dirname, '..', '..', 'src', 'main.js');
     const { features } = this.options;
-    const words = [program, ...(features === null ? [] : ['--features', features]), '--config', config];
+    const commandLine = [program, ...(features === null ? [] : ['--features', features]), '--config', config];
     const env = { ...process.env, LOG_LEVEL: 'error' };
     this.processes.set(
       index,
-      spawn(process.execPath, words, { env, stdio: ['ignore', 'ignore', 'inherit'] }),
+      spawn(process.execPath, commandLine, { env, stdio: ['ignore', 'ignore', 'inherit'] }),
     );
   }
 
@@ -150,12 +150,16 @@
     return `127.0.0.1:${this.port(index, 0)}`;
   }
 
-  private deliverHeartbeat(node: number, worker: FakeWorker, report: object): Promise<HttpResponse | null> {
+  private deliverHeartbeat(
+    index: number,
+    worker: FakeWorker,
+    heartbeat: object,
+  ): Promise<HttpResponse | null> {
     return sendRequest(
       this.agent(worker.name),
-      this.port(node, 0),
+      this.port(index, 0),
       '/hello',
-      report,
+      heartbeat,
       'POST',
       RESPONSE_TIMEOUT_MS,
     );
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -22,12 +22,12 @@
   checkpointed: (ref: string, index: number, ranMs: number) => void;
 }
 
-/** A worker at a partition's core, without a network between: what it is answered, it does at once. */
+/** A worker at a partition's core, without a network between: it carries out commands at once. */
 export class SimulatedWorker {
   readonly tasks = new Map<string, SimulatedTask>();
-  /** Its reports do not arrive. */
+  /** Its heartbeats do not arrive. */
   heartbeatsLost = false;
-  /** What it is answered does not arrive. */
+  /** Responses to its heartbeats do not arrive. */
   responsesLost = false;
   /** It is gone with all that is on it. */
   terminated = false;
