--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -52,7 +52,7 @@
     if (!quota.has(spec.team) || jobs.has(spec.ref)) return false;
     const unconfirmed = revision <= epoch;
     const deadlines = deadlinesOf(spec, objectives);
-    const job = new PartitionJob(spec, acceptedAt, deadlines, progress, unconfirmed, now);
+    const job = new PartitionJob({ spec, acceptedAt, deadlines, progress, unconfirmed, now });
     jobs.set(spec.ref, job);
     quota.invalidateReserved();
     this.pipelines.setMember(spec, 'open', revision);
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -3,7 +3,7 @@
 import { INITIAL_START_WATERMARK, type JobProgress, type JobState } from '../../protocol/records';
 import { type MachineState } from './machine';
 
-/** A job that failed on this many machines, most of those it was on, and never succeeded is taken to be at fault itself. */
+/** A job that failed on this many machines, most of those it was started on, and never succeeded is taken to be faulty. */
 const MIN_FAILED_MACHINE_COUNT = 3;
 const FAILED_MACHINE_RATIO = 0.8;
 const MAX_RETRY_PAUSE_MS = 30_000;
@@ -12,52 +12,71 @@
   Pending,
   InFlight,
   Done,
-  /** Done, and the store knows it. */
+  /** Done, and recorded in the state store. */
   Durable,
 }
 
-/** A job as its partition's owner sees it: where each task stands. */
+export interface PartitionJobOptions {
+  spec: JobSpec;
+  /** Wall-clock time in milliseconds. */
+  acceptedAt: number;
+  /** Seconds from acceptance, earliest first. */
+  deadlines: readonly number[];
+  /** Null: no progress has been written. */
+  progress: JobProgress | null;
+  /** Accepted before this owner took over: its tasks may be on unconfirmed machines. */
+  unconfirmed: boolean;
+  /** Steady time in milliseconds. */
+  now: number;
+}
+
+/** An open job as its partition's owner sees it: the state of each task, and when it may be started or retried. */
 export class PartitionJob {
+  readonly spec: JobSpec;
   readonly ref: string;
+  /** Wall-clock time in milliseconds. */
+  readonly acceptedAt: number;
+  /** Seconds from acceptance, earliest first. */
+  readonly deadlines: readonly number[];
+  /** Steady time in milliseconds at which this owner first saw the job. */
+  readonly firstSeenAt: number;
   state: JobState = 'open';
   private readonly tasks: Uint8Array;
+  /** Tasks that are neither in flight nor done. */
   pendingCount: number;
   doneCount = 0;
-  /** Where tasks that are out are in flight to be. */
+  /** Machines that tasks are in flight on, by the task's index. */
   readonly inFlight = new Map<number, MachineState>();
+  /** Machines that a task of it failed on. */
   readonly failedMachines = new Set<string>();
-  /** Machines that its tasks were started on, until the first one is done. */
+  /** Machines that its tasks were started on, until the first task is done. */
   private readonly triedMachines = new Set<string>();
+  /** Steady time before which a failed task is not retried, by the task's index. */
   private readonly retryNotBefore = new Map<number, number>();
   private readonly errorCounts = new Map<number, number>();
-  /** All of it pauses until then: it fails wherever it runs. */
+  /** Steady time until which no task is started, as the job fails everywhere. */
   private pausedUntil = 0;
   private pauseMs = 1000;
-  /** Tasks from here on may not be started yet: a later owner would take them to be nowhere. */
+  /** Tasks from this index on may not be started yet: a later owner would take them never to have been started. */
   startWatermark: number;
-  /** Tasks before this one wait until all machines are confirmed: an earlier owner may have started them. */
+  /** Tasks below this index wait until all machines are confirmed: an earlier owner may have started them. */
   readonly unconfirmedBelow: number;
-  /** How many of those are neither done nor on a machine that we know of. */
+  /** How many tasks below `unconfirmedBelow` are pending. */
   unconfirmedCount = 0;
   private readonly initialWatermark: number;
-  /** No waiting task has a smaller number. */
+  /** No pending task has a smaller index. */
   private firstPending = 0;
-  /** Urgency that it is placed with. */
+  /** Priority that it is placed with, after deadlines and waiting time. */
   effectivePriority: number;
-  /** Its pipeline does not let it begin, or go on. */
+  /** Its pipeline does not let its tasks start. */
   heldByPipeline = false;
 
-  constructor(
-    readonly spec: JobSpec,
-    readonly acceptedAt: number,
-    readonly deadlines: readonly number[],
-    progress: JobProgress | null,
-    /** Accepted before this owner took over: its tasks may be on unconfirmed machines. */
-    unconfirmed: boolean,
-    /** When this owner first saw it. */
-    readonly firstSeenAt: number,
-  ) {
+  constructor({ spec, acceptedAt, deadlines, progress, unconfirmed, now }: PartitionJobOptions) {
+    this.spec = spec;
     this.ref = spec.ref;
+    this.acceptedAt = acceptedAt;
+    this.deadlines = deadlines;
+    this.firstSeenAt = now;
     this.effectivePriority = spec.priority;
     this.tasks = new Uint8Array(spec.tasks);
     for (const [from, to] of decodeRanges(progress?.doneRanges ?? '')) {
@@ -65,21 +84,21 @@
     }
     for (const state of this.tasks) if (state === TaskState.Durable) this.doneCount++;
     this.pendingCount = spec.tasks - this.doneCount;
-    // Of a job that may not be run again it must be known whether it was begun: nothing starts before that is kept.
+    // Of a job that runs at most once it must be known whether it was started, so that is recorded before the first start.
     this.initialWatermark = Math.min(spec.tasks, this.runsAtMostOnce ? 0 : INITIAL_START_WATERMARK);
     this.startWatermark = progress?.startWatermark ?? this.initialWatermark;
-    // Where its tasks may be matters to all of them if they must be together or apart.
+    // If zones bind its tasks to each other, none may be placed while one may be anywhere.
     const bound = spec.singleZone || spec.spreadZones;
     this.unconfirmedBelow = unconfirmed ? (bound ? spec.tasks : this.startWatermark) : 0;
     for (let i = 0; i < this.unconfirmedBelow; i++) if (this.isPending(i)) this.unconfirmedCount++;
   }
 
-  /** Its tasks may not be run a second time. */
+  /** Its tasks must not be run a second time. */
   get runsAtMostOnce(): boolean {
     return this.spec.pipeline?.reExecutable === false;
   }
 
-  /** Tasks that an earlier owner may have started are neither done nor anywhere. */
+  /** Whether a task that an earlier owner may have started is neither done nor in flight. */
   get hasInterruptedTasks(): boolean {
     for (let i = 0; i < Math.min(this.unconfirmedBelow, this.startWatermark); i++)
       if (this.tasks[i] === TaskState.Pending) return true;
@@ -87,8 +106,8 @@
   }
 
   /**
-   * Submitted with a mistake, as far as can be told: it failed nearly wherever it was started, and nothing of it was ever
-   * done. One whose long tasks run on in most places has merely met machines that fail.
+   * Whether the job itself seems faulty: it failed on nearly every machine it was started on, and no task was ever done. A job
+   * whose long tasks keep running on most machines has merely met failing machines.
    */
   get failsEverywhere(): boolean {
     const { size } = this.failedMachines;
@@ -100,21 +119,21 @@
   }
 
   /**
-   * How many of its tasks may be out at once. One that is at fault is tried with a single task now and then, until its user
-   * cancels it: it holds no room, and crowds nobody out.
+   * How many of its tasks may be in flight at once. A job that fails everywhere is tried with a single task now and then, until its
+   * user cancels it, so that it takes no resources from others.
    */
   maxInFlight(now: number): number {
     if (!this.failsEverywhere) return Number.POSITIVE_INFINITY;
     return now < this.pausedUntil ? 0 : Math.max(0, 1 - this.inFlight.size);
   }
 
-  /** It failed once more though it is at fault: the next try is later. */
+  /** The job has failed everywhere once more: the next attempt is later. */
   backOff(now: number): void {
     this.pausedUntil = now + this.pauseMs;
     this.pauseMs = Math.min(MAX_RETRY_PAUSE_MS, this.pauseMs * 2);
   }
 
-  /** How much of what its team's limit allows at once has begun. */
+  /** Tasks started, as a ratio of those that its team's limit in CPUs allows at once. */
   startedRatio(limitCpus: number): number {
     const most = Math.min(
       this.spec.tasks,
