--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -2,6 +2,7 @@
 import { decodeRanges, encodeRanges } from '../../protocol/task-ranges';
 import { INITIAL_START_WATERMARK, type JobProgress, type JobState } from '../../protocol/records';
 import { type MachineState } from './machine';
+import { MIN_TASK_CPUS } from './resources';
 
 /** A job that failed on this many machines, most of those it was started on, and never succeeded is taken to be faulty. */
 const MIN_FAILED_MACHINE_COUNT = 3;
@@ -135,13 +136,14 @@
 
   /** Tasks started, as a ratio of those that its team's limit in CPUs allows at once. */
   startedRatio(limitCpus: number): number {
-    const most = Math.min(
+    const maxStarted = Math.min(
       this.spec.tasks,
-      Math.max(1, Math.floor(limitCpus / Math.max(this.spec.cpus, 0.01))),
+      Math.max(1, Math.floor(limitCpus / Math.max(this.spec.cpus, MIN_TASK_CPUS))),
     );
-    return (this.doneCount + this.inFlight.size) / most;
+    return (this.doneCount + this.inFlight.size) / maxStarted;
   }
 
+  /** Whether all tasks are done. */
   get finished(): boolean {
     return this.doneCount === this.tasks.length;
   }
@@ -158,11 +160,12 @@
     return (this.tasks[index] ?? TaskState.Pending) >= TaskState.Done;
   }
 
+  /** Whether the state store has it that the task is done. */
   isDurable(index: number): boolean {
     return this.tasks[index] === TaskState.Durable;
   }
 
-  /** The store has this progress. */
+  /** The state store has this progress. */
   markProgressWritten({ doneRanges, startWatermark }: JobProgress): void {
     this.startWatermark = Math.max(this.startWatermark, startWatermark);
     for (const [from, to] of decodeRanges(doneRanges)) this.tasks.fill(TaskState.Durable, from, to + 1);
@@ -176,6 +179,7 @@
     if (this.doneCount === 0) this.triedMachines.add(machine.id);
   }
 
+  /** The task is not in flight any more; unless it is done, it is pending again. */
   requeue(index: number): void {
     this.inFlight.delete(index);
     if (this.tasks[index] !== TaskState.InFlight) return;
@@ -190,7 +194,7 @@
     if (index < this.unconfirmedBelow) this.unconfirmedCount--;
   }
 
-  /** Done is done, whichever attempt it was. */
+  /** The task is done, whichever attempt of it succeeded. */
   markDone(index: number): void {
     if (this.isPending(index)) this.leavePending(index);
     this.tasks[index] = TaskState.Done;
@@ -200,31 +204,32 @@
     this.errorCounts.delete(index);
   }
 
-  /** Notes a failure and returns how many this task has had. */
+  /** Counts a failure of the task; returns how many it has had. */
   countFailure(index: number): number {
     const errors = (this.errorCounts.get(index) ?? 0) + 1;
     this.errorCounts.set(index, errors);
     return errors;
   }
 
+  /** Does not start the task before this steady time. */
   delayRetry(index: number, until: number): void {
     this.retryNotBefore.set(index, until);
   }
 
-  /** It need not wait any longer. */
+  /** The task may be started at once. */
   clearRetryDelay(index: number): void {
     this.retryNotBefore.delete(index);
   }
 
   /**
-   * How many wait that may be started. Until all machines are confirmed that is what no earlier owner may have started;
-   * to look for it among hundreds that may have been, at each of hundreds of first reports, costs what these need most.
+   * How many pending tasks may be started. Until all machines are confirmed these are the ones that no earlier owner may have
+   * started. Kept as counts: searched for at each first heartbeat after a failover, they would delay the answers.
    */
   startableCount(allConfirmed: boolean): number {
     return allConfirmed ? this.pendingCount : this.pendingCount - this.unconfirmedCount;
   }
 
-  /** The first task that may be started. */
+  /** Index from which tasks may be started. */
   private firstStartable(allConfirmed: boolean): number {
     return allConfirmed ? this.firstPending : Math.max(this.firstPending, this.unconfirmedBelow);
   }
@@ -244,14 +249,14 @@
   }
 
   /**
-   * Whether the store must know anything of it yet. Once its start watermark was raised it must, for good: left out of a value
-   * that was written anew, it would count as never begun for an owner that has read the store only since.
+   * Whether there is progress to record. Once the start watermark was raised it stays recorded: without it a later owner would take
+   * the job never to have been started.
    */
   get hasProgress(): boolean {
     return this.startWatermark > this.initialWatermark || this.doneCount > 0 || this.inFlight.size > 0;
   }
 
-  /** The smallest start watermark that lets `n` more waiting tasks start; tasks that wait for machines to be confirmed do not count. */
+  /** The smallest start watermark that lets `n` more pending tasks start; tasks that wait for confirmation do not count. */
   watermarkToStart(n: number, allConfirmed: boolean): number {
     let left = n;
     let i = this.firstStartable(allConfirmed);
@@ -259,6 +264,7 @@
     return i;
   }
 
+  /** Progress to be recorded; the list of finished tasks takes at most `maxLength` bytes, and may be cut short for it. */
   progress(maxLength: number): JobProgress {
     const doneRanges = encodeRanges(this.tasks, (s) => s >= TaskState.Done, maxLength);
     return {
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -14,9 +14,9 @@
 }
 
 /**
- * How many of its deadlines a job has missed for certain, `runS` being the least that it still needs. A job that
- * can be in time no more goes behind those that can. One that has been late for as long again as its last due
- * goes before them: nobody is forgotten for good.
+ * How many of its deadlines a job has missed for certain, `remainingS` being the least that it still needs. A job
+ * that cannot meet its deadlines is scheduled after those that can. One that is late by the length of its last deadline counts as
+ * having missed none, so that it does not starve.
  */
 export function missedDeadlineCount(deadlines: readonly number[], ageS: number, remainingS: number): number {
   const last = deadlines[deadlines.length - 1];
@@ -25,8 +25,8 @@
 }
 
 /**
- * The urgency that a job is placed with: one step up once half of the time to its first due is gone while it can
- * still be met. Waiting behind everything more urgent until it is too late helps nobody.
+ * A job's priority raised one step once half of the time to its first deadline has passed, as long as the deadline can be met:
+ * behind all jobs of a higher priority it would be late.
  */
 export function deadlinePriority(
   spec: JobSpec,
@@ -39,27 +39,27 @@
   return ageS > deadlineS / 2 && ageS + remainingS <= deadlineS ? spec.priority - 1 : spec.priority;
 }
 
-/** The urgency that a job goes up to of which nothing has begun for too long: nothing but `prod` goes before it. */
+/** Priority of a job that exceeds the maximal wait: only the most urgent jobs go before it. */
 const AGED_PRIORITY = 1;
-/** The urgency that work goes up to which its team is owed: it waits behind urgent work, not behind normal one. */
+/** Priority of a job within its team's guarantee that has waited: it goes before jobs of normal priority. */
 const AGED_GUARANTEED_PRIORITY = 2;
-/** A job of which nothing has begun for so long goes first, however large, late or idle it is. */
+/** A job must have started a task by this time, however large or late it is. */
 export const MAX_WAIT_TO_START_S = 150;
 /** A single task of hundreds is no start: by this time half of what the quota allows at once must have started. */
 const MAX_WAIT_TO_HALF_STARTED_S = 210;
-/** Work within its team's guarantee goes up once this share of the time in which it is to begin is over. */
+/** A job within its team's guarantee is raised after this share of the time in which it is to start. */
 const GUARANTEE_WAIT_RATIO = 0.3;
 const DEFAULT_GUARANTEE_S = 60;
 
 export interface WaitState {
   ageS: number;
-  /** How much of what its team's limit allows at once has begun. */
+  /** Tasks started, as a ratio of those that its team's limit allows at once. */
   startedRatio: number;
   /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee: boolean;
 }
 
-/** Whether a job has waited so long that it goes up: nobody starves, and a guarantee counts for more than urgency. */
+/** A job's priority raised by its waiting time, so that no job starves and teams get what they are guaranteed. */
 export function agedPriority(
   priority: number,
   waitState: WaitState,
@@ -71,6 +71,7 @@
   return guaranteeDue ? Math.min(priority, AGED_GUARANTEED_PRIORITY) : priority;
 }
 
+/** Whether a job has waited longer than any may, to start its first task or half of its tasks. */
 export function exceedsMaxWait({ ageS, startedRatio }: WaitState): boolean {
   return startedRatio === 0
     ? ageS > MAX_WAIT_TO_START_S
@@ -79,7 +80,7 @@
 
 const MIN_SAMPLE_COUNT = 10;
 
-/** Corrects the owners' estimates of a class by what its tasks really took. */
+/** Corrects the estimated run time of tasks by what tasks of the same workload took. */
 export class RuntimeEstimates {
   private readonly samplesByWorkload = new Map<string, { expected: number; actual: number; tasks: number }>();
 
--- a/src/coordination/partition/resources.ts
+++ b/src/coordination/partition/resources.ts
@@ -7,6 +7,8 @@
   memoryGb: number;
 }
 
+/** A task is taken to need at least this much where CPUs are divided by it. */
+export const MIN_TASK_CPUS = 0.01;
 /** Allows for rounding when fractions of a CPU are added and subtracted. */
 const EPSILON = 1e-9;
 
--- a/src/coordination/partition/scheduling-order.ts
+++ b/src/coordination/partition/scheduling-order.ts
@@ -8,9 +8,10 @@
   type RuntimeEstimates,
 } from './priority';
 
+/** A job steps back by this many times what it would take all machines, and by no more than the maximum. */
 const SIZE_PENALTY_RATIO = 4;
 const MAX_SIZE_PENALTY_S = 90;
-/** Estimates err by half: a job is given up on for a due only if this share of it would be too long. */
+/** Estimates err by half: a deadline counts as missed only if this share of the run time would exceed it. */
 const MIN_RUNTIME_RATIO = 0.6;
 
 export interface SchedulingContext {
@@ -23,7 +24,7 @@
   wallClockMs: number;
 }
 
-/** A partition's open jobs in the order in which they get room; notes with each the urgency that it is placed with. */
+/** A partition's open jobs in the order in which they are offered resources; sets the effective priority of each. */
 export function schedulingOrder(jobs: readonly PartitionJob[], context: SchedulingContext): PartitionJob[] {
   const guaranteed = jobsWithinGuarantee(jobs, context.teams);
   const sortKeys = new Map<PartitionJob, { late: number; turn: number }>();
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -1,10 +1,9 @@
 import { type JobProgress } from '../../protocol/records';
 import { type PartitionState } from './partition-state';
+import { MIN_TASK_CPUS } from './resources';
 
 /** Start watermarks are raised ahead of what can start now by this share of the partition's capacity. */
 const WATERMARK_AHEAD_RATIO = 0.5;
-/** A task counts for at least so many CPUs. */
-const MIN_TASK_CPUS = 0.01;
 
 /** Progress of open jobs as it is to be written. */
 export interface ProgressToWrite {
--- a/src/coordination/partition/task-observer.ts
+++ b/src/coordination/partition/task-observer.ts
@@ -3,22 +3,22 @@
 import { type MachineState } from './machine';
 import { type PlacementSpreader } from './task-placement';
 
-/** Told by a partition of what becomes of tasks, so that they can be moved. Absent where nothing is to be moved. */
+/** Observes what becomes of the tasks of a partition, so that tasks can be moved between machines. */
 export interface TaskObserver {
   readonly spreader: PlacementSpreader | null;
-  /** A task that was in flight is surely not on any machine that we know of any more, and waits. */
+  /** A task that was in flight is on no machine any more, and is pending again. */
   taskRequeued(ref: string, index: number, now: number): void;
   /** A task is done. */
   taskDone(ref: string, index: number, now: number): void;
-  /** A task ended in any other way than it was told to. */
+  /** A task exited neither done nor stopped on command. */
   taskFailed(ref: string, index: number, now: number): void;
-  /** A task took so long. */
+  /** A task that never saves checkpoints was done after this many seconds. */
   taskRan(spec: JobSpec, seconds: number): void;
-  /** A job is over. */
+  /** A job has a terminal state in the state store. */
   jobClosed(ref: string, now: number): void;
-  /** A machine is gone, or takes nothing any more. */
+  /** A machine is gone. */
   machineRemoved(id: string, now: number): void;
-  /** A machine is being answered: what room is held for there is started before anything else. */
+  /** A heartbeat is being answered: tasks that resources are reserved for are started before any other. */
   answeringHeartbeat(machine: MachineState, commands: Command[], now: number): void;
   tick(now: number): void;
 }
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -4,7 +4,13 @@
 import { taskKey, type InFlightTask } from './in-flight-task';
 import { type MachineState } from './machine';
 import { allowsMachine, remainingInZone } from './placement';
-import { countFitting, countWithinQuota, subtractResources, type Resources } from './resources';
+import {
+  countFitting,
+  countWithinQuota,
+  MIN_TASK_CPUS,
+  subtractResources,
+  type Resources,
+} from './resources';
 import { type TeamQuota } from './team-quota';
 
 /** Failures without a success between them after which a machine is quarantined. */
@@ -15,8 +21,6 @@
 /** Heartbeat intervals, and a margin, after which a machine that sends no heartbeat is given no task. */
 const MAX_HEARTBEAT_AGE_RATIO = 1.5;
 const HEARTBEAT_AGE_MARGIN_MS = 1000;
-/** A task counts for at least so many CPUs. */
-const MIN_TASK_CPUS = 0.01;
 
 /** What placement needs to know of a partition. */
 export interface PlacementHost {
