--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -26,63 +26,98 @@
 }
 
 /**
- * What the typed edges of one pipeline say, given how its jobs stand and which of them were interrupted and cannot
- * go on. Pure, and from scratch each time: nothing but what the store holds decides, so every owner and every
- * controller comes to the same view, whatever was lost between.
+ * Evaluates the typed edges of one pipeline, given the states of its jobs and which of them were interrupted and cannot go on. It is
+ * pure and starts anew each time: only what the state store holds decides, so every owner and every controller comes to the same
+ * result, whatever was lost in between.
  */
 export function evaluatePipeline(
   members: readonly PipelineMember[],
   interrupted: ReadonlySet<string>,
 ): PipelineSnapshot {
-  const jobs = [...members].sort((a, b) => a.order - b.order || (a.spec.ref < b.spec.ref ? -1 : 1));
-  const index = new Map(jobs.map((j, i) => [j.spec.ref, i]));
-  const edges = edgesOf(jobs, index);
-  const nodes = jobs.map(({ spec, state }): PipelineNode => ({
-    state: interrupted.has(spec.ref) && state === 'open' ? 'interrupted' : nodeState[state],
-    reExecutable: spec.pipeline?.reExecutable ?? true,
-    inputsRecorded: true,
-    alternates: jobs.flatMap((j, i) => (j.spec.pipeline?.alternateFor === spec.ref ? [i] : [])),
-  }));
-  // Failures that are on record are passed on again: their effects may not all have been written.
-  const terminated = new Map<number, TerminalState>();
-  const released = new Set<number>();
-  let failed = false;
-  const applyResult = (result: RecoveryResult): void => {
-    for (const i of result.fail) terminated.set(i, 'failed');
-    for (const i of result.cancel) terminated.set(i, 'dropped');
-    for (const i of result.release) released.add(i);
-    failed ||= result.pipelineFailed;
-    for (const [i, end] of terminated)
-      if (nodes[i]) nodes[i].state = end === 'failed' ? 'failed' : 'cancelled';
-  };
-  jobs.forEach(({ state }, i) => {
-    if (state !== 'open' && state !== 'done') applyResult(failJob(nodes, edges, i));
-  });
-  // What stands in for a failed job begins once the failure is on record: a later owner could not tell it again.
-  const begun = new Set(released);
-  applyResult(recoveryPass(nodes, edges, [...nodes.keys()]));
-  const ready = new Set<string>();
-  const terminalStates = new Map<string, TerminalState>();
-  const standing = new Map<string, PipelineJobStatus>();
-  const hasFallback = (i: number): boolean =>
-    edges.some((e) => e.from === i && e.kind === 'force_begin_on_abort') ||
-    (nodes[i]?.alternates.length ?? 0) > 0;
-  // A failure that a fallback or alternate answers is not the pipeline's; one that nothing answers is.
-  const hasFailed = (state: JobState, i: number): boolean =>
-    state === 'open' ? terminated.get(i) === 'failed' : state === 'failed' || state === 'cancelled';
-  failed ||= jobs.some(({ state }, i) => hasFailed(state, i) && !hasFallback(i));
-  jobs.forEach(({ spec, state }, i) => {
-    const end = state === 'open' ? terminated.get(i) : undefined;
-    if (end) terminalStates.set(spec.ref, end);
-    const may = state === 'open' && !end && mayBegin(nodes, edges, i, begun);
-    if (may) ready.add(spec.ref);
-    standing.set(spec.ref, {
-      state: end ?? (state === 'open' ? (may ? 'ready' : idleState(i, jobs, nodes, edges, released)) : state),
-      because: may || state === 'done' ? null : blockingJob(i, jobs, nodes, edges),
-      failed,
+  return new PipelineEvaluation(members, interrupted).snapshot();
+}
+
+/** The jobs of a pipeline as a graph; a job is given by its index in order of acceptance. */
+class PipelineEvaluation {
+  private readonly jobs: readonly PipelineMember[];
+  private readonly edges: readonly Edge[];
+  private readonly nodes: readonly PipelineNode[];
+  /** Open jobs that the evaluation terminates. */
+  private readonly terminated = new Map<number, TerminalState>();
+  /** Fallbacks and alternates that are to run. */
+  private readonly released = new Set<number>();
+  private pipelineFailed = false;
+
+  constructor(members: readonly PipelineMember[], interrupted: ReadonlySet<string>) {
+    const jobs = [...members].sort((a, b) => a.order - b.order || (a.spec.ref < b.spec.ref ? -1 : 1));
+    this.jobs = jobs;
+    this.edges = edgesOf(jobs, new Map(jobs.map((job, i) => [job.spec.ref, i])));
+    this.nodes = jobs.map(({ spec, state }): PipelineNode => ({
+      state: interrupted.has(spec.ref) && state === 'open' ? 'interrupted' : nodeState[state],
+      reExecutable: spec.pipeline?.reExecutable ?? true,
+      inputsRecorded: true,
+      alternates: jobs.flatMap((job, i) => (job.spec.pipeline?.alternateFor === spec.ref ? [i] : [])),
+    }));
+  }
+
+  snapshot(): PipelineSnapshot {
+    this.applyRecordedFailures();
+    // A fallback starts only once the failure that releases it is recorded: a later owner could not tell that failure anew.
+    const startable = new Set(this.released);
+    this.applyResult(recoveryPass(this.nodes, this.edges, [...this.nodes.keys()]));
+    this.pipelineFailed ||= this.jobs.some((_, i) => this.hasFailed(i) && !this.hasFallback(i));
+    const snapshot: PipelineSnapshot = { ready: new Set(), terminalStates: new Map(), standing: new Map() };
+    for (const i of this.jobs.keys()) this.addJob(i, startable, snapshot);
+    return snapshot;
+  }
+
+  /** Recorded failures are propagated again: not all of their effects may have been recorded. */
+  private applyRecordedFailures(): void {
+    this.jobs.forEach(({ state }, i) => {
+      if (state !== 'open' && state !== 'done') this.applyResult(failJob(this.nodes, this.edges, i));
     });
-  });
-  return { ready, terminalStates, standing };
+  }
+
+  private applyResult(result: RecoveryResult): void {
+    for (const i of result.fail) this.terminated.set(i, 'failed');
+    for (const i of result.cancel) this.terminated.set(i, 'dropped');
+    for (const i of result.release) this.released.add(i);
+    this.pipelineFailed ||= result.pipelineFailed;
+    for (const [i, terminalState] of this.terminated) {
+      const node = this.nodes[i];
+      if (node) node.state = terminalState === 'failed' ? 'failed' : 'cancelled';
+    }
+  }
+
+  private hasFailed(i: number): boolean {
+    const state = this.jobs[i]?.state;
+    if (state === 'open') return this.terminated.get(i) === 'failed';
+    return state === 'failed' || state === 'cancelled';
+  }
+
+  /** Whether a fallback or alternate answers the job's failure; one that nothing answers is the pipeline's. */
+  private hasFallback(i: number): boolean {
+    const hasFallbackEdge = this.edges.some((e) => e.from === i && e.kind === 'force_begin_on_abort');
+    return hasFallbackEdge || (this.nodes[i]?.alternates.length ?? 0) > 0;
+  }
+
+  private addJob(i: number, startable: ReadonlySet<number>, snapshot: PipelineSnapshot): void {
+    const { jobs, nodes, edges, released } = this;
+    const job = jobs[i];
+    if (!job) return;
+    const { spec, state } = job;
+    const terminalState = state === 'open' ? this.terminated.get(i) : undefined;
+    if (terminalState) snapshot.terminalStates.set(spec.ref, terminalState);
+    const ready = state === 'open' && !terminalState && mayBegin(nodes, edges, i, startable);
+    if (ready) snapshot.ready.add(spec.ref);
+    const openState = (): PipelineJobStatus['state'] =>
+      ready ? 'ready' : idleState(i, jobs, nodes, edges, released);
+    snapshot.standing.set(spec.ref, {
+      state: terminalState ?? (state === 'open' ? openState() : state),
+      because: ready || state === 'done' ? null : blockingJob(i, jobs, nodes, edges),
+      failed: this.pipelineFailed,
+    });
+  }
 }
 
 const nodeState = {
