--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -1,8 +1,9 @@
+/** The commands for users: each sends one request to a controller, again and again until it gets a final response. */
 import { readFileSync } from 'node:fs';
 import { type HttpResponse, HttpClient } from '../transport/http-client';
 import { JOB_REF_PATTERN } from '../protocol/jobs';
 
-/** How the commands for people end. */
+/** Exit codes of the commands for users and operators. */
 export const EXIT_CODES = { ok: 0, refused: 1, usage: 2, unreachable: 3 } as const;
 
 export interface ClientOptions {
@@ -10,7 +11,7 @@
   json: boolean;
 }
 
-/** Where a command for people writes. */
+/** Where a command writes its lines. */
 export interface Output {
   out: (line: string) => void;
   err: (line: string) => void;
@@ -20,7 +21,15 @@
 const MAX_ATTEMPT_COUNT = 5;
 const RETRY_DELAY_MS = 1000;
 
-class UsageError extends Error {}
+/** A command line that cannot be carried out; its message names the word that is wrong. */
+class UsageError extends Error {
+  readonly code = 'ERR_USAGE';
+
+  constructor(message: string, options?: ErrorOptions) {
+    super(message, options);
+    this.name = 'UsageError';
+  }
+}
 
 interface JobResponse {
   ref?: string;
@@ -38,7 +47,7 @@
     try {
       job = JSON.parse(readFileSync(file === '-' ? 0 : file, 'utf8'));
     } catch (error) {
-      throw new UsageError(`${file}: ${(error as Error).message}`);
+      throw new UsageError(`${file}: ${(error as Error).message}`, { cause: error });
     }
     return requestJob('POST', '/v2/runs', job, options, output);
   });
--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,10 +1,9 @@
 import { Command } from 'commander';
 import { balance } from './balance-command';
-import { cancel, status, submit, type ClientOptions } from './client';
+import { cancel, EXIT_CODES, status, submit, type ClientOptions } from './client';
 import { readFeatures, readSettings, startService, VERSION, type ServiceOptions } from '../startup/service';
 import { exitWithError } from '../startup/settings-files';
 
-const USAGE_EXIT_CODE = 2;
 const DEFAULT_SERVER = '127.0.0.1:8080';
 
 async function checkFiles(options: ServiceOptions): Promise<void> {
@@ -28,7 +27,7 @@
   const program = new Command('heathbridge')
     .description('A cluster scheduler for pipelines of jobs. Without a command it serves.')
     .version(VERSION)
-    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : USAGE_EXIT_CODE));
+    .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_CODES.usage));
   const withServiceOptions = (command: Command): Command =>
     command
       .requiredOption('--config <file>', "the platform's settings (JSON)")
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -5,9 +5,10 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
 import { Command } from 'commander';
-import { playBalanceDay, type BalanceDayResult } from '../../test/standin/balance-day';
+import { playBalanceDay } from '../../test/standin/balance-day';
 import { planningCosts } from './planning-cost';
 import { renderReport } from './report';
+import { VARIANTS, type VariantDays } from './variants';
 
 interface Options {
   seeds: string;
@@ -16,24 +17,6 @@
   out: string;
 }
 
-/** A way of running the service that is compared. */
-export interface Variant {
-  name: string;
-  balancing: object | null;
-}
-
-/** The days of one variant, one a seed. */
-export interface VariantDays {
-  variant: Variant;
-  days: BalanceDayResult[];
-}
-
-const VARIANTS: Variant[] = [
-  { name: 'off', balancing: null },
-  { name: 'on, packed', balancing: {} },
-  { name: 'on, even', balancing: { placement: 'even' } },
-];
-
 async function run({ seeds, machines, minutes, out }: Options): Promise<void> {
   const compared: VariantDays[] = VARIANTS.map((variant) => ({ variant, days: [] }));
   for (let seed = 1; seed <= Number(seeds); seed++) {
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -1,7 +1,7 @@
 import * as echarts from 'echarts';
 import { quantile, type BalanceDayResult } from '../../test/standin/balance-day';
-import { type VariantDays } from './main';
 import { type PlanningCost } from './planning-cost';
+import { type VariantDays } from './variants';
 
 /** A report, and its figures as lines of text. */
 export interface Report {
