--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -1,3 +1,4 @@
+/** Puts a controller on the network: the port for users and workers, the port for peers, and links to them. */
 import type { Server } from 'node:http';
 import { type Clock } from '../../transport/clock';
 import { MAX_PENDING_CONNECTIONS, servePlainRequests } from '../../transport/request-server';
@@ -20,14 +21,17 @@
 const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 const RANDOM_SUFFIX_RANGE = 2 ** 40;
 
-/** Puts a controller on the network. */
-export function serve(
-  settings: Settings,
-  policy: Policy,
-  clock: Clock,
-  log: Log,
-  balancing: Balancing | null,
-): void {
+export interface ControllerServerOptions {
+  settings: Settings;
+  policy: Policy;
+  clock: Clock;
+  log: Log;
+  /** Null: load is not balanced beyond what placement and planning do. */
+  balancing: Balancing | null;
+}
+
+/** Starts a controller and its servers, for as long as the process lives. A port that is taken is logged as an error. */
+export function serve({ settings, policy, clock, log, balancing }: ControllerServerOptions): void {
   const peerLinks = new Map<string, PeerLink>();
   const controller = new Controller(settings, policy, clock, log, {
     storeTransport: new HttpClient(settings.stateStoreAddress, STORE_CONNECTION_COUNT),
@@ -69,7 +73,7 @@
   controller.start();
 }
 
-/** Express and the HTTP server below it: loaded when the first request comes that is not plain, for that takes a while. */
+/** Express and the HTTP server below it: loaded on the first request that is not plain, for loading delays a start. */
 async function loadExpressServer(dependencies: ApiDependencies): Promise<Server> {
   const [{ createServer }, { createExpressApp }] = await Promise.all([
     import('node:http'),
@@ -86,7 +90,7 @@
   return () => (result ??= make());
 }
 
-/** A name that no other life of any controller has: by the time of day, and chance should two begin in the same moment. */
+/** A name that no other process of any controller ever has: by the time of day, and by chance if two start in the same moment. */
 function createProcessIncarnation(member: string, clock: Clock): string {
   const randomSuffix = Math.floor(Math.random() * RANDOM_SUFFIX_RANGE).toString(36);
   return `${member}-${clock.wallClock().getTime().toString(36)}${randomSuffix}`;
--- a/src/startup/service.ts
+++ b/src/startup/service.ts
@@ -52,5 +52,5 @@
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
   const teams = settings.teams.map((t) => `${t.name} ${t.guaranteed.cpus}/${t.limit.cpus}`).join(', ');
   log.info({ version: VERSION, teams }, 'starting');
-  serve(settings, policy, systemClock, log, features.balancing);
+  serve({ settings, policy, clock: systemClock, log, balancing: features.balancing });
 }
