--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -90,6 +90,14 @@
   { selector: ['variable', 'parameter'], modifiers: ['destructured'], format: null },
 ];
 
+// Themed names of the users' protocol and of older stored values: the codecs of src/protocol map them, once.
+const WIRE_NAMES =
+  '/^(velodromes?|baton|permit|yards?|loaners|recall_s|pieces?|dispatcher|wind_down_s|how_many|hire_order|ledger_rev)$/';
+const wireNamesAreMapped = ['Identifier[name=', 'Literal[value='].map((selector) => ({
+  selector: `${selector}${WIRE_NAMES}]`,
+  message: 'names of the wire stand in src/protocol alone',
+}));
+
 export default tseslint.config(
   { ignores: ['target/**', 'target-test/**', 'node_modules/**', 'packages/*/index.js'] },
   js.configs.recommended,
@@ -120,6 +128,11 @@
     ],
     rules: { '@typescript-eslint/naming-convention': ['error', ...serializedNaming] },
   },
+  {
+    files: ['src/**/*.ts', 'packages/*/src/**/*.ts'],
+    ignores: ['src/protocol/**'],
+    rules: { 'no-restricted-syntax': ['error', ...wireNamesAreMapped] },
+  },
   {
     files: ['src/**/*.ts', 'packages/*/src/**/*.ts', 'tools/**/*.ts'],
     rules: {
--- a/src/coordination/leader/machine-record-writer.ts
+++ b/src/coordination/leader/machine-record-writer.ts
@@ -1,5 +1,5 @@
 import { type Clock } from '../../transport/clock';
-import { mayBeRepeated } from '../../storage/fleets';
+import { mayBeRepeated } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
 import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -1,6 +1,6 @@
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
-import { planFleetEdit } from '../../storage/fleets';
+import { planFleetEdit } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
 import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -1,4 +1,4 @@
-import { planFleetEdit, type FleetLimits } from '../../storage/fleets';
+import { planFleetEdit, type FleetLimits } from '../../storage/fleet-edit';
 import { RequestPriority } from '../../storage/request-queue';
 import { type MachineRecord } from '../../protocol/records';
 import { type Condition, type Write } from '../../protocol/store';
--- a/src/coordination/partition/progress-writer.ts
+++ b/src/coordination/partition/progress-writer.ts
@@ -1,4 +1,4 @@
-import { ProgressSlots } from '../../storage/progress';
+import { ProgressSlots } from '../../storage/progress-slots';
 import { RequestPriority } from '../../storage/request-queue';
 import { encodeProgress, type JobProgress } from '../../protocol/records';
 import { keys } from '../../protocol/keys';
--- a/test/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { balancerSettingsSchema, type BalancerSettings } from '@heathbridge/load-balancer';
-import { PartitionCore } from '../src/coordination/partition/partition-core';
-import { TaskMoves } from '../src/coordination/balancing/task-moves';
-import { type MachineType } from '../src/protocol/cloud';
-import { type JobSpec } from '../src/protocol/jobs';
-import { type MachineRecord } from '../src/protocol/records';
-import { type Heartbeat } from '../src/protocol/workers';
-import { SimulatedWorker } from './standin/sim-worker';
+import { PartitionCore } from '../../src/coordination/partition/partition-core';
+import { TaskMoves } from '../../src/coordination/balancing/task-moves';
+import { type MachineType } from '../../src/protocol/cloud';
+import { type JobSpec } from '../../src/protocol/jobs';
+import { type MachineRecord } from '../../src/protocol/records';
+import { type Heartbeat } from '../../src/protocol/workers';
+import { SimulatedWorker } from '../standin/sim-worker';
 
 const type: MachineType = {
   ...{ name: 'small', cpus: 4, accelerators: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1 },
--- a/test/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { PartitionCore } from '../src/coordination/partition/partition-core';
-import { PartitionActor } from '../src/coordination/partition/partition-actor';
-import { type HttpResponse } from '../src/transport/http-client';
-import { keys } from '../src/protocol/keys';
-import { ReplicaView } from '../src/storage/replica-view';
-import { StateStoreClient } from '../src/storage/state-store-client';
-import { settle, VirtualTime } from './standin/clock';
+import { PartitionCore } from '../../src/coordination/partition/partition-core';
+import { PartitionActor } from '../../src/coordination/partition/partition-actor';
+import { type HttpResponse } from '../../src/transport/http-client';
+import { keys } from '../../src/protocol/keys';
+import { ReplicaView } from '../../src/storage/replica-view';
+import { StateStoreClient } from '../../src/storage/state-store-client';
+import { settle, VirtualTime } from '../standin/clock';
 
 type ScriptedResponse = HttpResponse | null;
 
--- a/test/storage/progress.test.ts
+++ b/test/storage/progress-slots.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type JobProgress } from '../../src/protocol/records';
-import { ProgressSlots } from '../../src/storage/progress';
+import { ProgressSlots } from '../../src/storage/progress-slots';
 
 test('progress keeps its place, fits, and is written only where it differs', () => {
   const at = (doneRanges: string, startWatermark: number): JobProgress => ({
--- a/test/replica-view.test.ts
+++ b/test/storage/replica-view.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { ReplicaView } from '../src/storage/replica-view';
-import { planFleetEdit } from '../src/storage/fleets';
-import { planAssignedEdit } from '../src/storage/assigned-machines';
-import { StateStoreClient } from '../src/storage/state-store-client';
-import { type JobSpec } from '../src/protocol/jobs';
-import { encodeAccepted, encodeFleet, type MachineRecord } from '../src/protocol/records';
-import { keys } from '../src/protocol/keys';
-import { VirtualTime } from './standin/clock';
+import { ReplicaView } from '../../src/storage/replica-view';
+import { planFleetEdit } from '../../src/storage/fleet-edit';
+import { planAssignedEdit } from '../../src/storage/assigned-machines';
+import { StateStoreClient } from '../../src/storage/state-store-client';
+import { type JobSpec } from '../../src/protocol/jobs';
+import { encodeAccepted, encodeFleet, type MachineRecord } from '../../src/protocol/records';
+import { keys } from '../../src/protocol/keys';
+import { VirtualTime } from '../standin/clock';
 
 const spec: JobSpec = {
   ...{ ref: 'job-1', workload: 'w', team: 't', priority: 2, tasks: 4, cpus: 1, accelerators: 0, memoryGb: 2 },
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -14,7 +14,7 @@
   {
     cause: 'progress',
     frames:
-      /progress-writer\.js|(changedValues|markProgressWritten|progress) .*(partition-core|progress|job)\.js/,
+      /progress-writer\.js|(changedValues|markProgressWritten|progress) .*(partition-core|progress-slots|progress-writer|job)\.js/,
   },
   { cause: 'partition loads', frames: /partition-load\.js/ },
   {
