--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -9,7 +9,7 @@
 import { type Heartbeat } from '../../protocol/workers';
 import { type MachineKind } from '../fleet/fleet-snapshot';
 import { type Membership } from '../membership/membership';
-import { MachineRecordWriter } from './machine-record-writer';
+import { NewMachineWriter } from './new-machine-writer';
 
 const RECORD_BATCH_DELAY_MS = 60;
 const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
@@ -30,7 +30,7 @@
 export class MachineRegistry {
   /** The term under which machines are recorded, 0: this controller does not lead. */
   leaderTerm = 0;
-  private readonly writer: MachineRecordWriter;
+  private readonly writer: NewMachineWriter;
   /** Machines whose records were removed. */
   private readonly removed = new Set<string>();
   /** The partition of each machine that is being recorded. */
@@ -43,7 +43,7 @@
   private readonly unregistered = new Map<string, Pick<Heartbeat, 'agentEpoch' | 'sequence'>>();
 
   constructor(private readonly deps: MachineRegistryDependencies) {
-    this.writer = new MachineRecordWriter(deps);
+    this.writer = new NewMachineWriter(deps);
     deps.replica.events.subscribe((event) => {
       if (event.kind === 'machine-removed') this.removed.add(event.id);
       else if (event.kind === 'machine') this.removed.delete(event.id);
--- a/src/coordination/leader/machine-record-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -1,4 +1,4 @@
-import { type Clock } from '../../transport/clock';
+import { pause, type Clock } from '../../transport/clock';
 import { mayBeRepeated } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
@@ -17,7 +17,7 @@
 /** Bounds the share of the state store's change rate that a sweep takes. */
 const MAX_VALUES_PER_SWEEP = 6;
 
-export interface MachineRecordWriterDependencies {
+export interface NewMachineWriterDependencies {
   settings: Settings;
   member: Membership;
   stateStore: StateStoreClient;
@@ -26,14 +26,14 @@
 }
 
 /** Writes the records of new machines into the state store, and removes values that no longer hold any. */
-export class MachineRecordWriter {
+export class NewMachineWriter {
   private valueCount = 0;
   /** Values of this leader of which every attempt was answered: none can be applied again. */
   private readonly settledKeys = new Set<string>();
   private sweptAt = Number.NEGATIVE_INFINITY;
   private sweeping = false;
 
-  constructor(private readonly deps: MachineRecordWriterDependencies) {}
+  constructor(private readonly deps: NewMachineWriterDependencies) {}
 
   /**
    * Writes records under a leader's term, each partition's in values of its own. It repeats the transaction until the
@@ -55,7 +55,7 @@
         outcomeUnknown ||= result.kind === 'unknown';
         if (await this.replicaShows(result)) break;
       }
-      await this.delay(RETRY_DELAY_MS);
+      await pause(this.deps.clock, RETRY_DELAY_MS);
     }
     if (outcomeUnknown) return;
     for (const write of writes) if ('put' in write) this.settledKeys.add(write.put);
@@ -69,10 +69,6 @@
     return result.kind === 'conflict' && stateStore.ensureFresh();
   }
 
-  private delay(ms: number): Promise<void> {
-    return new Promise((resolve) => this.deps.clock.schedule(ms, resolve));
-  }
-
   /** Removes some of the values that hold no machine and that no pending attempt can write again. */
   async sweepEmpty(now: number): Promise<void> {
     if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
--- a/src/coordination/requests/api-responses.ts
+++ b/src/coordination/requests/api-responses.ts
@@ -1,9 +1,17 @@
-/** Responses and log entries that the plain routes and the Express routes have in common. */
+/** Responses to users, and what the plain routes and the Express routes have in common. */
 import { type Log } from '../../transport/log';
-import { type ApiResponse } from './job-service';
 
-/** A ref that no job can have. */
-export const NO_SUCH_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
+/** An HTTP response to a user. */
+export interface ApiResponse {
+  status: number;
+  /** Sent as JSON. */
+  body: object;
+  /** Seconds after which the user may try again. */
+  retryAfterS?: number;
+}
+
+/** No job has this ref. */
+export const UNKNOWN_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
 
 /** A request met a defect; it may be repeated. */
 export const REQUEST_FAILED: ApiResponse = { status: 503, body: { error: 'failed' }, retryAfterS: 1 };
--- a/src/coordination/requests/express-app.ts
+++ b/src/coordination/requests/express-app.ts
@@ -1,14 +1,14 @@
 import express, { type NextFunction, type Request, type Response } from 'express';
 import { API_PATHS } from '../../protocol/api-paths';
 import { JOB_REF_PATTERN } from '../../protocol/jobs';
-import { logRejection, NO_SUCH_JOB, REQUEST_FAILED } from './api-responses';
+import { logRejection, REQUEST_FAILED, UNKNOWN_JOB, type ApiResponse } from './api-responses';
 import {
   answerHeartbeat,
   MAX_BODY_BYTES,
   MALFORMED_HEARTBEAT,
   type HeartbeatDependencies,
 } from './heartbeat-gateway';
-import { type JobService, type ApiResponse } from './job-service';
+import { type JobService } from './job-service';
 
 /** What the HTTP interface needs of a controller. */
 export interface ApiDependencies extends HeartbeatDependencies {
@@ -34,11 +34,11 @@
   });
   app.get(`${API_PATHS.jobs}/:ref`, async (req: Request, res: Response) => {
     const ref = String(req.params['ref']);
-    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.status(ref) : NO_SUCH_JOB);
+    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.status(ref) : UNKNOWN_JOB);
   });
   app.post(`${API_PATHS.jobs}/:ref/cancel`, async (req: Request, res: Response) => {
     const ref = String(req.params['ref']);
-    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.cancel(ref) : NO_SUCH_JOB);
+    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.cancel(ref) : UNKNOWN_JOB);
   });
   app.post(API_PATHS.jobs, json, async (req: Request, res: Response) => {
     const answer = await jobService.submit(req.body);
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -19,18 +19,9 @@
 import { type Team } from '../../protocol/settings';
 import { evaluatePipeline } from '../pipeline/pipelines';
 import { infeasibleReason } from '../partition/placement';
-
-/** An HTTP response to a user. */
-export interface ApiResponse {
-  status: number;
-  /** Sent as JSON. */
-  body: object;
-  /** Seconds after which the user may try again. */
-  retryAfterS?: number;
-}
+import { UNKNOWN_JOB, type ApiResponse } from './api-responses';
 
 const unavailable = (error: string): ApiResponse => ({ status: 503, body: { error }, retryAfterS: 1 });
-const UNKNOWN_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
 const DURABLE_WRITE_TIMEOUT_MS = 3000;
 const MAX_CANCEL_ATTEMPT_COUNT = 6;
 /** Status queries that wait for the state store beyond this many are shed: their users would have given up before the response. */
--- a/src/coordination/requests/plain-routes.ts
+++ b/src/coordination/requests/plain-routes.ts
@@ -2,9 +2,8 @@
 import { type PlainHandler, type PlainRoute } from '../../transport/request-server';
 import { API_PATHS } from '../../protocol/api-paths';
 import { type ApiDependencies } from './express-app';
-import { logRejection, REQUEST_FAILED } from './api-responses';
+import { logRejection, REQUEST_FAILED, type ApiResponse } from './api-responses';
 import { plainHeartbeatHandler } from './heartbeat-gateway';
-import { type ApiResponse } from './job-service';
 
 const JOB_PATH_PATTERN = /^\/v2\/runs\/(job-[0-9]{1,18})(\/cancel)?$/;
 
--- a/test/cluster/simulated-users.ts
+++ b/test/cluster/simulated-users.ts
@@ -1,5 +1,5 @@
 import { type Controller } from '../../src/coordination/controller/controller';
-import { type ApiResponse } from '../../src/coordination/requests/job-service';
+import { type ApiResponse } from '../../src/coordination/requests/api-responses';
 import { type VirtualTime } from '../standin/clock';
 import { type FakeWorker } from '../standin/fake-worker';
 import { TEAMS, type JobShape, type TeamSettings, type VirtualClusterOptions } from './cluster-options';
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -13,6 +13,7 @@
 import { planAssignedEdit } from '../src/storage/assigned-machines';
 import { type ReplicaView } from '../src/storage/replica-view';
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
+import { jobSpec } from './support/job-spec';
 
 const MACHINES = 4200;
 const JOBS = 30;
@@ -33,34 +34,7 @@
 const names = Array.from({ length: MACHINES }, (_, i) => `i-${String(i).padStart(6, '0')}`);
 
 function job(n: number): JobSpec {
-  return {
-    ...{
-      ref: `job-${n}`,
-      workload: 'w',
-      team: 't',
-      priority: 2,
-      tasks: TASKS_A_JOB,
-      cpus: 1,
-      accelerators: 0,
-    },
-    ...{
-      memoryGb: 1,
-      image: 'i',
-      imageGb: 1,
-      machineTypes: null,
-      zone: null,
-      singleZone: false,
-      spreadZones: false,
-    },
-    ...{
-      spot: true,
-      expectedS: 30,
-      checkpointIntervalS: 0,
-      checkpointDurationS: 0,
-      deadlineS: null,
-      pipeline: null,
-    },
-  };
+  return jobSpec(`job-${n}`, { tasks: TASKS_A_JOB, memoryGb: 1 });
 }
 
 /** A worker as far as its reports go. */
