--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -69,7 +69,7 @@
     if (job.heldByPipeline || job.pendingCount === 0 || job.state !== 'open') return 0;
     if (spec.singleZone || spec.spreadZones) return 0;
     const allowedByTeam = countWithinQuota(this.core.quota.remaining(spec.team), spec);
-    return Math.max(0, Math.min(job.pendingCount, job.maxInFlight(this.now), allowedByTeam));
+    return Math.max(0, Math.min(job.pendingCount, job.maxNewStarts(this.now), allowedByTeam));
   }
 
   machines(): readonly MachineSnapshot[] {
@@ -81,7 +81,7 @@
 
   private machineSnapshot(machine: MachineState): MachineSnapshot[] {
     const { core } = this;
-    const type = core.types().get(machine.record.type);
+    const type = core.machineTypes().get(machine.record.type);
     if (!type) return [];
     const fetching = fetchingImages(machine);
     const canAccept =
--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -15,7 +15,7 @@
     private readonly localityWeight: number,
   ) {}
 
-  observe(machines: Iterable<MachineState>, pendingCpus: number): void {
+  updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void {
     const fills: MachineFill[] = [];
     for (const machine of machines) {
       const cpus = this.typeOf(machine)?.cpus ?? 0;
@@ -34,6 +34,6 @@
   }
 
   private typeOf(machine: MachineState): MachineType | undefined {
-    return this.core.types().get(machine.record.type);
+    return this.core.machineTypes().get(machine.record.type);
   }
 }
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -74,7 +74,7 @@
     this.balancer.tracker.handleEvent({ job: ref, index }, { kind: 'source-failed' }, now);
   }
 
-  taskRan(spec: JobSpec, seconds: number): void {
+  runTimeMeasured(spec: JobSpec, seconds: number): void {
     this.balancer.estimator.learn(this.snapshot.jobSnapshot(spec), seconds);
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Starts what a machine's reservations are for, before placement gives the machine anything else. */
-  answeringHeartbeat(machine: MachineState, commands: Command[], now: number): void {
+  startReservedTasks(machine: MachineState, commands: Command[], now: number): void {
     const { tracker } = this.balancer;
     if (tracker.isIdle) return;
     this.noteReportedTasks(machine, now);
@@ -151,7 +151,7 @@
     return !machine || this.core.isUnschedulable(machine, now);
   }
 
-  summary(now: number): LoadSummary {
+  loadSummary(now: number): LoadSummary {
     this.snapshot.refresh(now);
     return this.balancer.summary(now);
   }
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -122,7 +122,7 @@
       store: { ...this.stateStore.counters, changes: this.stateStore.changesByKind },
       users: this.jobService.counters,
       took: this.metrics.summary(),
-      partitions: [...this.partitions.values()].map((partition) => partition.core.summary()),
+      partitions: [...this.partitions.values()].map((partition) => partition.core.statusSummary()),
       ...(balancing ? { balance: this.balanceStatus(balancing) } : {}),
     };
   }
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -103,8 +103,8 @@
       valueBytes,
       txnOps,
       writeRate,
-      partitions: replica.partitions.size,
-      progressMs: policy.progressIntervalS * 1000,
+      partitionCount: replica.partitions.size,
+      progressIntervalMs: policy.progressIntervalS * 1000,
     };
     return new PartitionActor({
       core,
@@ -125,7 +125,7 @@
       id,
       epoch,
       teams: settings.teams.filter((team) => record.teams.includes(team.name)),
-      types: machineTypes,
+      machineTypes,
       specOfClosedJob: (ref) => replica.jobs.get(ref)?.spec,
       options: {
         heartbeatIntervalMs: settings.heartbeatIntervalMs,
@@ -147,7 +147,7 @@
   private sendRecordedJobs(actor: PartitionActor): void {
     const { replica } = this.deps;
     for (const { spec, acceptedAt, revision, state } of replica.jobs.values()) {
-      if (!actor.core.owns(spec.team)) continue;
+      if (!actor.core.ownsTeam(spec.team)) continue;
       const progress = replica.progressOf(spec.ref);
       if (state === 'open') actor.send({ kind: 'job-opened', spec, acceptedAt, revision, progress });
       else if (spec.pipeline || state !== 'done')
@@ -163,7 +163,7 @@
   } else if (event.kind === 'machine') {
     const recordedHere = event.entry.record.partition === core.id;
     actor.send({ kind: 'machine-changed', id: event.id, entry: recordedHere ? event.entry : null });
-  } else if (core.owns(event.job.spec.team)) {
+  } else if (core.ownsTeam(event.job.spec.team)) {
     const { spec, acceptedAt, revision, state } = event.job;
     if (event.kind === 'closed') actor.send({ kind: 'job-closed', ref: spec.ref, state });
     else actor.send({ kind: 'job-opened', spec, acceptedAt, revision, progress: null });
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -72,7 +72,7 @@
   private publishLoadSummaries(leader: string, now: number): void {
     for (const { active, balancing } of this.deps.partitions.values())
       if (active && balancing)
-        this.deps.messenger.send(leader, { kind: 'balance', summary: balancing.summary(now) });
+        this.deps.messenger.send(leader, { kind: 'balance', summary: balancing.loadSummary(now) });
   }
 
   /** Loads of the active partitions; of one that is recovering rarely, for its first answers to workers need the time more. */
@@ -84,7 +84,7 @@
       const publishedAt = this.loadPublishedAt.get(id) ?? Number.NEGATIVE_INFINITY;
       if (partition.recovering(now) && now - publishedAt < LOAD_INTERVAL_MS.max) continue;
       this.loadPublishedAt.set(id, now);
-      loads.push(partition.core.load(now));
+      loads.push(partition.core.currentLoad(now));
     }
     return loads;
   }
--- a/src/coordination/partition/heartbeat-handler.ts
+++ b/src/coordination/partition/heartbeat-handler.ts
@@ -77,7 +77,7 @@
   private commandsFor(machine: MachineState, now: number): Command[] {
     const { observed, placement } = this.deps;
     const commands = machine.takeCommands(this.isForgettable, now);
-    observed.observer?.answeringHeartbeat(machine, commands, now);
+    observed.observer?.startReservedTasks(machine, commands, now);
     placement.placeTasks(machine, commands, now);
     return commands;
   }
--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -63,14 +63,14 @@
   }
 
   /** Adds a job of a pipeline that has terminated already: its edges still count. */
-  addTerminated({ spec, revision }: StoredJobState, state: JobState): void {
+  addTerminatedPipelineJob({ spec, revision }: StoredJobState, state: JobState): void {
     if (!this.options.quota.has(spec.team) || !spec.pipeline) return;
     this.pipelines.setMember(spec, state, revision);
     this.applyPipeline(spec.ref);
   }
 
   /** Reserves quota for a job that was cancelled under an earlier owner: its tasks may be on unconfirmed machines. */
-  addCancelled({ spec, revision }: StoredJobState, state: JobState): void {
+  reserveQuotaForCancelled({ spec, revision }: StoredJobState, state: JobState): void {
     const { epoch, quota } = this.options;
     if (quota.has(spec.team) && state !== 'done' && revision <= epoch)
       quota.reserveForCancelled(spec, spec.tasks);
@@ -99,7 +99,7 @@
     const { jobs } = this.options;
     const snapshot = this.pipelines.snapshotOf(ref);
     if (!snapshot) return;
-    for (const member of snapshot.standing.keys()) {
+    for (const member of snapshot.statusByJob.keys()) {
       const job = jobs.get(member);
       if (job) job.heldByPipeline = !snapshot.ready.has(member);
     }
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -123,7 +123,7 @@
    * How many of its tasks may be in flight at once. A job that fails everywhere is tried with a single task now and then, until its
    * user cancels it, so that it takes no resources from others.
    */
-  maxInFlight(now: number): number {
+  maxNewStarts(now: number): number {
     if (!this.failsEverywhere) return Number.POSITIVE_INFINITY;
     return now < this.pausedUntil ? 0 : Math.max(0, 1 - this.inFlight.size);
   }
--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -9,7 +9,7 @@
   partition: string;
   /** Epoch of the partition's record. */
   epoch: number;
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Machines that tasks may have been started on, as the state store knows. The set takes ownership of it. */
   assignedMachines: Set<string>;
   unconfirmedMachines: UnconfirmedMachines;
@@ -129,7 +129,7 @@
 
   /** Capacity of a machine; null while its type is unknown. */
   capacityOf(machine: MachineState): Resources | null {
-    return this.options.types().get(machine.record.type) ?? null;
+    return this.options.machineTypes().get(machine.record.type) ?? null;
   }
 
   /** Free resources of a machine; null while its type, or a task on it, is unknown. */
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -170,7 +170,7 @@
   }
 
   /** Milliseconds since the last heartbeat; -1 if none was received. */
-  silentMs(now: number): number {
+  sinceHeartbeatMs(now: number): number {
     return this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt;
   }
 
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -32,9 +32,9 @@
   /** Writes a second that the state store allows. */
   writeRate: number;
   /** How many partitions share the state store. */
-  partitions: number;
+  partitionCount: number;
   /** Between two writes of progress if no task waits for them. */
-  progressMs: number;
+  progressIntervalMs: number;
 }
 
 export interface PartitionActorDependencies {
@@ -56,8 +56,11 @@
 const MIN_WATERMARK_INTERVAL_MS = 400;
 
 /** The least time between two writes of a kind that tasks wait for. */
-function minWriteIntervalMs({ partitions, writeRate }: PartitionActorOptions): number {
-  return Math.max(MIN_WATERMARK_INTERVAL_MS, (1000 * WRITES_PER_WATERMARK_WRITE * partitions) / writeRate);
+function minWriteIntervalMs({ partitionCount, writeRate }: PartitionActorOptions): number {
+  return Math.max(
+    MIN_WATERMARK_INTERVAL_MS,
+    (1000 * WRITES_PER_WATERMARK_WRITE * partitionCount) / writeRate,
+  );
 }
 
 /**
@@ -99,7 +102,7 @@
       store,
       valueBytes,
       txnOps,
-      intervalMs: options.progressMs,
+      intervalMs: options.progressIntervalMs,
       minIntervalMs,
       progress: (now) => core.progress(now),
       onWritten: (jobs) => this.send({ kind: 'progress-written', jobs }),
@@ -150,8 +153,8 @@
         this.core.closeJob(message.ref, message.state, now);
         return;
       case 'job-terminated':
-        this.core.addCancelled(message, message.state);
-        this.core.addTerminated(message, message.state);
+        this.core.reserveQuotaForCancelled(message, message.state);
+        this.core.addTerminatedPipelineJob(message, message.state);
         return;
       case 'tick':
         this.tick(now);
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -42,7 +42,7 @@
   epoch: number;
   teams: readonly Team[];
   /** Machine types by name, as the cloud last listed them. */
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Specification of a job that is not open any more; its tasks may still be on machines. */
   specOfClosedJob: (ref: string) => JobSpec | undefined;
   options: PartitionOptions;
@@ -63,7 +63,7 @@
 export class PartitionCore implements PlacementHost, PartitionState {
   readonly id: string;
   readonly epoch: number;
-  readonly types: () => ReadonlyMap<string, MachineType>;
+  readonly machineTypes: () => ReadonlyMap<string, MachineType>;
   readonly options: PartitionOptions;
   readonly jobs: ReadonlyMap<string, PartitionJob>;
   readonly machines: ReadonlyMap<string, MachineState>;
@@ -88,10 +88,18 @@
   private readonly lifecycle: TaskLifecycle;
   private readonly heartbeats: HeartbeatHandler;
 
-  constructor({ id, epoch, teams, types, specOfClosedJob, options, assignedMachines }: PartitionCoreOptions) {
+  constructor({
+    id,
+    epoch,
+    teams,
+    machineTypes,
+    specOfClosedJob,
+    options,
+    assignedMachines,
+  }: PartitionCoreOptions) {
     this.id = id;
     this.epoch = epoch;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.options = options;
     const { heartbeatIntervalMs, leaseMs, objectives } = options;
     const { estimates, counters, unconfirmedMachines } = this;
@@ -102,7 +110,7 @@
     const machines = new MachineSet({
       partition: id,
       epoch,
-      types,
+      machineTypes,
       assignedMachines: assignedMachines ?? new Set(),
       unconfirmedMachines,
     });
@@ -152,7 +160,7 @@
   }
 
   /** Whether the partition schedules the jobs of a team. */
-  owns(team: string): boolean {
+  ownsTeam(team: string): boolean {
     return this.quota.has(team);
   }
 
@@ -252,13 +260,13 @@
   }
 
   /** Adds a job of a pipeline that has terminated already: its edges still count. */
-  addTerminated(job: StoredJobState, state: JobState): void {
-    this.jobSet.addTerminated(job, state);
+  addTerminatedPipelineJob(job: StoredJobState, state: JobState): void {
+    this.jobSet.addTerminatedPipelineJob(job, state);
   }
 
   /** Reserves quota for a job that was cancelled under an earlier owner: its tasks may be on unconfirmed machines. */
-  addCancelled(job: StoredJobState, state: JobState): void {
-    this.jobSet.addCancelled(job, state);
+  reserveQuotaForCancelled(job: StoredJobState, state: JobState): void {
+    this.jobSet.reserveQuotaForCancelled(job, state);
   }
 
   /** The state store has a job's terminal state. */
@@ -329,12 +337,12 @@
   }
 
   /** The load of the partition as it is published to the leader. */
-  load(now: number): PartitionLoad {
+  currentLoad(now: number): PartitionLoad {
     return partitionLoad(this, now);
   }
 
   /** The partition's part of `GET /status`; the names are part of its output. */
-  summary(): object {
+  statusSummary(): object {
     const byRank = PRIORITIES.map((name, priority) => {
       const jobs = [...this.jobs.values()].filter((job) => job.spec.priority === priority);
       const waiting = jobs.reduce((count, job) => count + job.pendingCount, 0);
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -16,7 +16,7 @@
   const backlog = PRIORITIES.map(() => 0);
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
-    const waiting = Math.min(job.pendingCount, job.maxInFlight(now));
+    const waiting = Math.min(job.pendingCount, job.maxNewStarts(now));
     backlog[spec.priority] =
       (backlog[spec.priority] ?? 0) + waiting * spec.cpus * partition.estimates.expectedSeconds(spec);
   }
@@ -38,7 +38,7 @@
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
         idleMs: m.tasks.size > 0 ? 0 : now - m.idleSince,
-        sinceHeartbeatMs: m.silentMs(now),
+        sinceHeartbeatMs: m.sinceHeartbeatMs(now),
         quarantined: partition.isQuarantined(m),
         preemptionNotice: m.preemptionDeadline !== null,
         transferTarget: m.transferTarget,
@@ -51,7 +51,7 @@
 function demands(partition: PartitionState, now: number): Demand[] {
   const found = new Map<string, Demand>();
   const rooms = new Map<string, ResourceQuota>();
-  const allZones = new Set([...partition.types().values()].flatMap((t) => t.zones));
+  const allZones = new Set([...partition.machineTypes().values()].flatMap((t) => t.zones));
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
     if (job.pendingCount === 0 || job.state !== 'open') continue;
@@ -59,7 +59,7 @@
     if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
     const quota = countWithinQuota(room, spec);
     // No machine is provisioned for a job that fails everywhere.
-    const tasks = Math.min(job.pendingCount, job.maxInFlight(now), quota);
+    const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), quota);
     if (tasks === 0) continue;
     room.cpus -= tasks * spec.cpus;
     room.accelerators -= tasks * spec.accelerators;
--- a/src/coordination/partition/partition-state.ts
+++ b/src/coordination/partition/partition-state.ts
@@ -22,7 +22,7 @@
   readonly lastJobArrivalAt: number;
   /** Bytes of a stored value that the list of finished tasks of one job may take. */
   readonly maxRangeBytes: number;
-  readonly types: () => ReadonlyMap<string, MachineType>;
+  readonly machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Capacity of a machine; null while its type is unknown. */
   capacityOf(machine: MachineState): Resources | null;
   /** Free resources of a machine; null while its type, or a task on it, is unknown. */
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -21,7 +21,7 @@
   const allConfirmed = partition.unconfirmedCount === 0;
   for (const job of partition.jobsInSchedulingOrder()) {
     if (job.state !== 'open' || job.finished) continue;
-    const waiting = Math.min(job.startableCount(allConfirmed), job.maxInFlight(now));
+    const waiting = Math.min(job.startableCount(allConfirmed), job.maxNewStarts(now));
     const { team, cpus } = job.spec;
     // What its team's limit holds back takes no room ahead: jobs behind it would otherwise never get a watermark.
     const ofTeam =
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -100,7 +100,7 @@
     if (typeof runningSince !== 'number' || spec.checkpointIntervalS !== 0) return;
     const seconds = (now - runningSince) / 1000;
     this.deps.estimates.addSample(spec.workload, spec.expectedS, seconds);
-    this.observer?.taskRan(spec, seconds);
+    this.observer?.runTimeMeasured(spec, seconds);
   }
 
   private handleSuccess(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
--- a/src/coordination/partition/task-observer.ts
+++ b/src/coordination/partition/task-observer.ts
@@ -13,12 +13,12 @@
   /** A task exited neither done nor stopped on command. */
   taskFailed(ref: string, index: number, now: number): void;
   /** A task that never saves checkpoints was done after this many seconds. */
-  taskRan(spec: JobSpec, seconds: number): void;
+  runTimeMeasured(spec: JobSpec, seconds: number): void;
   /** A job has a terminal state in the state store. */
   jobClosed(ref: string, now: number): void;
   /** A machine is gone. */
   machineRemoved(id: string, now: number): void;
   /** A heartbeat is being answered: tasks that resources are reserved for are started before any other. */
-  answeringHeartbeat(machine: MachineState, commands: Command[], now: number): void;
+  startReservedTasks(machine: MachineState, commands: Command[], now: number): void;
   tick(now: number): void;
 }
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -44,7 +44,7 @@
 /** Bounds what new tasks may take on each machine, so that all are filled alike. */
 export interface PlacementSpreader {
   /** Looks at the machines that take work, and at how many CPUs wait. */
-  observe(machines: Iterable<MachineState>, waitingCpus: number): void;
+  updateFillLevel(machines: Iterable<MachineState>, waitingCpus: number): void;
   /** CPUs that new tasks of a job may take on a machine now. */
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number;
 }
@@ -144,7 +144,7 @@
       machine.deprioritized = false;
       if (waitingCpus > 0 && this.acceptsTasks(machine, now)) usable.push(machine);
     }
-    spreader.observe(usable, waitingCpus);
+    spreader.updateFillLevel(usable, waitingCpus);
   }
 
   /**
@@ -247,7 +247,7 @@
     const n = Math.min(
       places,
       job.startableCount(this.host.unconfirmedCount === 0),
-      job.maxInFlight(now),
+      job.maxNewStarts(now),
       ofTeam,
     );
     if (n === 0 || !(spec.singleZone || spec.spreadZones)) return n;
--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -22,7 +22,7 @@
   ready: Set<string>;
   /** Jobs that are over for the pipeline's sake and have not been written down as that. */
   terminalStates: Map<string, TerminalState>;
-  standing: Map<string, PipelineJobStatus>;
+  statusByJob: Map<string, PipelineJobStatus>;
 }
 
 /**
@@ -66,7 +66,11 @@
     const startable = new Set(this.released);
     this.applyResult(recoveryPass(this.nodes, this.edges, [...this.nodes.keys()]));
     this.pipelineFailed ||= this.jobs.some((_, i) => this.hasFailed(i) && !this.hasFallback(i));
-    const snapshot: PipelineSnapshot = { ready: new Set(), terminalStates: new Map(), standing: new Map() };
+    const snapshot: PipelineSnapshot = {
+      ready: new Set(),
+      terminalStates: new Map(),
+      statusByJob: new Map(),
+    };
     for (const i of this.jobs.keys()) this.addJob(i, startable, snapshot);
     return snapshot;
   }
@@ -112,7 +116,7 @@
     if (ready) snapshot.ready.add(spec.ref);
     const openState = (): PipelineJobStatus['state'] =>
       ready ? 'ready' : idleState(i, jobs, nodes, edges, released);
-    snapshot.standing.set(spec.ref, {
+    snapshot.statusByJob.set(spec.ref, {
       state: terminalState ?? (state === 'open' ? openState() : state),
       because: ready || state === 'done' ? null : blockingJob(i, jobs, nodes, edges),
       failed: this.pipelineFailed,
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -189,7 +189,7 @@
       ...j,
       order: j.revision,
     }));
-    const standing = evaluatePipeline(members, new Set()).standing.get(ref);
+    const standing = evaluatePipeline(members, new Set()).statusByJob.get(ref);
     return standing && { ref: pipeline.ref, ...standing };
   }
 }
--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -85,7 +85,7 @@
       id: 'p0',
       epoch: this.version,
       teams: [team('t', LIMIT), team('u', 4)] as never,
-      types: () => new Map([['small', type]]),
+      machineTypes: () => new Map([['small', type]]),
       specOfClosedJob: () => undefined,
       options: {
         heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -89,7 +89,7 @@
     id: 'p0',
     epoch: version,
     teams: [team],
-    types: () => types,
+    machineTypes: () => types,
     specOfClosedJob: () => undefined,
     options,
     assignedMachines: new Set(names),
@@ -129,7 +129,7 @@
   assert.equal(started.length, MACHINES * CPUS, 'every machine is full');
   assert.equal(new Set(started).size, started.length, 'no task is on two machines');
 
-  const load = first.load(8000);
+  const load = first.currentLoad(8000);
   assert.equal(load.machines.length, MACHINES);
   const frame: PeerMessage = {
     ...{
--- a/test/partition/failing-tasks.test.ts
+++ b/test/partition/failing-tasks.test.ts
@@ -25,7 +25,7 @@
         commands.map((c) => taskInPhase(c, 'exited', 'error')),
       );
       assert.deepEqual(startedTasks(commands), []);
-      assert.equal(partition.core.load(now).machines[0]?.quarantined, true);
+      assert.equal(partition.core.currentLoad(now).machines[0]?.quarantined, true);
       partition.addMachine('n', AFTER_OWNER);
       assert.equal(startedTasks(partition.heartbeat('n', (now += 2000))).length, 4);
     },
@@ -47,7 +47,7 @@
         failed.map((c) => taskInPhase(c, 'exited', 'error')),
       );
       assert.deepEqual(startedTasks(next), [], 'nor is it tried there again at once');
-      assert.equal(partition.core.load(6000).machines[0]?.quarantined, false);
+      assert.equal(partition.core.currentLoad(6000).machines[0]?.quarantined, false);
       partition.addJob(jobSpec('job-3', { tasks: 2 }));
       assert.equal(startedTasks(partition.heartbeat('m', 8000)).length, 2);
     },
@@ -71,7 +71,7 @@
         first.map((c) => taskInPhase(c, 'exited', 'done')),
       );
       assert.deepEqual(
-        partition.core.load(2000).machines.map((m) => m.quarantined),
+        partition.core.currentLoad(2000).machines.map((m) => m.quarantined),
         [false, true],
       );
     },
@@ -90,8 +90,8 @@
           failed.map((c) => taskInPhase(c, 'exited', 'error')),
         );
       }
-      assert.equal(partition.core.load(now).machines.filter((m) => m.quarantined).length, 0);
-      assert.deepEqual(partition.core.load(now).demands, [], 'it pauses');
+      assert.equal(partition.core.currentLoad(now).machines.filter((m) => m.quarantined).length, 0);
+      assert.deepEqual(partition.core.currentLoad(now).demands, [], 'it pauses');
       partition.addJob(jobSpec('job-2', { tasks: 3 }));
       partition.addMachine('p', AFTER_OWNER);
       assert.equal(startedTasks(partition.heartbeat('p', now)).length, 3, 'others have the room');
--- a/test/partition/machine.test.ts
+++ b/test/partition/machine.test.ts
@@ -177,7 +177,7 @@
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.heartbeat('m', 30_000);
-      assert.equal(partition.core.load(31_000).machines[0]?.idleMs, 1000);
+      assert.equal(partition.core.currentLoad(31_000).machines[0]?.idleMs, 1000);
     },
   ],
 ];
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -49,7 +49,7 @@
       id: 'p0',
       epoch: OWNER_EPOCH,
       teams: [],
-      types: () => new Map(),
+      machineTypes: () => new Map(),
       specOfClosedJob: () => undefined,
       options: { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] },
     });
@@ -62,7 +62,7 @@
       clock,
       log,
       authority: { alive: () => this.alive, mayRenewLeases: () => this.alive },
-      options: { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitions: 2, progressMs: 2000 },
+      options: { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitionCount: 2, progressIntervalMs: 2000 },
       balancing: null,
     });
   }
--- a/test/partition/scheduling.test.ts
+++ b/test/partition/scheduling.test.ts
@@ -88,7 +88,7 @@
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 9 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4);
-      assert.equal(partition.core.load(0).demands[0]?.tasks, 5);
+      assert.equal(partition.core.currentLoad(0).demands[0]?.tasks, 5);
     },
     Infinity,
   ],
--- a/test/pipeline/pipelines.test.ts
+++ b/test/pipeline/pipelines.test.ts
@@ -104,14 +104,14 @@
   for (const [name, links, interrupted, expected] of cases) {
     await t.test(name, () => {
       const view = evaluatePipeline(members(links), new Set(interrupted));
-      const shows = [...view.standing]
+      const shows = [...view.statusByJob]
         .map(([ref, s]) => `${ref}:${s.state}${s.because === null ? '' : `(${s.because})`}`)
         .join(' ');
       assert.equal([...view.ready].join(' '), expected.ready);
       assert.equal(shows, expected.shows);
       if (expected.failed !== undefined)
         assert.deepEqual(
-          new Set([...view.standing.values()].map((s) => s.failed)),
+          new Set([...view.statusByJob.values()].map((s) => s.failed)),
           new Set([expected.failed]),
         );
     });
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -32,7 +32,7 @@
       id: 'p0',
       epoch: OWNER_EPOCH,
       teams: [team, { ...team, name: 'u' }],
-      types: () => new Map([['small', SMALL_TYPE]]),
+      machineTypes: () => new Map([['small', SMALL_TYPE]]),
       specOfClosedJob: (ref) => this.specs.get(ref),
       options,
       assignedMachines: this.assigned,
@@ -71,7 +71,7 @@
   }
 
   addTerminatedJob(job: JobSpec, state: JobState = 'cancelled'): void {
-    this.core.addCancelled({ spec: job, revision: BEFORE_OWNER }, state);
+    this.core.reserveQuotaForCancelled({ spec: job, revision: BEFORE_OWNER }, state);
   }
 
   closeJob(ref: string, state: JobState): void {
