--- a/src/coordination/partition/assigned-machine-writer.ts
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -21,18 +21,18 @@
  */
 export class AssignedMachineWriter {
   private writing = false;
-  private startedAt = Number.NEGATIVE_INFINITY;
+  private lastWriteAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: AssignedMachineWriterOptions) {}
 
   /** Writes the machines that are not listed yet, if the last write is long enough ago. */
   async writeIfDue(now: number): Promise<void> {
     const { core, store, valueBytes, minIntervalMs, onAssigned } = this.options;
-    if (this.writing || now - this.startedAt < minIntervalMs) return;
+    if (this.writing || now - this.lastWriteAt < minIntervalMs) return;
     const machines = core.unassignedMachines();
     if (machines.length === 0) return;
     this.writing = true;
-    this.startedAt = now;
+    this.lastWriteAt = now;
     const exists = (id: string): boolean => core.machines.has(id);
     const edit = planAssignedEdit(store.replica, {
       partition: store.partition,
--- a/src/coordination/partition/heartbeat-handler.ts
+++ b/src/coordination/partition/heartbeat-handler.ts
@@ -26,7 +26,7 @@
   lifecycle: TaskLifecycle;
   placement: TaskPlacement;
   counters: PartitionCounters;
-  observed: { readonly observer: TaskObserver | null };
+  observerHolder: { readonly observer: TaskObserver | null };
   /** Called once nothing of an earlier owner can be on the machine any more without having been seen. */
   markConfirmed: (machine: string) => void;
 }
@@ -75,9 +75,9 @@
   }
 
   private commandsFor(machine: MachineState, now: number): Command[] {
-    const { observed, placement } = this.deps;
+    const { observerHolder, placement } = this.deps;
     const commands = machine.takeCommands(this.isForgettable, now);
-    observed.observer?.startReservedTasks(machine, commands, now);
+    observerHolder.observer?.startReservedTasks(machine, commands, now);
     placement.placeTasks(machine, commands, now);
     return commands;
   }
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -42,7 +42,7 @@
   /** Steady time in milliseconds at which this owner first saw the job. */
   readonly firstSeenAt: number;
   state: JobState = 'open';
-  private readonly tasks: Uint8Array;
+  private readonly taskStates: Uint8Array;
   /** Tasks that are neither in flight nor done. */
   pendingCount: number;
   doneCount = 0;
@@ -54,10 +54,10 @@
   private readonly triedMachines = new Set<string>();
   /** Steady time before which a failed task is not retried, by the task's index. */
   private readonly retryNotBefore = new Map<number, number>();
-  private readonly errorCounts = new Map<number, number>();
+  private readonly failureCounts = new Map<number, number>();
   /** Steady time until which no task is started, as the job fails everywhere. */
   private pausedUntil = 0;
-  private pauseMs = 1000;
+  private retryPauseMs = 1000;
   /** Tasks from this index on may not be started yet: a later owner would take them never to have been started. */
   startWatermark: number;
   /** Tasks below this index wait until all machines are confirmed: an earlier owner may have started them. */
@@ -79,18 +79,18 @@
     this.deadlines = deadlines;
     this.firstSeenAt = now;
     this.effectivePriority = spec.priority;
-    this.tasks = new Uint8Array(spec.tasks);
+    this.taskStates = new Uint8Array(spec.tasks);
     for (const [from, to] of decodeRanges(progress?.doneRanges ?? '')) {
-      this.tasks.fill(TaskState.Durable, from, to + 1);
+      this.taskStates.fill(TaskState.Durable, from, to + 1);
     }
-    for (const state of this.tasks) if (state === TaskState.Durable) this.doneCount++;
+    for (const state of this.taskStates) if (state === TaskState.Durable) this.doneCount++;
     this.pendingCount = spec.tasks - this.doneCount;
     // Of a job that runs at most once it must be known whether it was started, so that is recorded before the first start.
     this.initialWatermark = Math.min(spec.tasks, this.runsAtMostOnce ? 0 : INITIAL_START_WATERMARK);
     this.startWatermark = progress?.startWatermark ?? this.initialWatermark;
     // If zones bind its tasks to each other, none may be placed while one may be anywhere.
-    const bound = spec.singleZone || spec.spreadZones;
-    this.unconfirmedBelow = unconfirmed ? (bound ? spec.tasks : this.startWatermark) : 0;
+    const zoneBound = spec.singleZone || spec.spreadZones;
+    this.unconfirmedBelow = unconfirmed ? (zoneBound ? spec.tasks : this.startWatermark) : 0;
     for (let i = 0; i < this.unconfirmedBelow; i++) if (this.isPending(i)) this.unconfirmedCount++;
   }
 
@@ -102,7 +102,7 @@
   /** Whether a task that an earlier owner may have started is neither done nor in flight. */
   get hasInterruptedTasks(): boolean {
     for (let i = 0; i < Math.min(this.unconfirmedBelow, this.startWatermark); i++)
-      if (this.tasks[i] === TaskState.Pending) return true;
+      if (this.taskStates[i] === TaskState.Pending) return true;
     return false;
   }
 
@@ -130,8 +130,8 @@
 
   /** The job has failed everywhere once more: the next attempt is later. */
   backOff(now: number): void {
-    this.pausedUntil = now + this.pauseMs;
-    this.pauseMs = Math.min(MAX_RETRY_PAUSE_MS, this.pauseMs * 2);
+    this.pausedUntil = now + this.retryPauseMs;
+    this.retryPauseMs = Math.min(MAX_RETRY_PAUSE_MS, this.retryPauseMs * 2);
   }
 
   /** Tasks started, as a ratio of those that its team's limit in CPUs allows at once. */
@@ -145,36 +145,36 @@
 
   /** Whether all tasks are done. */
   get finished(): boolean {
-    return this.doneCount === this.tasks.length;
+    return this.doneCount === this.taskStates.length;
   }
 
   hasTask(index: number): boolean {
-    return index < this.tasks.length;
+    return index < this.taskStates.length;
   }
 
   isPending(index: number): boolean {
-    return this.tasks[index] === TaskState.Pending;
+    return this.taskStates[index] === TaskState.Pending;
   }
 
   isDone(index: number): boolean {
-    return (this.tasks[index] ?? TaskState.Pending) >= TaskState.Done;
+    return (this.taskStates[index] ?? TaskState.Pending) >= TaskState.Done;
   }
 
   /** Whether the state store has it that the task is done. */
   isDurable(index: number): boolean {
-    return this.tasks[index] === TaskState.Durable;
+    return this.taskStates[index] === TaskState.Durable;
   }
 
   /** The state store has this progress. */
   markProgressWritten({ doneRanges, startWatermark }: JobProgress): void {
     this.startWatermark = Math.max(this.startWatermark, startWatermark);
-    for (const [from, to] of decodeRanges(doneRanges)) this.tasks.fill(TaskState.Durable, from, to + 1);
+    for (const [from, to] of decodeRanges(doneRanges)) this.taskStates.fill(TaskState.Durable, from, to + 1);
   }
 
   /** The task is in flight on a machine. */
   markInFlight(index: number, machine: MachineState): void {
-    if (this.isPending(index)) this.leavePending(index);
-    this.tasks[index] = TaskState.InFlight;
+    if (this.isPending(index)) this.removeFromPending(index);
+    this.taskStates[index] = TaskState.InFlight;
     this.inFlight.set(index, machine);
     if (this.doneCount === 0) this.triedMachines.add(machine.id);
   }
@@ -182,33 +182,33 @@
   /** The task is not in flight any more; unless it is done, it is pending again. */
   requeue(index: number): void {
     this.inFlight.delete(index);
-    if (this.tasks[index] !== TaskState.InFlight) return;
-    this.tasks[index] = TaskState.Pending;
+    if (this.taskStates[index] !== TaskState.InFlight) return;
+    this.taskStates[index] = TaskState.Pending;
     this.pendingCount++;
     if (index < this.unconfirmedBelow) this.unconfirmedCount++;
     this.firstPending = Math.min(this.firstPending, index);
   }
 
-  private leavePending(index: number): void {
+  private removeFromPending(index: number): void {
     this.pendingCount--;
     if (index < this.unconfirmedBelow) this.unconfirmedCount--;
   }
 
   /** The task is done, whichever attempt of it succeeded. */
   markDone(index: number): void {
-    if (this.isPending(index)) this.leavePending(index);
-    this.tasks[index] = TaskState.Done;
+    if (this.isPending(index)) this.removeFromPending(index);
+    this.taskStates[index] = TaskState.Done;
     this.doneCount++;
     this.triedMachines.clear();
     this.retryNotBefore.delete(index);
-    this.errorCounts.delete(index);
+    this.failureCounts.delete(index);
   }
 
   /** Counts a failure of the task; returns how many it has had. */
   countFailure(index: number): number {
-    const errors = (this.errorCounts.get(index) ?? 0) + 1;
-    this.errorCounts.set(index, errors);
-    return errors;
+    const failures = (this.failureCounts.get(index) ?? 0) + 1;
+    this.failureCounts.set(index, failures);
+    return failures;
   }
 
   /** Does not start the task before this steady time. */
@@ -238,10 +238,13 @@
   startableTasks(n: number, allConfirmed: boolean, now: number): number[] {
     const found: number[] = [];
     if (this.heldByPipeline) return found;
-    while (this.firstPending < this.tasks.length && this.tasks[this.firstPending] !== TaskState.Pending)
+    while (
+      this.firstPending < this.taskStates.length &&
+      this.taskStates[this.firstPending] !== TaskState.Pending
+    )
       this.firstPending++;
     for (let i = this.firstStartable(allConfirmed); i < this.startWatermark && found.length < n; i++) {
-      if (this.tasks[i] !== TaskState.Pending) continue;
+      if (this.taskStates[i] !== TaskState.Pending) continue;
       if (this.retryNotBefore.size > 0 && (this.retryNotBefore.get(i) ?? 0) > now) continue;
       found.push(i);
     }
@@ -258,15 +261,16 @@
 
   /** The smallest start watermark that lets `n` more pending tasks start; tasks that wait for confirmation do not count. */
   watermarkToStart(n: number, allConfirmed: boolean): number {
-    let left = n;
+    let remaining = n;
     let i = this.firstStartable(allConfirmed);
-    for (; i < this.tasks.length && left > 0; i++) if (this.tasks[i] === TaskState.Pending) left--;
+    for (; i < this.taskStates.length && remaining > 0; i++)
+      if (this.taskStates[i] === TaskState.Pending) remaining--;
     return i;
   }
 
   /** Progress to be recorded; the list of finished tasks takes at most `maxLength` bytes, and may be cut short for it. */
   progress(maxLength: number): JobProgress {
-    const doneRanges = encodeRanges(this.tasks, (s) => s >= TaskState.Done, maxLength);
+    const doneRanges = encodeRanges(this.taskStates, (s) => s >= TaskState.Done, maxLength);
     return {
       doneRanges,
       doneCount: this.doneCount,
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -29,7 +29,7 @@
    * Cordons a machine and queues a change of its record; ignored if the machine is not empty, or is being changed already.
    * `force`: it is cordoned even if tasks run on it.
    */
-  change(id: string, change: Partial<MachineRecord>, force = false): void {
+  queueChange(id: string, change: Partial<MachineRecord>, force = false): void {
     const { core } = this.options;
     const machine = core.machines.get(id);
     if (!machine || machine.record.phase === 'deprovisioning' || this.pending.has(id)) return;
@@ -68,7 +68,7 @@
   private async writeUntilDecided(conditions: Condition[], writes: Write[]): Promise<void> {
     const { store, isReleased } = this.options;
     const { stateStore } = store;
-    let unsure = false;
+    let outcomeUnknown = false;
     while (!isReleased()) {
       // While the session lease has lapsed, an attempt on its way may still be applied, so no machine is uncordoned.
       if (!store.isActive) {
@@ -76,11 +76,11 @@
         continue;
       }
       const result = await store.transact(conditions, writes, RequestPriority.Decision);
-      if (result.kind === 'refused' && !unsure) return;
+      if (result.kind === 'refused' && !outcomeUnknown) return;
       if (result.kind === 'applied' && (await stateStore.whenCaughtUp(result.revision, CATCH_UP_TIMEOUT_MS)))
         return;
       if (result.kind === 'conflict' && (await stateStore.ensureFresh())) return;
-      unsure ||= result.kind !== 'refused';
+      outcomeUnknown ||= result.kind !== 'refused';
       await store.waitToRetry();
     }
   }
--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -100,12 +100,12 @@
 
   /** Machines that have been drained for a transfer. */
   drained(): DrainedMachine[] {
-    const found: DrainedMachine[] = [];
+    const drained: DrainedMachine[] = [];
     for (const { id, transferTarget, tasks, hasReservations, cordoned } of this.machines.values()) {
       if (transferTarget === null || tasks.size > 0 || hasReservations || cordoned) continue;
-      found.push({ id, toPartition: transferTarget });
+      drained.push({ id, toPartition: transferTarget });
     }
-    return found;
+    return drained;
   }
 
   /**
@@ -116,10 +116,10 @@
   unassigned(): string[] {
     const { assignedMachines } = this.options;
     for (const id of assignedMachines) if (!this.machines.has(id)) assignedMachines.delete(id);
-    const found: string[] = [];
+    const unassigned: string[] = [];
     for (const { id, cordoned, lastHeartbeatAt } of this.machines.values())
-      if (!assignedMachines.has(id) && !cordoned && lastHeartbeatAt !== null) found.push(id);
-    return found;
+      if (!assignedMachines.has(id) && !cordoned && lastHeartbeatAt !== null) unassigned.push(id);
+    return unassigned;
   }
 
   /** The state store lists these machines as assigned now. */
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -70,7 +70,7 @@
   deprioritized = false;
   /** The worker has shown the current token, so answers reach it. */
   tokenAcknowledged = false;
-  private tokenAttempt = 0;
+  private tokenOffset = 0;
   private leaseRenewedAt: number;
   /** Since when no other owner answers the worker. */
   private readonly ownedSince: number;
@@ -92,13 +92,13 @@
     return this.inFlight;
   }
 
-  private add(task: InFlightTask): void {
-    this.remove(task);
+  private addTask(task: InFlightTask): void {
+    this.removeTask(task);
     this.inFlight.set(taskKey(task.ref, task.index), task);
     this.usage.addTask(task.spec);
   }
 
-  private remove(task: InFlightTask): void {
+  private removeTask(task: InFlightTask): void {
     const key = taskKey(task.ref, task.index);
     const known = this.inFlight.get(key);
     if (!known) return;
@@ -134,7 +134,7 @@
 
   /** The fencing token to answer with: larger than any of an earlier owner, and larger again after `requireNewToken`. */
   token(partitionEpoch: number): number {
-    return this.firstToken(partitionEpoch) + this.tokenAttempt;
+    return this.firstToken(partitionEpoch) + this.tokenOffset;
   }
 
   private firstToken(partitionEpoch: number): number {
@@ -144,11 +144,11 @@
   /** Asks for proof that answers reach the worker. Until it comes no task is started, for starts would only be lost. */
   private requireNewToken(): void {
     this.tokenAcknowledged = false;
-    if (this.tokenAttempt < TOKENS_PER_EPOCH - 1) this.tokenAttempt++;
+    if (this.tokenOffset < TOKENS_PER_EPOCH - 1) this.tokenOffset++;
   }
 
-  private leaseExpired(from: number, now: number, leaseMs: number): boolean {
-    return now - from > leaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_MS;
+  private leaseExpired(renewedAt: number, now: number, leaseMs: number): boolean {
+    return now - renewedAt > leaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_MS;
   }
 
   /**
@@ -165,7 +165,7 @@
   /** Removes and returns all tasks: the machine, or its worker's lease, is gone. */
   removeAllTasks(): InFlightTask[] {
     const lost = [...this.inFlight.values()];
-    for (const task of lost) this.remove(task);
+    for (const task of lost) this.removeTask(task);
     return lost;
   }
 
@@ -194,8 +194,8 @@
     this.exitedAttempts.clear();
     // Exits first: a start refused as `busy` stands beside the live attempt that it met.
     for (const task of heartbeat.tasks) if (task.phase === 'exited') this.applyExit(task, outcome);
-    const live = this.applyLiveTasks(heartbeat, outcome, now);
-    this.dropVanished(heartbeat, live, outcome);
+    const liveKeys = this.applyLiveTasks(heartbeat, outcome, now);
+    this.dropVanished(heartbeat, liveKeys, outcome);
     return outcome;
   }
 
@@ -215,8 +215,8 @@
     }
     // A worker that shows none of this owner's tokens has taken no answer of it. Its lease is that of an earlier owner, and has
     // expired with all that one started, although the heartbeats go on.
-    const tookNoAnswer = heartbeat.token < this.firstToken(partitionEpoch);
-    if (tookNoAnswer && this.leaseExpired(this.ownedSince, now, leaseMs)) this.confirmed = true;
+    const receivedNoAnswer = heartbeat.token < this.firstToken(partitionEpoch);
+    if (receivedNoAnswer && this.leaseExpired(this.ownedSince, now, leaseMs)) this.confirmed = true;
   }
 
   private applyExit(task: HeartbeatTask, outcome: HeartbeatOutcome): void {
@@ -226,32 +226,32 @@
     const inFlight = known?.attempt === attempt ? known : null;
     const exit: TaskExit = { ref, index, attempt, reason: task.exit ?? 'other', inFlight };
     this.exitedAttempts.set(`${key}#${attempt}`, exit);
-    if (inFlight) this.remove(inFlight);
+    if (inFlight) this.removeTask(inFlight);
     outcome.exits.push(exit);
   }
 
   /** Updates the tasks in flight that are live; returns the keys of all live tasks. */
   private applyLiveTasks(heartbeat: Heartbeat, outcome: HeartbeatOutcome, now: number): Set<string> {
-    const live = new Set<string>();
+    const liveKeys = new Set<string>();
     for (const task of heartbeat.tasks) {
       if (task.phase === 'exited') continue;
       const key = taskKey(task.ref, task.index);
-      live.add(key);
+      liveKeys.add(key);
       const inFlight = this.inFlight.get(key);
       if (inFlight) updateInFlight(inFlight, task, now);
       else outcome.unknownTasks.push(task);
     }
-    return live;
+    return liveKeys;
   }
 
   /**
    * Drops the tasks in flight that a newer heartbeat does not report. A start travels only in the answer to a heartbeat, which the
    * worker takes before its next heartbeat or not at all, so such a task is not there.
    */
-  private dropVanished(heartbeat: Heartbeat, live: ReadonlySet<string>, outcome: HeartbeatOutcome): void {
+  private dropVanished(heartbeat: Heartbeat, liveKeys: ReadonlySet<string>, outcome: HeartbeatOutcome): void {
     let startLost = false;
     for (const [key, task] of [...this.inFlight]) {
-      if (live.has(key)) continue;
+      if (liveKeys.has(key)) continue;
       const { agentEpoch, sequence } = task.sentInHeartbeat;
       if (!isAfter(heartbeat, agentEpoch, sequence)) continue;
       startLost ||= task.phase === 'sent';
@@ -261,7 +261,7 @@
   }
 
   private dropLost(task: InFlightTask, outcome: HeartbeatOutcome): void {
-    this.remove(task);
+    this.removeTask(task);
     outcome.lost.push(task);
   }
 
@@ -285,7 +285,7 @@
 
   /** Puts a task in flight whose start is sent in the answer to the last heartbeat; returns the command. */
   startTask(spec: JobSpec, index: number, attempt: number, now: number): Command {
-    this.add({
+    this.addTask({
       startedAt: now,
       ref: spec.ref,
       index,
@@ -314,7 +314,7 @@
       runningSince: task.phase === 'running' ? now : null,
       sentInHeartbeat: { agentEpoch: this.agentEpoch, sequence: this.sequence },
     };
-    this.add(adopted);
+    this.addTask(adopted);
     return adopted;
   }
 }
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -162,7 +162,7 @@
       case 'move':
         if (!this.active) return;
         if (message.drain) this.core.drainForTransfer(message.machine, message.toPartition, now);
-        else this.machineRecords.change(message.machine, { partition: message.toPartition });
+        else this.machineRecords.queueChange(message.machine, { partition: message.toPartition });
         return;
       case 'retire':
         if (this.active) this.deprovision(message.machine, message.reason, message.force);
@@ -193,7 +193,7 @@
   }
 
   private deprovision(machine: string, reason: string, force: boolean): void {
-    this.machineRecords.change(machine, { phase: 'deprovisioning', reason }, force);
+    this.machineRecords.queueChange(machine, { phase: 'deprovisioning', reason }, force);
   }
 
   private tick(now: number): void {
@@ -211,7 +211,7 @@
   private releaseDrainedMachines(): void {
     for (const { id, toPartition } of this.core.drainedMachines()) {
       if (toPartition === DRAIN_TO_CLOUD) this.deprovision(id, 'spare', false);
-      else this.machineRecords.change(id, { partition: toPartition });
+      else this.machineRecords.queueChange(id, { partition: toPartition });
     }
   }
 
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -23,7 +23,7 @@
 import { progressToWrite, type ProgressToWrite } from './start-watermarks';
 import { TaskLifecycle, type PartitionCounters } from './task-lifecycle';
 import { type TaskObserver } from './task-observer';
-import { TaskPlacement, type PlacementHost, type PlacementSpreader } from './task-placement';
+import { TaskPlacement, type PlacementContext, type PlacementSpreader } from './task-placement';
 import { TeamQuota } from './team-quota';
 import { UnconfirmedMachines } from './unconfirmed-machines';
 
@@ -53,14 +53,14 @@
 /** A task that has run for less than this is not stopped for a transfer: it would lose all that it has done. */
 const MIN_RUN_BEFORE_STOP_MS = 30_000;
 /** Of a stored value, what the list of finished tasks of one job may take. */
-const PROGRESS_RANGES_RATIO = 0.25;
+const MAX_DONE_RANGES_RATIO = 0.25;
 
 /**
  * The state and decisions of one partition: the jobs of its teams and the machines assigned to it. No task of these teams runs on
  * any other machine, so all that quota, placement and recovery depend on is known here. It does no I/O and reads no clock; `now`
  * is steady time in milliseconds throughout. Calls must not overlap: the partition actor makes them one after the other.
  */
-export class PartitionCore implements PlacementHost, PartitionState {
+export class PartitionCore implements PlacementContext, PartitionState {
   readonly id: string;
   readonly epoch: number;
   readonly machineTypes: () => ReadonlyMap<string, MachineType>;
@@ -128,7 +128,7 @@
       quota,
       estimates,
       counters,
-      observed: this,
+      observerHolder: this,
       heartbeatIntervalMs,
     });
     this.lifecycle = lifecycle;
@@ -142,7 +142,7 @@
       lifecycle,
       placement,
       counters,
-      observed: this,
+      observerHolder: this,
       markConfirmed: (machine) => this.markConfirmed(machine),
     });
   }
@@ -155,8 +155,8 @@
     return this.observer?.spreader ?? null;
   }
 
-  get maxRangeBytes(): number {
-    return this.options.valueBytes * PROGRESS_RANGES_RATIO;
+  get maxDoneRangesBytes(): number {
+    return this.options.valueBytes * MAX_DONE_RANGES_RATIO;
   }
 
   /** Whether the partition schedules the jobs of a team. */
@@ -206,7 +206,7 @@
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
-    return this.placement.consumeSlack(task, now);
+    return this.placement.reserveSlack(task, now);
   }
 
   /** Machines that could take tasks once the state store lists them as assigned. */
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -24,12 +24,12 @@
   const partitionKey = keys.partition(store.partition);
   const put: Write = { put: partitionKey, value: { ...record, owner: member, incarnation } };
   const targetUnchanged = { key: keys.member(member), revision: incarnation };
-  for (let unsure = false; ;) {
+  for (let outcomeUnknown = false; ;) {
     const result = await store.transact([targetUnchanged], [put], RequestPriority.Decision);
     const takenOver = result.kind === 'conflict' && result.failed.includes(partitionKey);
     if (result.kind === 'applied' || takenOver) return true;
-    if (result.kind === 'conflict' || (result.kind === 'refused' && !unsure)) return false;
-    unsure ||= result.kind === 'unknown';
+    if (result.kind === 'conflict' || (result.kind === 'refused' && !outcomeUnknown)) return false;
+    outcomeUnknown ||= result.kind === 'unknown';
     await store.waitToRetry();
   }
 }
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -12,13 +12,13 @@
 /** The load of a partition as its owner publishes it to the leader: pending tasks within their teams' quota, and its machines. */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
-  const nothing = { cpus: 0, accelerators: 0, memoryGb: 0 };
+  const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
   const backlog = PRIORITIES.map(() => 0);
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
-    const waiting = Math.min(job.pendingCount, job.maxNewStarts(now));
+    const startable = Math.min(job.pendingCount, job.maxNewStarts(now));
     backlog[spec.priority] =
-      (backlog[spec.priority] ?? 0) + waiting * spec.cpus * partition.estimates.expectedSeconds(spec);
+      (backlog[spec.priority] ?? 0) + startable * spec.cpus * partition.estimates.expectedSeconds(spec);
   }
   return {
     partition: partition.id,
@@ -29,7 +29,7 @@
     backlog,
     demands: demands(partition, now),
     machines: [...partition.machines.values()].map((m) => {
-      const free = partition.freeOn(m) ?? nothing;
+      const free = partition.freeOn(m) ?? noResources;
       return {
         machine: m.id,
         tasks: m.tasks.size,
@@ -50,27 +50,28 @@
 
 function demands(partition: PartitionState, now: number): Demand[] {
   const found = new Map<string, Demand>();
-  const rooms = new Map<string, ResourceQuota>();
+  const remainingByTeam = new Map<string, ResourceQuota>();
   const allZones = new Set([...partition.machineTypes().values()].flatMap((t) => t.zones));
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
     if (job.pendingCount === 0 || job.state !== 'open') continue;
-    let room = rooms.get(spec.team);
-    if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
-    const quota = countWithinQuota(room, spec);
+    let remaining = remainingByTeam.get(spec.team);
+    if (!remaining) remainingByTeam.set(spec.team, (remaining = partition.quota.remaining(spec.team)));
+    const allowedByQuota = countWithinQuota(remaining, spec);
     // No machine is provisioned for a job that fails everywhere.
-    const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), quota);
+    const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), allowedByQuota);
     if (tasks === 0) continue;
-    room.cpus -= tasks * spec.cpus;
-    room.accelerators -= tasks * spec.accelerators;
+    remaining.cpus -= tasks * spec.cpus;
+    remaining.accelerators -= tasks * spec.accelerators;
     const expectedS = partition.estimates.expectedSeconds(spec);
     const { workload, cpus, accelerators, memoryGb, machineTypes, spot, priority } = spec;
     const zones = eligibleZones(spec, allZones, inFlightByZone(job));
     const key = JSON.stringify([workload, cpus, memoryGb, machineTypes, zones, spot]);
-    const known = found.get(key);
-    if (known) {
-      known.expectedS = (known.expectedS * known.tasks + expectedS * tasks) / (known.tasks + tasks);
-      known.tasks += tasks;
+    const existing = found.get(key);
+    if (existing) {
+      existing.expectedS =
+        (existing.expectedS * existing.tasks + expectedS * tasks) / (existing.tasks + tasks);
+      existing.tasks += tasks;
     } else {
       found.set(key, {
         workload,
@@ -105,19 +106,19 @@
   const emptyInS = new Map<string, number>();
   const remainingWork = PRIORITIES.map(() => 0);
   // Tasks are thousands, jobs are few.
-  const expected = new Map<JobSpec, number>();
+  const expectedByJob = new Map<JobSpec, number>();
   for (const machine of partition.machines.values()) {
-    let last = 0;
+    let longestS = 0;
     for (const { spec, runningSince } of machine.tasks.values()) {
       if (!spec) continue;
-      const ran = runningSince === null ? 0 : (now - runningSince) / 1000;
-      const expectedS = expected.get(spec) ?? partition.estimates.expectedSeconds(spec);
-      expected.set(spec, expectedS);
-      const left = Math.max(expectedS - ran, expectedS * MIN_REMAINING_RATIO);
-      remainingWork[spec.priority] = (remainingWork[spec.priority] ?? 0) + spec.cpus * left;
-      last = Math.max(last, left);
+      const ranS = runningSince === null ? 0 : (now - runningSince) / 1000;
+      const expectedS = expectedByJob.get(spec) ?? partition.estimates.expectedSeconds(spec);
+      expectedByJob.set(spec, expectedS);
+      const remainingS = Math.max(expectedS - ranS, expectedS * MIN_REMAINING_RATIO);
+      remainingWork[spec.priority] = (remainingWork[spec.priority] ?? 0) + spec.cpus * remainingS;
+      longestS = Math.max(longestS, remainingS);
     }
-    if (last > 0) emptyInS.set(machine.id, last);
+    if (longestS > 0) emptyInS.set(machine.id, longestS);
   }
   return { remainingWork, emptyInS };
 }
--- a/src/coordination/partition/partition-state.ts
+++ b/src/coordination/partition/partition-state.ts
@@ -21,7 +21,7 @@
   /** Steady time in milliseconds at which a job last became known here. */
   readonly lastJobArrivalAt: number;
   /** Bytes of a stored value that the list of finished tasks of one job may take. */
-  readonly maxRangeBytes: number;
+  readonly maxDoneRangesBytes: number;
   readonly machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Capacity of a machine; null while its type is unknown. */
   capacityOf(machine: MachineState): Resources | null;
--- a/src/coordination/partition/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -26,11 +26,15 @@
 }
 
 /** How many more tasks of a job a zone may take, given where its tasks are in flight to be now. */
-export function remainingInZone(spec: JobSpec, zone: string, placed: ReadonlyMap<string, number>): number {
+export function remainingInZone(
+  spec: JobSpec,
+  zone: string,
+  inFlightByZone: ReadonlyMap<string, number>,
+): number {
   if (spec.singleZone) {
-    for (const [other, count] of placed) if (other !== zone && count > 0) return 0;
+    for (const [other, count] of inFlightByZone) if (other !== zone && count > 0) return 0;
   }
-  if (spec.spreadZones) return Math.max(0, Math.ceil(spec.tasks / 2) - (placed.get(zone) ?? 0));
+  if (spec.spreadZones) return Math.max(0, Math.ceil(spec.tasks / 2) - (inFlightByZone.get(zone) ?? 0));
   return Number.POSITIVE_INFINITY;
 }
 
@@ -41,11 +45,11 @@
 export function eligibleZones(
   spec: JobSpec,
   zones: Iterable<string>,
-  placed: ReadonlyMap<string, number>,
+  inFlightByZone: ReadonlyMap<string, number>,
 ): string[] | null {
   if (spec.zone !== null) return [spec.zone];
-  if (placed.size === 0 || !(spec.singleZone || spec.spreadZones)) return null;
-  return [...zones].filter((zone) => remainingInZone(spec, zone, placed) > 0);
+  if (inFlightByZone.size === 0 || !(spec.singleZone || spec.spreadZones)) return null;
+  return [...zones].filter((zone) => remainingInZone(spec, zone, inFlightByZone) > 0);
 }
 
 /** Why a job can never run, or null. */
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -4,10 +4,10 @@
 /** The times, in seconds from its submission, by which a job is expected to be done; earliest first. */
 export function deadlinesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
   const deadlines: number[] = [];
-  for (const o of objectives) {
-    if (o.kind === 'guarantee' || o.workload !== spec.workload) continue;
-    if (o.kind === 'finished') deadlines.push(o.withinS);
-    else if (spec.deadlineS !== null) deadlines.push(spec.deadlineS * o.times);
+  for (const objective of objectives) {
+    if (objective.kind === 'guarantee' || objective.workload !== spec.workload) continue;
+    if (objective.kind === 'finished') deadlines.push(objective.withinS);
+    else if (spec.deadlineS !== null) deadlines.push(spec.deadlineS * objective.times);
   }
   if (deadlines.length === 0 && spec.deadlineS !== null) deadlines.push(spec.deadlineS);
   return deadlines.sort((a, b) => a - b);
@@ -65,8 +65,8 @@
   waitState: WaitState,
   objectives: readonly Objective[],
 ): number {
-  const within = objectives.find((o) => o.kind === 'guarantee')?.withinS ?? DEFAULT_GUARANTEE_S;
-  const guaranteeDue = waitState.withinGuarantee && waitState.ageS > GUARANTEE_WAIT_RATIO * within;
+  const withinS = objectives.find((o) => o.kind === 'guarantee')?.withinS ?? DEFAULT_GUARANTEE_S;
+  const guaranteeDue = waitState.withinGuarantee && waitState.ageS > GUARANTEE_WAIT_RATIO * withinS;
   if (exceedsMaxWait(waitState)) return Math.min(priority, AGED_PRIORITY);
   return guaranteeDue ? Math.min(priority, AGED_GUARANTEED_PRIORITY) : priority;
 }
@@ -85,16 +85,16 @@
   private readonly samplesByWorkload = new Map<string, { expected: number; actual: number; tasks: number }>();
 
   addSample(workload: string, expectedS: number, actualS: number): void {
-    const known = this.samplesByWorkload.get(workload) ?? { expected: 0, actual: 0, tasks: 0 };
-    known.expected += expectedS;
-    known.actual += actualS;
-    known.tasks++;
-    this.samplesByWorkload.set(workload, known);
+    const samples = this.samplesByWorkload.get(workload) ?? { expected: 0, actual: 0, tasks: 0 };
+    samples.expected += expectedS;
+    samples.actual += actualS;
+    samples.tasks++;
+    this.samplesByWorkload.set(workload, samples);
   }
 
   expectedSeconds(spec: JobSpec): number {
-    const known = this.samplesByWorkload.get(spec.workload);
-    if (!known || known.tasks < MIN_SAMPLE_COUNT || known.expected <= 0) return spec.expectedS;
-    return spec.expectedS * Math.min(2.5, Math.max(0.4, known.actual / known.expected));
+    const samples = this.samplesByWorkload.get(spec.workload);
+    if (!samples || samples.tasks < MIN_SAMPLE_COUNT || samples.expected <= 0) return spec.expectedS;
+    return spec.expectedS * Math.min(2.5, Math.max(0.4, samples.actual / samples.expected));
   }
 }
--- a/src/coordination/partition/progress-writer.ts
+++ b/src/coordination/partition/progress-writer.ts
@@ -27,7 +27,7 @@
 export class ProgressWriter {
   private readonly slots: ProgressSlots;
   private writing = false;
-  private writtenAt = Number.NEGATIVE_INFINITY;
+  private lastWriteAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ProgressWriterOptions) {
     this.slots = new ProgressSlots(options.valueBytes);
@@ -46,10 +46,10 @@
   /** Writes progress if it is due: at intervals, and sooner if tasks wait for their start watermarks. */
   async writeIfDue(now: number): Promise<void> {
     const { store, txnOps, intervalMs, minIntervalMs, onWritten } = this.options;
-    if (this.writing || now - this.writtenAt < minIntervalMs) return;
+    if (this.writing || now - this.lastWriteAt < minIntervalMs) return;
     const { jobs, watermarksRaised } = this.options.progress(now);
-    if (!watermarksRaised && now - this.writtenAt < intervalMs) return;
-    this.writtenAt = now;
+    if (!watermarksRaised && now - this.lastWriteAt < intervalMs) return;
+    this.lastWriteAt = now;
     const values = this.slots.changedValues(jobs).slice(0, txnOps);
     if (values.length === 0) return;
     this.writing = true;
@@ -58,9 +58,12 @@
       value: encodeProgress(inSlot),
     }));
     // An earlier attempt that is applied late must not bring lower start watermarks back.
-    const unchanged = writes.map(({ put }) => ({ key: put, revision: store.stateStore.revisionOf(put) }));
+    const unchangedConditions = writes.map(({ put }) => ({
+      key: put,
+      revision: store.stateStore.revisionOf(put),
+    }));
     const priority = watermarksRaised ? RequestPriority.Decision : RequestPriority.Progress;
-    const result = await store.transact(unchanged, writes, priority, WRITE_TIMEOUT_MS);
+    const result = await store.transact(unchangedConditions, writes, priority, WRITE_TIMEOUT_MS);
     if (result.kind === 'applied') await store.stateStore.whenCaughtUp(result.revision, WRITE_TIMEOUT_MS);
     this.writing = false;
     if (result.kind !== 'applied') return;
--- a/src/coordination/partition/scheduling-order.ts
+++ b/src/coordination/partition/scheduling-order.ts
@@ -27,7 +27,7 @@
 /** A partition's open jobs in the order in which they are offered resources; sets the effective priority of each. */
 export function schedulingOrder(jobs: readonly PartitionJob[], context: SchedulingContext): PartitionJob[] {
   const guaranteed = jobsWithinGuarantee(jobs, context.teams);
-  const sortKeys = new Map<PartitionJob, { late: number; turn: number }>();
+  const sortKeys = new Map<PartitionJob, { lateness: number; adjustedArrivalMs: number }>();
   for (const job of jobs) {
     const { spec, deadlines, acceptedAt } = job;
     const ageS = (context.wallClockMs - acceptedAt) / 1000;
@@ -36,20 +36,24 @@
     const waitState = { ageS, startedRatio, withinGuarantee: guaranteed.has(job) };
     const priority = deadlinePriority(spec, deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
     job.effectivePriority = agedPriority(priority, waitState, context.objectives);
-    const late = exceedsMaxWait(waitState)
+    const lateness = exceedsMaxWait(waitState)
       ? -1
       : missedDeadlineCount(deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
     // Arrival order, but a job steps back by a few times what it would take all our machines: one large job
     // ahead of twenty small ones makes twenty users wait for one. The step is bounded, so none starves.
     const sizePenaltyS = (SIZE_PENALTY_RATIO * spec.tasks * spec.cpus * expectedS) / context.cpus;
-    sortKeys.set(job, { late, turn: acceptedAt + 1000 * Math.min(sizePenaltyS, MAX_SIZE_PENALTY_S) });
+    sortKeys.set(job, {
+      lateness,
+      adjustedArrivalMs: acceptedAt + 1000 * Math.min(sizePenaltyS, MAX_SIZE_PENALTY_S),
+    });
   }
-  const of = (job: PartitionJob): { late: number; turn: number } => sortKeys.get(job) ?? { late: 0, turn: 0 };
+  const keyOf = (job: PartitionJob): { lateness: number; adjustedArrivalMs: number } =>
+    sortKeys.get(job) ?? { lateness: 0, adjustedArrivalMs: 0 };
   return [...jobs].sort(
     (a, b) =>
       a.effectivePriority - b.effectivePriority ||
-      of(a).late - of(b).late ||
-      of(a).turn - of(b).turn ||
+      keyOf(a).lateness - keyOf(b).lateness ||
+      keyOf(a).adjustedArrivalMs - keyOf(b).adjustedArrivalMs ||
       (a.ref < b.ref ? -1 : 1),
   );
 }
@@ -60,12 +64,12 @@
   teams: ReadonlyMap<string, Team>,
 ): Set<PartitionJob> {
   const within = new Set<PartitionJob>();
-  const taken = new Map<string, number>();
+  const cpusByTeam = new Map<string, number>();
   for (const job of [...jobs].sort((a, b) => a.acceptedAt - b.acceptedAt)) {
     const { team, tasks, cpus } = job.spec;
-    const sum = (taken.get(team) ?? 0) + (tasks - job.doneCount) * cpus;
-    taken.set(team, sum);
-    if (sum <= (teams.get(team)?.guaranteed.cpus ?? 0)) within.add(job);
+    const neededCpus = (cpusByTeam.get(team) ?? 0) + (tasks - job.doneCount) * cpus;
+    cpusByTeam.set(team, neededCpus);
+    if (neededCpus <= (teams.get(team)?.guaranteed.cpus ?? 0)) within.add(job);
   }
   return within;
 }
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -16,40 +16,40 @@
 export function progressToWrite(partition: PartitionState, now: number): ProgressToWrite {
   const jobs = new Map<string, JobProgress>();
   let watermarksRaised = false;
-  let room = startableCpus(partition, now);
-  const teams = new Map<string, number>();
+  let cpusLeft = allocatableCpus(partition, now);
+  const teamCpusLeft = new Map<string, number>();
   const allConfirmed = partition.unconfirmedCount === 0;
   for (const job of partition.jobsInSchedulingOrder()) {
     if (job.state !== 'open' || job.finished) continue;
-    const waiting = Math.min(job.startableCount(allConfirmed), job.maxNewStarts(now));
+    const startable = Math.min(job.startableCount(allConfirmed), job.maxNewStarts(now));
     const { team, cpus } = job.spec;
     // What its team's limit holds back takes no room ahead: jobs behind it would otherwise never get a watermark.
-    const ofTeam =
-      teams.get(team) ??
+    const cpusLeftToTeam =
+      teamCpusLeft.get(team) ??
       partition.quota.remaining(team).cpus + WATERMARK_AHEAD_RATIO * partition.quota.usageOf(team).cpus;
-    const able = Math.floor(Math.min(room, ofTeam) / Math.max(cpus, MIN_TASK_CPUS));
-    const wants = job.heldByPipeline ? 0 : Math.max(0, Math.min(waiting, able));
-    room -= wants * cpus;
-    teams.set(team, ofTeam - wants * cpus);
+    const fitting = Math.floor(Math.min(cpusLeft, cpusLeftToTeam) / Math.max(cpus, MIN_TASK_CPUS));
+    const tasksToStart = job.heldByPipeline ? 0 : Math.max(0, Math.min(startable, fitting));
+    cpusLeft -= tasksToStart * cpus;
+    teamCpusLeft.set(team, cpusLeftToTeam - tasksToStart * cpus);
     const startWatermark =
-      wants > 0
-        ? Math.max(job.startWatermark, job.watermarkToStart(wants, allConfirmed))
+      tasksToStart > 0
+        ? Math.max(job.startWatermark, job.watermarkToStart(tasksToStart, allConfirmed))
         : job.startWatermark;
     if (startWatermark > job.startWatermark) watermarksRaised = true;
     else if (!job.hasProgress) continue;
-    jobs.set(job.ref, { ...job.progress(partition.maxRangeBytes), startWatermark });
+    jobs.set(job.ref, { ...job.progress(partition.maxDoneRangesBytes), startWatermark });
   }
   return { jobs, watermarksRaised };
 }
 
 /** CPUs that could be given out until start watermarks are raised the next time. */
-function startableCpus(partition: PartitionState, now: number): number {
-  let room = 0;
+function allocatableCpus(partition: PartitionState, now: number): number {
+  let cpus = 0;
   for (const machine of partition.machines.values()) {
-    const has = partition.capacityOf(machine);
-    if (!has) continue;
-    room += WATERMARK_AHEAD_RATIO * has.cpus;
-    if (!partition.isUnschedulable(machine, now)) room += Math.max(0, machine.free(has)?.cpus ?? 0);
+    const capacity = partition.capacityOf(machine);
+    if (!capacity) continue;
+    cpus += WATERMARK_AHEAD_RATIO * capacity.cpus;
+    if (!partition.isUnschedulable(machine, now)) cpus += Math.max(0, machine.free(capacity)?.cpus ?? 0);
   }
-  return room;
+  return cpus;
 }
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -36,7 +36,7 @@
   estimates: RuntimeEstimates;
   counters: PartitionCounters;
   /** Holder of the observer, which is set after the partition is built. */
-  observed: { readonly observer: TaskObserver | null };
+  observerHolder: { readonly observer: TaskObserver | null };
   heartbeatIntervalMs: number;
 }
 
@@ -45,7 +45,7 @@
   constructor(private readonly deps: TaskLifecycleDependencies) {}
 
   private get observer(): TaskObserver | null {
-    return this.deps.observed.observer;
+    return this.deps.observerHolder.observer;
   }
 
   /** Adopts a live task that an earlier owner started. One that is not wanted any more is stopped. */
@@ -107,7 +107,7 @@
     machine.failuresByJob.clear();
     machine.healthy = true;
     if (job.isDone(exit.index)) return;
-    if (!job.isPending(exit.index)) this.stopOtherAttempt(job, exit.index);
+    if (!job.isPending(exit.index)) this.killInFlightAttempt(job, exit.index);
     job.markDone(exit.index);
     this.observer?.taskDone(exit.ref, exit.index, now);
     this.deps.counters.done++;
@@ -132,7 +132,7 @@
     if (job.failsEverywhere) job.backOff(now);
   }
 
-  private stopOtherAttempt(job: PartitionJob, index: number): void {
+  private killInFlightAttempt(job: PartitionJob, index: number): void {
     const task = job.inFlight.get(index)?.tasks.get(taskKey(job.ref, index));
     if (task) task.stop = { graceS: 0 };
   }
@@ -142,7 +142,7 @@
    * gone.
    */
   stopTasksOf(job: PartitionJob): void {
-    for (const index of job.inFlight.keys()) this.stopOtherAttempt(job, index);
+    for (const index of job.inFlight.keys()) this.killInFlightAttempt(job, index);
   }
 
   /** The cloud is about to preempt the machine: tasks that can save a checkpoint are stopped in time to do so. */
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -19,11 +19,11 @@
 const MAX_IMAGE_AFFINITY_WAIT_MS = 30_000;
 const ATTEMPTS_PER_EPOCH = 1_000_000;
 /** Heartbeat intervals, and a margin, after which a machine that sends no heartbeat is given no task. */
-const MAX_HEARTBEAT_AGE_RATIO = 1.5;
+const MAX_HEARTBEAT_AGE_INTERVALS = 1.5;
 const HEARTBEAT_AGE_MARGIN_MS = 1000;
 
 /** What placement needs to know of a partition. */
-export interface PlacementHost {
+export interface PlacementContext {
   readonly epoch: number;
   readonly machines: ReadonlyMap<string, MachineState>;
   readonly jobs: ReadonlyMap<string, PartitionJob>;
@@ -44,22 +44,22 @@
 /** Bounds what new tasks may take on each machine, so that all are filled alike. */
 export interface PlacementSpreader {
   /** Looks at the machines that take work, and at how many CPUs wait. */
-  updateFillLevel(machines: Iterable<MachineState>, waitingCpus: number): void;
+  updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void;
   /** CPUs that new tasks of a job may take on a machine now. */
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number;
 }
 
 /** Chooses machines for waiting tasks, and starts the tasks there. */
 export class TaskPlacement {
-  private attempts = 0;
+  private attemptCount = 0;
   /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
   private slackCpus: number | null = null;
 
-  constructor(private readonly host: PlacementHost) {}
+  constructor(private readonly context: PlacementContext) {}
 
   /** Whether nothing new is to be put on a machine just now. */
   isUnschedulable(machine: MachineState, now: number): boolean {
-    const maxAgeMs = this.host.heartbeatIntervalMs * MAX_HEARTBEAT_AGE_RATIO + HEARTBEAT_AGE_MARGIN_MS;
+    const maxAgeMs = this.context.heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_MS;
     return (
       machine.cordoned ||
       machine.transferTarget !== null ||
@@ -77,24 +77,26 @@
    */
   isQuarantined(machine: MachineState): boolean {
     let failures = 0;
-    let doubtful = 0;
+    let unprovenJobs = 0;
     for (const [ref, n] of machine.failuresByJob) {
-      const job = this.host.jobs.get(ref);
+      const job = this.context.jobs.get(ref);
       if (!job || job.failsEverywhere) continue;
       if (job.doneCount > 0 || !machine.healthy) failures += n;
-      else doubtful++;
+      else unprovenJobs++;
     }
-    return failures >= QUARANTINE_FAILURE_COUNT || doubtful >= QUARANTINE_FAILURE_COUNT;
+    return failures >= QUARANTINE_FAILURE_COUNT || unprovenJobs >= QUARANTINE_FAILURE_COUNT;
   }
 
   /** Whether tasks may be started on it: it is confirmed, answers reach it, and the state store lists it as assigned. */
   private acceptsTasks(machine: MachineState, now: number): boolean {
     const { id, confirmed, tokenAcknowledged } = machine;
-    return confirmed && tokenAcknowledged && this.host.isAssigned(id) && !this.isUnschedulable(machine, now);
+    return (
+      confirmed && tokenAcknowledged && this.context.isAssigned(id) && !this.isUnschedulable(machine, now)
+    );
   }
 
   /** Reserves room for a task that is to go on elsewhere in this partition; false: there is none beyond what waits. */
-  consumeSlack({ spec }: InFlightTask, now: number): boolean {
+  reserveSlack({ spec }: InFlightTask, now: number): boolean {
     if (!spec || spec.checkpointIntervalS <= 0) return false;
     this.slackCpus ??= this.freeCpus(now) - this.pendingCpus();
     if (this.slackCpus < spec.cpus) return false;
@@ -104,15 +106,15 @@
 
   private freeCpus(now: number): number {
     let free = 0;
-    for (const machine of this.host.machines.values())
-      if (this.acceptsTasks(machine, now)) free += this.host.freeOn(machine)?.cpus ?? 0;
+    for (const machine of this.context.machines.values())
+      if (this.acceptsTasks(machine, now)) free += this.context.freeOn(machine)?.cpus ?? 0;
     return free;
   }
 
   private pendingCpus(): number {
-    let needed = 0;
-    for (const job of this.host.jobsInSchedulingOrder()) needed += job.pendingCount * job.spec.cpus;
-    return needed;
+    let pendingCpus = 0;
+    for (const job of this.context.jobsInSchedulingOrder()) pendingCpus += job.pendingCount * job.spec.cpus;
+    return pendingCpus;
   }
 
   /**
@@ -121,30 +123,30 @@
    */
   prioritizeMachines(now: number): void {
     this.slackCpus = null;
-    let needed = this.pendingCpus();
-    if (this.host.spreader) return this.spreadOverMachines(this.host.spreader, needed, now);
+    let remainingCpus = this.pendingCpus();
+    if (this.context.spreader) return this.prepareSpreading(this.context.spreader, remainingCpus, now);
     const usable: { machine: MachineState; free: number }[] = [];
-    for (const machine of this.host.machines.values()) {
+    for (const machine of this.context.machines.values()) {
       machine.deprioritized = false;
-      if (needed === 0 || !this.acceptsTasks(machine, now)) continue;
-      const free = this.host.freeOn(machine)?.cpus ?? 0;
+      if (remainingCpus === 0 || !this.acceptsTasks(machine, now)) continue;
+      const free = this.context.freeOn(machine)?.cpus ?? 0;
       if (free > 0) usable.push({ machine, free });
     }
     usable.sort((a, b) => Number(b.machine.record.spot) - Number(a.machine.record.spot) || a.free - b.free);
     for (const { machine, free } of usable) {
-      machine.deprioritized = needed <= 0;
-      needed -= free;
+      machine.deprioritized = remainingCpus <= 0;
+      remainingCpus -= free;
     }
   }
 
   /** All machines are used, each up to what it is allowed when it is filled. */
-  private spreadOverMachines(spreader: PlacementSpreader, waitingCpus: number, now: number): void {
+  private prepareSpreading(spreader: PlacementSpreader, pendingCpus: number, now: number): void {
     const usable: MachineState[] = [];
-    for (const machine of this.host.machines.values()) {
+    for (const machine of this.context.machines.values()) {
       machine.deprioritized = false;
-      if (waitingCpus > 0 && this.acceptsTasks(machine, now)) usable.push(machine);
+      if (pendingCpus > 0 && this.acceptsTasks(machine, now)) usable.push(machine);
     }
-    spreader.updateFillLevel(usable, waitingCpus);
+    spreader.updateFillLevel(usable, pendingCpus);
   }
 
   /**
@@ -158,8 +160,8 @@
     commands: Command[],
     now: number,
   ): boolean {
-    const free = this.host.freeOn(machine);
-    if (!free || this.host.unconfirmedCount > 0 || !this.acceptsTasks(machine, now)) return false;
+    const free = this.context.freeOn(machine);
+    if (!free || this.context.unconfirmedCount > 0 || !this.acceptsTasks(machine, now)) return false;
     if (job.heldByPipeline || !job.isPending(index) || index >= job.startWatermark) return false;
     if (machine.tasks.has(taskKey(job.ref, index)) || this.maxStarts(job, machine, free, now) === 0)
       return false;
@@ -169,8 +171,8 @@
 
   /** Starts the next task of a job on a machine; false: none can be started there now. */
   startNext(job: PartitionJob, machine: MachineState, commands: Command[], now: number): boolean {
-    const free = this.host.freeOn(machine);
-    const allConfirmed = this.host.unconfirmedCount === 0;
+    const free = this.context.freeOn(machine);
+    const allConfirmed = this.context.unconfirmedCount === 0;
     if (!free || !this.acceptsTasks(machine, now) || this.maxStarts(job, machine, free, now) === 0)
       return false;
     const index = job
@@ -188,15 +190,15 @@
    */
   placeTasks(machine: MachineState, commands: Command[], now: number): void {
     if (machine.deprioritized || !this.acceptsTasks(machine, now)) return;
-    const free = this.host.freeOn(machine);
+    const free = this.context.freeOn(machine);
     if (!free || free.cpus <= 0) return;
-    this.host.counters.placementPasses++;
-    const queue = this.host.jobsInSchedulingOrder();
-    const allConfirmed = this.host.unconfirmedCount === 0;
+    this.context.counters.placementPasses++;
+    const queue = this.context.jobsInSchedulingOrder();
+    const allConfirmed = this.context.unconfirmedCount === 0;
     for (let from = 0; from < queue.length && free.cpus > 0;) {
-      const rank = queue[from]?.effectivePriority;
+      const priority = queue[from]?.effectivePriority;
       let to = from;
-      for (; to < queue.length && queue[to]?.effectivePriority === rank; to++) {
+      for (; to < queue.length && queue[to]?.effectivePriority === priority; to++) {
         const job = queue[to] as PartitionJob;
         if (job.startableCount(allConfirmed) === 0 || !machine.images.has(job.spec.image)) continue;
         if (now - job.firstSeenAt < MAX_IMAGE_AFFINITY_WAIT_MS)
@@ -219,7 +221,7 @@
   ): void {
     const n = Math.min(this.maxStarts(job, machine, free, now), this.maxSpreadStarts(job, machine, free));
     if (n <= 0) return;
-    for (const index of job.startableTasks(n, this.host.unconfirmedCount === 0, now)) {
+    for (const index of job.startableTasks(n, this.context.unconfirmedCount === 0, now)) {
       if (machine.tasks.has(taskKey(job.ref, index))) continue;
       commands.push(this.startTask(job, index, machine, now));
       subtractResources(free, job.spec);
@@ -228,7 +230,7 @@
 
   /** How many of them keep the machine as full as the others; one at least while it is emptier than they are. */
   private maxSpreadStarts({ spec }: PartitionJob, machine: MachineState, free: Resources): number {
-    const { spreader } = this.host;
+    const { spreader } = this.context;
     if (!spreader) return Number.POSITIVE_INFINITY;
     const cpus = spreader.cpuAllowance(machine, free, spec);
     return cpus <= 0 ? 0 : Math.max(1, Math.floor(cpus / Math.max(spec.cpus, MIN_TASK_CPUS)));
@@ -237,18 +239,18 @@
   /** How many tasks of a job may be started on a machine that has so much free. */
   private maxStarts(job: PartitionJob, machine: MachineState, free: Resources, now: number): number {
     const { spec } = job;
-    const places = countFitting(free, spec);
-    if (places === 0 || job.state !== 'open' || !allowsMachine(spec, machine.record)) return 0;
+    const fitting = countFitting(free, spec);
+    if (fitting === 0 || job.state !== 'open' || !allowsMachine(spec, machine.record)) return 0;
     // It succeeded nowhere yet and fails here: another machine tells whose fault it is.
     if (job.doneCount === 0 && (machine.failuresByJob.get(job.ref) ?? 0) >= QUARANTINE_FAILURE_COUNT)
       return 0;
-    const room = this.host.quota.remaining(spec.team);
-    const ofTeam = countWithinQuota(room, spec);
+    const remaining = this.context.quota.remaining(spec.team);
+    const allowedByQuota = countWithinQuota(remaining, spec);
     const n = Math.min(
-      places,
-      job.startableCount(this.host.unconfirmedCount === 0),
+      fitting,
+      job.startableCount(this.context.unconfirmedCount === 0),
       job.maxNewStarts(now),
-      ofTeam,
+      allowedByQuota,
     );
     if (n === 0 || !(spec.singleZone || spec.spreadZones)) return n;
     return Math.min(n, remainingInZone(spec, machine.record.zone, this.inFlightByZone(job)));
@@ -256,21 +258,21 @@
 
   private startTask(job: PartitionJob, index: number, machine: MachineState, now: number): Command {
     const { spec } = job;
-    const attempt = this.host.epoch * ATTEMPTS_PER_EPOCH + ++this.attempts;
+    const attempt = this.context.epoch * ATTEMPTS_PER_EPOCH + ++this.attemptCount;
     const command = machine.startTask(spec, index, attempt, now);
     machine.images.add(spec.image);
     machine.idleSince = now;
     job.markInFlight(index, machine);
-    this.host.quota.addUsage(spec, 1);
-    this.host.counters.started++;
+    this.context.quota.addUsage(spec, 1);
+    this.context.counters.started++;
     return command;
   }
 
   /** How many tasks of a job are in each zone. */
   private inFlightByZone(job: PartitionJob): Map<string, number> {
     const zones = new Map<string, number>();
-    // Not only `out`: a task may also be in flight on a machine where it is being stopped.
-    for (const machine of this.host.machines.values()) {
+    // Not only `inFlight`: a task may also be in flight on a machine where it is being stopped.
+    for (const machine of this.context.machines.values()) {
       for (const task of machine.tasks.values()) {
         if (task.ref !== job.ref) continue;
         zones.set(machine.record.zone, (zones.get(machine.record.zone) ?? 0) + 1);
--- a/src/coordination/partition/team-quota.ts
+++ b/src/coordination/partition/team-quota.ts
@@ -3,7 +3,7 @@
 import { type PartitionJob } from './job';
 import { type UnconfirmedMachines } from './unconfirmed-machines';
 
-const NOTHING: ResourceQuota = { cpus: 0, accelerators: 0 };
+const NO_RESOURCES: ResourceQuota = { cpus: 0, accelerators: 0 };
 
 /** Quota of the teams of a partition: what their tasks use, and what is reserved for tasks that were not reported yet. */
 export class TeamQuota {
@@ -16,11 +16,11 @@
 
   constructor(
     teams: readonly Team[],
-    private readonly unconfirmed: UnconfirmedMachines,
+    private readonly unconfirmedMachines: UnconfirmedMachines,
     private readonly jobs: ReadonlyMap<string, PartitionJob>,
   ) {
     this.teams = new Map(teams.map((team) => [team.name, team]));
-    for (const team of teams) this.used.set(team.name, { ...NOTHING });
+    for (const team of teams) this.used.set(team.name, { ...NO_RESOURCES });
   }
 
   has(team: string): boolean {
@@ -33,12 +33,12 @@
   }
 
   usageOf(team: string): ResourceQuota {
-    return this.used.get(team) ?? NOTHING;
+    return this.used.get(team) ?? NO_RESOURCES;
   }
 
   /** What a team may still use; tasks that may be on unconfirmed machines count as if they ran. */
   remaining(team: string): ResourceQuota {
-    const limit = this.teams.get(team)?.limit ?? NOTHING;
+    const limit = this.teams.get(team)?.limit ?? NO_RESOURCES;
     const used = this.usageOf(team);
     const reserved = this.reservedFor(team);
     return {
@@ -69,13 +69,13 @@
    * would hold back teams that have nothing on them.
    */
   private reservedFor(team: string): ResourceQuota {
-    if (this.unconfirmed.count === 0) return NOTHING;
+    if (this.unconfirmedMachines.count === 0) return NO_RESOURCES;
     this.reserved ??= this.sumReserved();
-    const own = this.reserved.get(team) ?? NOTHING;
-    const { upperBound } = this.unconfirmed;
+    const reservedForTeam = this.reserved.get(team) ?? NO_RESOURCES;
+    const { upperBound } = this.unconfirmedMachines;
     return {
-      cpus: Math.min(upperBound.cpus, own.cpus),
-      accelerators: Math.min(upperBound.accelerators, own.accelerators),
+      cpus: Math.min(upperBound.cpus, reservedForTeam.cpus),
+      accelerators: Math.min(upperBound.accelerators, reservedForTeam.accelerators),
     };
   }
 
@@ -92,7 +92,7 @@
 }
 
 function addTo(sums: Map<string, ResourceQuota>, spec: JobSpec, tasks: number): void {
-  const sum = sums.get(spec.team) ?? { ...NOTHING };
+  const sum = sums.get(spec.team) ?? { ...NO_RESOURCES };
   sum.cpus += tasks * spec.cpus;
   sum.accelerators += tasks * spec.accelerators;
   sums.set(spec.team, sum);
--- a/src/coordination/partition/terminal-state-writer.ts
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -48,12 +48,12 @@
   /** The value to extend: the partition's last one, or a new one if that is full. */
   private targetValue(): { key: string; revision: number; value: object } {
     const { partition, replica, stateStore } = this.store;
-    const last = replica.lastTerminalStatesIndex(partition);
-    const key = keys.terminalStates(partition, last);
+    const lastIndex = replica.lastTerminalStatesIndex(partition);
+    const key = keys.terminalStates(partition, lastIndex);
     const current = stateStore.replica.entries.get(key);
     if (current === undefined) return { key, revision: 0, value: {} };
     if (JSON.stringify(current.value).length > MAX_VALUE_BYTES)
-      return { key: keys.terminalStates(partition, last + 1), revision: 0, value: {} };
+      return { key: keys.terminalStates(partition, lastIndex + 1), revision: 0, value: {} };
     return { key, revision: current.revision, value: current.value as object };
   }
 }
--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -63,7 +63,7 @@
   snapshot(): PipelineSnapshot {
     this.applyRecordedFailures();
     // A fallback starts only once the failure that releases it is recorded: a later owner could not tell that failure anew.
-    const startable = new Set(this.released);
+    const recordedReleases = new Set(this.released);
     this.applyResult(recoveryPass(this.nodes, this.edges, [...this.nodes.keys()]));
     this.pipelineFailed ||= this.jobs.some((_, i) => this.hasFailed(i) && !this.hasFallback(i));
     const snapshot: PipelineSnapshot = {
@@ -71,7 +71,7 @@
       terminalStates: new Map(),
       statusByJob: new Map(),
     };
-    for (const i of this.jobs.keys()) this.addJob(i, startable, snapshot);
+    for (const i of this.jobs.keys()) this.addToSnapshot(i, recordedReleases, snapshot);
     return snapshot;
   }
 
@@ -105,17 +105,17 @@
     return hasFallbackEdge || (this.nodes[i]?.alternates.length ?? 0) > 0;
   }
 
-  private addJob(i: number, startable: ReadonlySet<number>, snapshot: PipelineSnapshot): void {
+  private addToSnapshot(i: number, recordedReleases: ReadonlySet<number>, snapshot: PipelineSnapshot): void {
     const { jobs, nodes, edges, released } = this;
     const job = jobs[i];
     if (!job) return;
     const { spec, state } = job;
     const terminalState = state === 'open' ? this.terminated.get(i) : undefined;
     if (terminalState) snapshot.terminalStates.set(spec.ref, terminalState);
-    const ready = state === 'open' && !terminalState && mayBegin(nodes, edges, i, startable);
+    const ready = state === 'open' && !terminalState && mayBegin(nodes, edges, i, recordedReleases);
     if (ready) snapshot.ready.add(spec.ref);
     const openState = (): PipelineJobStatus['state'] =>
-      ready ? 'ready' : idleState(i, jobs, nodes, edges, released);
+      ready ? 'ready' : waitingState(i, jobs, nodes, edges, released);
     snapshot.statusByJob.set(spec.ref, {
       state: terminalState ?? (state === 'open' ? openState() : state),
       because: ready || state === 'done' ? null : blockingJob(i, jobs, nodes, edges),
@@ -144,19 +144,21 @@
 }
 
 /** A fallback or alternate whose job is done will never be asked for. */
-function idleState(
+function waitingState(
   i: number,
   jobs: readonly PipelineMember[],
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
   released: ReadonlySet<number>,
 ): 'waiting' | 'not_needed' {
-  const standsFor = edges.filter((e) => e.to === i && e.kind === 'force_begin_on_abort').map((e) => e.from);
+  const replacedJobs = edges
+    .filter((e) => e.to === i && e.kind === 'force_begin_on_abort')
+    .map((e) => e.from);
   nodes.forEach((n, from) => {
-    if (n.alternates.includes(i)) standsFor.push(from);
+    if (n.alternates.includes(i)) replacedJobs.push(from);
   });
-  const never = standsFor.length > 0 && standsFor.every((from) => jobs[from]?.state === 'done');
-  return never && !released.has(i) ? 'not_needed' : 'waiting';
+  const neverNeeded = replacedJobs.length > 0 && replacedJobs.every((from) => jobs[from]?.state === 'done');
+  return neverNeeded && !released.has(i) ? 'not_needed' : 'waiting';
 }
 
 /** The earlier job that holds this one back or has ended it. */
@@ -167,8 +169,8 @@
   edges: readonly Edge[],
 ): string | null {
   const cause = edges.find((e) => e.to === i && nodes[e.from]?.state !== 'done');
-  const standsFor = jobs[i]?.spec.pipeline?.alternateFor ?? null;
-  return cause ? (jobs[cause.from]?.spec.ref ?? null) : standsFor;
+  const replacedJob = jobs[i]?.spec.pipeline?.alternateFor ?? null;
+  return cause ? (jobs[cause.from]?.spec.ref ?? null) : replacedJob;
 }
 
 /** The pipelines of a partition, and which of their jobs were interrupted and cannot go on. */
--- a/src/coordination/pipeline/recovery-pass.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -42,18 +42,18 @@
   order: readonly number[],
 ): RecoveryResult {
   const result: RecoveryResult = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
-  const state = nodes.map((n) => n.state);
+  const states = nodes.map((n) => n.state);
   for (const i of order) {
     const node = nodes[i];
     // An earlier job's failure may have reached this one already.
-    if (!node || state[i] !== 'interrupted') continue;
+    if (!node || states[i] !== 'interrupted') continue;
     if (node.reExecutable && node.inputsRecorded) {
-      state[i] = 'executing';
+      states[i] = 'executing';
       result.rerun.push(i);
     } else {
-      state[i] = 'failed';
+      states[i] = 'failed';
       result.fail.push(i);
-      propagateFailure(i, nodes, edges, state, result);
+      propagateFailure(i, nodes, edges, states, result);
     }
   }
   return result;
@@ -72,9 +72,9 @@
     release: [],
     pipelineFailed: false,
   };
-  const state = nodes.map((n) => n.state);
-  state[failed] = 'failed';
-  propagateFailure(failed, nodes, edges, state, result);
+  const states = nodes.map((n) => n.state);
+  states[failed] = 'failed';
+  propagateFailure(failed, nodes, edges, states, result);
   return result;
 }
 
@@ -82,26 +82,26 @@
   first: number,
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
-  state: NodeState[],
+  states: NodeState[],
   result: RecoveryResult,
 ): void {
-  const adjust = [first];
+  const unpropagated = [first];
   const release = (i: number): void => {
-    if (state[i] !== 'unscheduled' || result.release.includes(i)) return;
+    if (states[i] !== 'unscheduled' || result.release.includes(i)) return;
     result.release.push(i);
   };
-  for (let failed = adjust.shift(); failed !== undefined; failed = adjust.shift()) {
+  for (let failed = unpropagated.shift(); failed !== undefined; failed = unpropagated.shift()) {
     for (const edge of edges) {
       if (edge.from !== failed) continue;
-      const target = state[edge.to];
+      const dependentState = states[edge.to];
       if (edge.kind === 'force_begin_on_abort') release(edge.to);
       if (edge.kind !== 'abort') continue;
-      if (target === 'done') result.pipelineFailed = true;
-      else if (target !== 'failed' && target !== 'cancelled') {
-        state[edge.to] = 'cancelled';
+      if (dependentState === 'done') result.pipelineFailed = true;
+      else if (dependentState !== 'failed' && dependentState !== 'cancelled') {
+        states[edge.to] = 'cancelled';
         result.cancel.push(edge.to);
         result.release = result.release.filter((i) => i !== edge.to);
-        adjust.push(edge.to);
+        unpropagated.push(edge.to);
       }
     }
     for (const alternate of nodes[failed]?.alternates ?? []) release(alternate);
