--- a/src/coordination/partition/assigned-machine-writer.ts
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -8,16 +8,17 @@
 export interface AssignedMachineWriterOptions {
   core: PartitionCore;
   store: PartitionStore;
-  /** Largest value that the state store takes. */
+  /** Size in bytes of the largest value that the state store accepts. */
   valueBytes: number;
+  /** Minimum interval between two writes. */
   minIntervalMs: number;
   /** Called once the state store lists these machines as assigned. */
   onAssigned: (machines: string[]) => void;
 }
 
 /**
- * Lists machines as assigned in the state store before the first task is started on them, so that a later owner knows where an
- * earlier one may have left tasks.
+ * Lists machines as assigned in the state store before the first task is started on them, so that a later owner knows on which
+ * machines an earlier one may have left tasks.
  */
 export class AssignedMachineWriter {
   private writing = false;
@@ -25,7 +26,10 @@
 
   constructor(private readonly options: AssignedMachineWriterOptions) {}
 
-  /** Writes the machines that are not listed yet, if the last write is long enough ago. */
+  /**
+   * Adds unlisted machines to the stored list, unless a write is in progress or the last one is less than the minimum interval
+   * ago.
+   */
   async writeIfDue(now: number): Promise<void> {
     const { core, store, valueBytes, minIntervalMs, onAssigned } = this.options;
     if (this.writing || now - this.lastWriteAt < minIntervalMs) return;
--- a/src/coordination/partition/heartbeat-handler.ts
+++ b/src/coordination/partition/heartbeat-handler.ts
@@ -26,25 +26,26 @@
   lifecycle: TaskLifecycle;
   placement: TaskPlacement;
   counters: PartitionCounters;
+  /** Holder of the observer, which is set after this handler is created. */
   observerHolder: { readonly observer: TaskObserver | null };
-  /** Called once nothing of an earlier owner can be on the machine any more without having been seen. */
+  /** Called once every task of an earlier owner that can still be on the machine has been reported. */
   markConfirmed: (machine: string) => void;
 }
 
 /**
- * Handles the heartbeats of a partition's workers. A heartbeat costs what the tasks of its own machine cost, and one pass over the
- * pending jobs if the machine has free resources; never a pass over the fleet.
+ * Handles the heartbeats of a partition's workers. The cost of a heartbeat is proportional to the number of tasks on its machine,
+ * plus one pass over the open jobs if the machine has free resources. It never includes a pass over all machines.
  */
 export class HeartbeatHandler {
   constructor(private readonly deps: HeartbeatHandlerDependencies) {}
 
-  /** Answers a heartbeat with a token and commands; null: the machine does not belong to this partition. */
+  /** Returns the token and commands to answer a heartbeat with; null if its machine is not in this partition. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatAnswer | null {
     const { epoch, counters } = this.deps;
     const machine = this.deps.machines.byId.get(heartbeat.machine);
     if (!machine) return null;
     counters.reports++;
-    // A delayed copy proves nothing, renews no lease and is given no commands.
+    // A delayed copy of an older heartbeat proves nothing: it renews no lease, and its answer contains no commands.
     if (!machine.isNewer(heartbeat)) {
       counters.stale++;
       return { token: machine.token(epoch), commands: [] };
@@ -57,7 +58,7 @@
   private applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): void {
     const { epoch, leaseMs, lifecycle, quota } = this.deps;
     const wasConfirmed = machine.confirmed;
-    // Booting is not idleness: counted from its provisioning, a machine would be deprovisioned the moment it is up.
+    // The boot time is not idle time. If it were, a machine would be deprovisioned as soon as it is up.
     if (machine.lastHeartbeatAt === null) machine.idleSince = now;
     const outcome = machine.applyHeartbeat(heartbeat, epoch, now, leaseMs);
     for (const task of outcome.lost) lifecycle.releaseLostTask(task, now);
@@ -83,8 +84,8 @@
   }
 
   /**
-   * Whether the worker may forget an exit: a success only once the state store has it, or has the job's terminal state. Of a
-   * failure nothing is kept.
+   * Whether the worker may forget an exit. It may forget a success only once the state store has recorded it, or has the job's
+   * terminal state. It may forget a failure at once, because failures are not recorded.
    */
   private readonly isForgettable = (exit: TaskExit): boolean =>
     exit.reason !== 'done' || this.deps.jobs.get(exit.ref)?.isDurable(exit.index) !== false;
--- a/src/coordination/partition/in-flight-task.ts
+++ b/src/coordination/partition/in-flight-task.ts
@@ -1,37 +1,37 @@
 import { type JobSpec } from '../../protocol/jobs';
 import { type ExitReason } from '../../protocol/workers';
 
-/** A task whose start was sent, or that was reported: it counts as being on the machine until it is certain not to be. */
+/** A task whose start was sent or that was reported. It counts as being on its machine until it is certain not to be. */
 export interface InFlightTask {
   ref: string;
   index: number;
   attempt: number;
-  /** Specification of its job; null if the job is not known, and with it what the task takes of its machine. */
+  /** Specification of the task's job; null if the job is unknown, and hence also the resources that the task uses. */
   spec: JobSpec | null;
   phase: 'sent' | 'reported';
-  /** The heartbeat in whose answer the start was sent, or in which the task was first reported. */
+  /** Identifies the heartbeat whose answer contained the start, or which first reported the task. */
   sentInHeartbeat: { agentEpoch: number; sequence: number };
-  /** Set once the task is to be stopped; without grace it is killed. */
+  /** Set once the task is to be stopped, else null. With a grace period of 0 seconds the task is killed. */
   stop: { graceS: number } | null;
-  /** It is saving a checkpoint before it stops. */
+  /** Whether the task is saving a checkpoint before it stops. */
   checkpointing: boolean;
-  /** Steady time at which it was started, or first reported to this owner. */
+  /** Steady time in milliseconds at which the start was sent, or the task was first reported to this owner. */
   startedAt: number;
-  /** Steady time at which it was first reported running, its image being present; null: not yet. */
+  /** Steady time in milliseconds at which the task was first reported running, with its image present; null if it was not yet. */
   runningSince: number | null;
 }
 
-/** An exit that a worker has reported. */
+/** A task exit reported by a worker. */
 export interface TaskExit {
   ref: string;
   index: number;
   attempt: number;
   reason: ExitReason;
-  /** The task that was in flight, if it was this attempt. */
+  /** The task in flight that exited; null if this attempt was not in flight. */
   inFlight: InFlightTask | null;
 }
 
-/** Key of a task in maps and logs. */
+/** Key of a task, used in maps and logs. */
 export function taskKey(ref: string, index: number): string {
   return `${ref}/${index}`;
 }
--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -7,46 +7,46 @@
 import { type TeamQuota } from './team-quota';
 
 export interface JobSetOptions {
-  /** Epoch of the partition's record: jobs of this revision or an earlier one may have been started by an earlier owner. */
+  /** Epoch of the partition's record. An earlier owner may have started jobs whose revision is not larger. */
   epoch: number;
   objectives: readonly Objective[];
-  /** Open jobs by reference; the job set alone changes it. */
+  /** Open jobs by reference. Only the job set adds and removes entries. */
   jobs: Map<string, PartitionJob>;
   quota: TeamQuota;
-  /** Specification of a job that is not open any more; its tasks may still be on machines. */
+  /** Returns the specification of a job that is no longer open; its tasks may still be on machines. */
   specOfClosedJob: (ref: string) => JobSpec | undefined;
 }
 
-/** A job as the state store has it. */
+/** A job as stored in the state store. */
 export interface StoredJobState {
   spec: JobSpec;
   /** Revision at which the state store accepted the job. */
   revision: number;
 }
 
-/** An open job as the state store has it. */
+/** An open job as stored in the state store. */
 export interface OpenJob extends StoredJobState {
   /** Wall-clock time in milliseconds. */
   acceptedAt: number;
-  /** Null: no progress has been written. */
+  /** Null if no progress has been written. */
   progress: JobProgress | null;
 }
 
-/** The open jobs of a partition, the pipelines they belong to, and terminal states that are yet to be written. */
+/** The open jobs of a partition, the pipelines they belong to, and the terminal states that are still to be written. */
 export class JobSet {
   private readonly pipelines = new PartitionPipelines();
   private readonly unwrittenTerminalStates = new Map<string, TerminalState>();
-  /** Steady time in milliseconds at which a job last became known. */
+  /** Steady time in milliseconds at which a job was last added. */
   lastArrivalAt = 0;
 
   constructor(private readonly options: JobSetOptions) {}
 
-  /** Jobs that have ended while the state store does not know it yet. */
+  /** Terminal states that are not yet known to be in the state store, by job. */
   get terminalStates(): ReadonlyMap<string, TerminalState> {
     return this.unwrittenTerminalStates;
   }
 
-  /** Adds an open job. False if it is known already, or of a team of another partition. */
+  /** Adds an open job. Returns false, and does nothing, if it is known already or its team belongs to another partition. */
   open({ spec, acceptedAt, revision, progress }: OpenJob, now: number): boolean {
     const { epoch, objectives, jobs, quota } = this.options;
     if (!quota.has(spec.team) || jobs.has(spec.ref)) return false;
@@ -62,21 +62,24 @@
     return true;
   }
 
-  /** Adds a job of a pipeline that has terminated already: its edges still count. */
+  /** Adds a terminated job to its pipeline, where its edges still apply. Ignores a job without a pipeline. */
   addTerminatedPipelineJob({ spec, revision }: StoredJobState, state: JobState): void {
     if (!this.options.quota.has(spec.team) || !spec.pipeline) return;
     this.pipelines.setMember(spec, state, revision);
     this.applyPipeline(spec.ref);
   }
 
-  /** Reserves quota for a job that was cancelled under an earlier owner: its tasks may be on unconfirmed machines. */
+  /**
+   * Reserves quota for a job that an earlier owner may have started and that ended in a state other than `done`: its tasks may be
+   * on unconfirmed machines.
+   */
   reserveQuotaForCancelled({ spec, revision }: StoredJobState, state: JobState): void {
     const { epoch, quota } = this.options;
     if (quota.has(spec.team) && state !== 'done' && revision <= epoch)
       quota.reserveForCancelled(spec, spec.tasks);
   }
 
-  /** The state store has a job's terminal state. Returns the job if it was open here. */
+  /** Closes a job whose terminal state is in the state store. Returns the job; undefined if it was not open. */
   close(ref: string, state: JobState): PartitionJob | undefined {
     const { jobs, quota } = this.options;
     if (this.pipelines.markClosed(ref, state)) this.applyPipeline(ref);
@@ -89,12 +92,12 @@
     return job;
   }
 
-  /** Specification of a job, open or closed; undefined if it is not known at all. */
+  /** Specification of an open or closed job; undefined if the job is unknown. */
   specOf(ref: string): JobSpec | undefined {
     return this.options.jobs.get(ref)?.spec ?? this.options.specOfClosedJob(ref);
   }
 
-  /** Sets which jobs of a pipeline are held back by its edges, and terminates those that a failure reaches. */
+  /** Updates which jobs of a job's pipeline are held back by its edges, and terminates those affected by a failure. */
   private applyPipeline(ref: string): void {
     const { jobs } = this.options;
     const snapshot = this.pipelines.snapshotOf(ref);
@@ -103,19 +106,19 @@
       const job = jobs.get(member);
       if (job) job.heldByPipeline = !snapshot.ready.has(member);
     }
-    // A job that is done stays done, also while the state store does not know it yet.
+    // A job whose tasks are all done stays done, even if this is not recorded in the state store yet.
     for (const [member, state] of snapshot.terminalStates)
       if (jobs.get(member)?.finished === false) this.unwrittenTerminalStates.set(member, state);
   }
 
-  /** A task of the job was started and is lost. Most jobs run it again; one that runs at most once has failed. */
+  /** Fails a job that runs at most once, because one of its tasks was started and lost. Other jobs run the task again. */
   handleLostTask(job: PartitionJob): void {
     if (job.runsAtMostOnce && this.pipelines.markInterrupted(job.ref)) this.applyPipeline(job.ref);
   }
 
   /**
-   * Every machine is confirmed or its lease has expired: a task that an earlier owner started and that is neither done nor in
-   * flight was interrupted.
+   * Fails the jobs that run at most once and have interrupted tasks. Must be called once every machine is confirmed or its lease
+   * has expired: a task that an earlier owner started and that is neither done nor in flight was then interrupted.
    */
   failInterruptedJobs(): void {
     for (const job of this.options.jobs.values())
@@ -123,14 +126,17 @@
   }
 
   /**
-   * Marks a job done once all tasks are, and no other attempt of one is still being stopped: the next owner counts nothing of a
-   * job that is done against its team's quota, so nothing of it may be left on any machine.
+   * Marks a job done once all its tasks are done and no other attempt of a task is still being stopped. The next owner reserves no
+   * quota for a job that is done, so none of its tasks may be left on a machine.
    */
   markIfDone(job: PartitionJob): void {
     if (job.finished && job.inFlight.size === 0) this.unwrittenTerminalStates.set(job.ref, 'done');
   }
 
-  /** The state store has this progress: starts below its watermarks are allowed, exits recorded in it may be forgotten. */
+  /**
+   * Records that the state store has this progress. Tasks below its start watermarks may now be started, and workers may forget the
+   * exits that it includes.
+   */
   markProgressWritten(written: ReadonlyMap<string, JobProgress>): void {
     for (const [ref, progress] of written) this.options.jobs.get(ref)?.markProgressWritten(progress);
   }
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -4,7 +4,10 @@
 import { type MachineState } from './machine';
 import { MIN_TASK_CPUS } from './resources';
 
-/** A job that failed on this many machines, most of those it was started on, and never succeeded is taken to be faulty. */
+/**
+ * A job is considered faulty if none of its tasks is done and tasks failed on at least this many machines, which make up at least
+ * `FAILED_MACHINE_RATIO` of those it was started on.
+ */
 const MIN_FAILED_MACHINE_COUNT = 3;
 const FAILED_MACHINE_RATIO = 0.8;
 const MAX_RETRY_PAUSE_MS = 30_000;
@@ -21,55 +24,56 @@
   spec: JobSpec;
   /** Wall-clock time in milliseconds. */
   acceptedAt: number;
-  /** Seconds from acceptance, earliest first. */
+  /** Deadlines in seconds from acceptance, earliest first. */
   deadlines: readonly number[];
-  /** Null: no progress has been written. */
+  /** Null if no progress has been written. */
   progress: JobProgress | null;
-  /** Accepted before this owner took over: its tasks may be on unconfirmed machines. */
+  /** Whether the job was accepted before this owner took over, so that its tasks may be on unconfirmed machines. */
   unconfirmed: boolean;
   /** Steady time in milliseconds. */
   now: number;
 }
 
-/** An open job as its partition's owner sees it: the state of each task, and when it may be started or retried. */
+/** An open job in the state of its partition's owner: the state of each task, and when it may be started or retried. */
 export class PartitionJob {
   readonly spec: JobSpec;
   readonly ref: string;
   /** Wall-clock time in milliseconds. */
   readonly acceptedAt: number;
-  /** Seconds from acceptance, earliest first. */
+  /** Deadlines in seconds from acceptance, earliest first. */
   readonly deadlines: readonly number[];
-  /** Steady time in milliseconds at which this owner first saw the job. */
+  /** Steady time in milliseconds at which the job became known to this owner. */
   readonly firstSeenAt: number;
   state: JobState = 'open';
   private readonly taskStates: Uint8Array;
-  /** Tasks that are neither in flight nor done. */
+  /** Number of tasks that are neither in flight nor done. */
   pendingCount: number;
   doneCount = 0;
-  /** Machines that tasks are in flight on, by the task's index. */
+  /** Machine of each task in flight, by the task's index. */
   readonly inFlight = new Map<number, MachineState>();
-  /** Machines that a task of it failed on. */
+  /** Machines on which a task of the job failed. */
   readonly failedMachines = new Set<string>();
-  /** Machines that its tasks were started on, until the first task is done. */
+  /** Machines on which tasks of the job were started before its first task was done; empty from then on. */
   private readonly triedMachines = new Set<string>();
-  /** Steady time before which a failed task is not retried, by the task's index. */
+  /** Steady time in milliseconds before which a task is not started again, by the task's index. */
   private readonly retryNotBefore = new Map<number, number>();
+  /** Number of failures of each task, by the task's index. */
   private readonly failureCounts = new Map<number, number>();
-  /** Steady time until which no task is started, as the job fails everywhere. */
+  /** Steady time in milliseconds before which no task is started, because the job fails everywhere. */
   private pausedUntil = 0;
   private retryPauseMs = 1000;
-  /** Tasks from this index on may not be started yet: a later owner would take them never to have been started. */
+  /** Tasks from this index on may not be started yet: a later owner will assume that they were never started. */
   startWatermark: number;
-  /** Tasks below this index wait until all machines are confirmed: an earlier owner may have started them. */
+  /** Tasks below this index are not started until all machines are confirmed: an earlier owner may have started them. */
   readonly unconfirmedBelow: number;
-  /** How many tasks below `unconfirmedBelow` are pending. */
+  /** Number of pending tasks below `unconfirmedBelow`. */
   unconfirmedCount = 0;
   private readonly initialWatermark: number;
   /** No pending task has a smaller index. */
   private firstPending = 0;
-  /** Priority that it is placed with, after deadlines and waiting time. */
+  /** Priority used in scheduling: the job's own, raised by its deadlines and waiting time. */
   effectivePriority: number;
-  /** Its pipeline does not let its tasks start. */
+  /** Whether the job's pipeline does not allow its tasks to start yet. */
   heldByPipeline = false;
 
   constructor({ spec, acceptedAt, deadlines, progress, unconfirmed, now }: PartitionJobOptions) {
@@ -85,16 +89,16 @@
     }
     for (const state of this.taskStates) if (state === TaskState.Durable) this.doneCount++;
     this.pendingCount = spec.tasks - this.doneCount;
-    // Of a job that runs at most once it must be known whether it was started, so that is recorded before the first start.
+    // A later owner must know whether a job that runs at most once was started, so this is recorded before the first start.
     this.initialWatermark = Math.min(spec.tasks, this.runsAtMostOnce ? 0 : INITIAL_START_WATERMARK);
     this.startWatermark = progress?.startWatermark ?? this.initialWatermark;
-    // If zones bind its tasks to each other, none may be placed while one may be anywhere.
+    // If the tasks must share or spread over zones, none is placed while one may be on an unconfirmed machine in any zone.
     const zoneBound = spec.singleZone || spec.spreadZones;
     this.unconfirmedBelow = unconfirmed ? (zoneBound ? spec.tasks : this.startWatermark) : 0;
     for (let i = 0; i < this.unconfirmedBelow; i++) if (this.isPending(i)) this.unconfirmedCount++;
   }
 
-  /** Its tasks must not be run a second time. */
+  /** Whether the job's tasks must not be run a second time. */
   get runsAtMostOnce(): boolean {
     return this.spec.pipeline?.reExecutable === false;
   }
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Whether the job itself seems faulty: it failed on nearly every machine it was started on, and no task was ever done. A job
-   * whose long tasks keep running on most machines has merely met failing machines.
+   * Whether the job itself seems faulty: none of its tasks is done, and tasks failed on nearly every machine they were started
+   * on. A job whose long tasks keep running on most machines is not faulty; the machines on which it failed are.
    */
   get failsEverywhere(): boolean {
     const { size } = this.failedMachines;
@@ -120,21 +124,21 @@
   }
 
   /**
-   * How many of its tasks may be in flight at once. A job that fails everywhere is tried with a single task now and then, until its
-   * user cancels it, so that it takes no resources from others.
+   * Number of further tasks that may be started. A job that fails everywhere is retried with a single task at a time, with pauses
+   * in between, until its user cancels it, so that it takes no resources from other jobs. For any other job there is no limit.
    */
   maxNewStarts(now: number): number {
     if (!this.failsEverywhere) return Number.POSITIVE_INFINITY;
     return now < this.pausedUntil ? 0 : Math.max(0, 1 - this.inFlight.size);
   }
 
-  /** The job has failed everywhere once more: the next attempt is later. */
+  /** Delays the next attempt of a job that fails everywhere; the delay doubles each time, up to `MAX_RETRY_PAUSE_MS`. */
   backOff(now: number): void {
     this.pausedUntil = now + this.retryPauseMs;
     this.retryPauseMs = Math.min(MAX_RETRY_PAUSE_MS, this.retryPauseMs * 2);
   }
 
-  /** Tasks started, as a ratio of those that its team's limit in CPUs allows at once. */
+  /** Ratio of the tasks in flight or done to the tasks of the job that its team's limit in CPUs allows to run at once. */
   startedRatio(limitCpus: number): number {
     const maxStarted = Math.min(
       this.spec.tasks,
@@ -160,18 +164,18 @@
     return (this.taskStates[index] ?? TaskState.Pending) >= TaskState.Done;
   }
 
-  /** Whether the state store has it that the task is done. */
+  /** Whether the state store has recorded that the task is done. */
   isDurable(index: number): boolean {
     return this.taskStates[index] === TaskState.Durable;
   }
 
-  /** The state store has this progress. */
+  /** Records that the state store has this progress. */
   markProgressWritten({ doneRanges, startWatermark }: JobProgress): void {
     this.startWatermark = Math.max(this.startWatermark, startWatermark);
     for (const [from, to] of decodeRanges(doneRanges)) this.taskStates.fill(TaskState.Durable, from, to + 1);
   }
 
-  /** The task is in flight on a machine. */
+  /** Marks a task as in flight on a machine. */
   markInFlight(index: number, machine: MachineState): void {
     if (this.isPending(index)) this.removeFromPending(index);
     this.taskStates[index] = TaskState.InFlight;
@@ -179,7 +183,7 @@
     if (this.doneCount === 0) this.triedMachines.add(machine.id);
   }
 
-  /** The task is not in flight any more; unless it is done, it is pending again. */
+  /** Marks a task as no longer in flight. It is pending again unless it is done. */
   requeue(index: number): void {
     this.inFlight.delete(index);
     if (this.taskStates[index] !== TaskState.InFlight) return;
@@ -194,7 +198,7 @@
     if (index < this.unconfirmedBelow) this.unconfirmedCount--;
   }
 
-  /** The task is done, whichever attempt of it succeeded. */
+  /** Marks a task as done, whichever of its attempts succeeded. */
   markDone(index: number): void {
     if (this.isPending(index)) this.removeFromPending(index);
     this.taskStates[index] = TaskState.Done;
@@ -204,37 +208,40 @@
     this.failureCounts.delete(index);
   }
 
-  /** Counts a failure of the task; returns how many it has had. */
+  /** Counts a failure of a task and returns the number of its failures so far. */
   countFailure(index: number): number {
     const failures = (this.failureCounts.get(index) ?? 0) + 1;
     this.failureCounts.set(index, failures);
     return failures;
   }
 
-  /** Does not start the task before this steady time. */
+  /** Prevents a task from being started before this steady time in milliseconds. */
   delayRetry(index: number, until: number): void {
     this.retryNotBefore.set(index, until);
   }
 
-  /** The task may be started at once. */
+  /** Allows a delayed task to be started at once. */
   clearRetryDelay(index: number): void {
     this.retryNotBefore.delete(index);
   }
 
   /**
-   * How many pending tasks may be started. Until all machines are confirmed these are the ones that no earlier owner may have
-   * started. Kept as counts: searched for at each first heartbeat after a failover, they would delay the answers.
+   * Number of pending tasks that may be started. Until all machines are confirmed, tasks that an earlier owner may have started are
+   * excluded. The counts are maintained incrementally: a search at every first heartbeat after a failover would delay the answers.
    */
   startableCount(allConfirmed: boolean): number {
     return allConfirmed ? this.pendingCount : this.pendingCount - this.unconfirmedCount;
   }
 
-  /** Index from which tasks may be started. */
+  /** Smallest index that a task to be started may have. */
   private firstStartable(allConfirmed: boolean): number {
     return allConfirmed ? this.firstPending : Math.max(this.firstPending, this.unconfirmedBelow);
   }
 
-  /** Up to `n` pending tasks that may start now; `allConfirmed`: no machine can have unreported tasks of earlier owners. */
+  /**
+   * Indices of up to `n` pending tasks that may be started now. `allConfirmed` states that no machine can have unreported tasks of
+   * earlier owners.
+   */
   startableTasks(n: number, allConfirmed: boolean, now: number): number[] {
     const found: number[] = [];
     if (this.heldByPipeline) return found;
@@ -252,14 +259,17 @@
   }
 
   /**
-   * Whether there is progress to record. Once the start watermark was raised it stays recorded: without it a later owner would take
-   * the job never to have been started.
+   * Whether there is progress to record. A start watermark that was raised stays recorded: without it, a later owner would assume
+   * that tasks below it were never started.
    */
   get hasProgress(): boolean {
     return this.startWatermark > this.initialWatermark || this.doneCount > 0 || this.inFlight.size > 0;
   }
 
-  /** The smallest start watermark that lets `n` more pending tasks start; tasks that wait for confirmation do not count. */
+  /**
+   * The smallest start watermark that allows `n` pending tasks to start. Tasks that wait until all machines are confirmed are not
+   * counted.
+   */
   watermarkToStart(n: number, allConfirmed: boolean): number {
     let remaining = n;
     let i = this.firstStartable(allConfirmed);
@@ -268,7 +278,7 @@
     return i;
   }
 
-  /** Progress to be recorded; the list of finished tasks takes at most `maxLength` bytes, and may be cut short for it. */
+  /** Progress to be recorded. The list of finished tasks is truncated to at most `maxLength` bytes. */
   progress(maxLength: number): JobProgress {
     const doneRanges = encodeRanges(this.taskStates, (s) => s >= TaskState.Done, maxLength);
     return {
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -11,13 +11,13 @@
   core: PartitionCore;
   store: PartitionStore;
   limits: FleetLimits;
-  /** Whether the partition has been handed over: nothing is written any more. */
+  /** Whether the partition has been handed over, so that nothing is written any more. */
   isReleased: () => boolean;
-  /** Called once it is known whether the change of these machines' records was applied. */
+  /** Called once it is known whether the change of these machines' records was applied, or once the partition is handed over. */
   onDecided: (machines: string[]) => void;
 }
 
-/** Rewrites the records of machines that are transferred to another partition or deprovisioned, many at once. */
+/** Changes the records of machines that are transferred to another partition or deprovisioned, in batches. */
 export class MachineRecordWriter {
   private readonly pending = new Map<string, MachineRecord>();
   private writing = false;
@@ -26,8 +26,8 @@
   constructor(private readonly options: MachineRecordWriterOptions) {}
 
   /**
-   * Cordons a machine and queues a change of its record; ignored if the machine is not empty, or is being changed already.
-   * `force`: it is cordoned even if tasks run on it.
+   * Cordons a machine and queues a change of its record. Ignored if the machine cannot be cordoned (see `MachineSet.cordon`), is
+   * being deprovisioned, or has a queued change. With `force`, neither tasks, reservations nor a missing confirmation prevent it.
    */
   queueChange(id: string, change: Partial<MachineRecord>, force = false): void {
     const { core } = this.options;
@@ -40,7 +40,7 @@
     this.pending.set(id, { ...machine.record, ...change });
   }
 
-  /** Starts to write what is queued, unless that goes on already. */
+  /** Starts to write the queued changes, unless a write is in progress. */
   writePending(): void {
     if (this.pending.size > 0) void this.write();
   }
@@ -62,15 +62,16 @@
   }
 
   /**
-   * Resolves once the replica shows what became of a write. Until then the machines stay cordoned. An attempt whose response was
-   * lost may still be applied, so it is repeated until it is applied, or can be no more because the values have changed.
+   * Repeats a write until its outcome is known, and resolves once the replica shows it. Until then the machines stay cordoned. An
+   * attempt whose response was lost may still be applied, so it is repeated until it is applied, or until it can no longer be
+   * applied because the values have changed. Stops as well if the partition has been handed over.
    */
   private async writeUntilDecided(conditions: Condition[], writes: Write[]): Promise<void> {
     const { store, isReleased } = this.options;
     const { stateStore } = store;
     let outcomeUnknown = false;
     while (!isReleased()) {
-      // While the session lease has lapsed, an attempt on its way may still be applied, so no machine is uncordoned.
+      // If the session lease has expired, an attempt in transit may still be applied, so no machine is uncordoned.
       if (!store.isActive) {
         await store.waitToRetry();
         continue;
--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -9,21 +9,24 @@
   partition: string;
   /** Epoch of the partition's record. */
   epoch: number;
+  /** Returns the machine types by name, as the cloud last listed them. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Machines that tasks may have been started on, as the state store knows. The set takes ownership of it. */
+  /**
+   * Machines on which tasks may have been started, as listed in the state store. The machine set takes ownership and changes it.
+   */
   assignedMachines: Set<string>;
   unconfirmedMachines: UnconfirmedMachines;
 }
 
-/** A machine that was drained, and the partition that gets it. */
+/** A drained machine, and the partition to which it is transferred; `DRAIN_TO_CLOUD` if it is deprovisioned instead. */
 export interface DrainedMachine {
   id: string;
   toPartition: string;
 }
 
 /**
- * The machines of a partition: which of them are known, assigned in the state store, cordoned, or being drained for a transfer.
- * A task is started only on a machine that the state store lists as assigned, so a later owner knows where to look for tasks.
+ * The machines of a partition, and which of them are assigned in the state store, cordoned, or drained for a transfer. A task is
+ * started only on a machine that the state store lists as assigned, so that a later owner knows which machines may have tasks.
  */
 export class MachineSet {
   private readonly machines = new Map<string, MachineState>();
@@ -38,13 +41,13 @@
     return this.options.assignedMachines.has(id);
   }
 
-  /** Takes over a machine's record of the given revision; the machine may be known already. */
+  /** Adds a machine, or updates the record of a known machine, to the given revision of its record. */
   upsert(id: string, record: MachineRecord, revision: number, now: number): void {
     const known = this.machines.get(id);
     if (known) {
       known.record = record;
       known.revision = revision;
-      // Never uncordoned here: a transfer may be in progress, and the new owner would not know of a task started now.
+      // Never uncordoned here: a transfer may be in progress, and the new owner would not know of a task that is started now.
       known.cordoned ||= record.phase === 'deprovisioning';
       return;
     }
@@ -56,14 +59,15 @@
   }
 
   /**
-   * A machine that joined after this owner took over was empty when it came (see `cordon`). So is one that no owner of this
-   * partition has assigned; were it not confirmed at once, machines that boot during a failover would delay it by a lease.
+   * Whether no earlier owner can have left tasks on a machine. A machine that joined after this owner took over was empty at that
+   * time (see `cordon`). A machine that no owner of this partition has assigned is empty as well; if it were not confirmed at
+   * once, machines that boot during a failover would delay the failover by the length of a lease.
    */
   private hasNoEarlierTasks(id: string, revision: number): boolean {
     return revision > this.options.epoch || !this.isAssigned(id);
   }
 
-  /** Removes a machine; undefined if it is not known. It is assigned anew should it come back. */
+  /** Removes and returns a machine; undefined if it is unknown. If it comes back, it must be assigned again. */
   remove(id: string): MachineState | undefined {
     const machine = this.machines.get(id);
     if (!machine) return undefined;
@@ -72,7 +76,10 @@
     return machine;
   }
 
-  /** Cordons an empty machine, to be transferred or deprovisioned. False if it is not empty, or not confirmed to be. */
+  /**
+   * Cordons a machine that is to be transferred or deprovisioned. Returns false, and does nothing, if the machine is unknown,
+   * already cordoned or not confirmed, or if it has tasks or reservations.
+   */
   cordon(id: string): boolean {
     const machine = this.machines.get(id);
     if (!machine || machine.cordoned || !machine.confirmed || machine.tasks.size > 0) return false;
@@ -81,15 +88,15 @@
     return true;
   }
 
-  /** Lets tasks on a machine again, unless its record says that it is being deprovisioned. */
+  /** Uncordons a machine, unless its record says that it is being deprovisioned. */
   uncordon(id: string): void {
     const machine = this.machines.get(id);
     if (machine) machine.cordoned = machine.record.phase === 'deprovisioning';
   }
 
   /**
-   * Marks a machine to be drained for a transfer; naming this partition takes that back. Returns the machine if it is to be
-   * drained, else null.
+   * Marks a machine to be drained for its transfer to a partition, or unmarks it if that is this partition. Returns the machine
+   * if it is to be drained; null if not, or if it is unknown or cordoned.
    */
   setTransferTarget(id: string, partition: string): MachineState | null {
     const machine = this.machines.get(id);
@@ -98,7 +105,7 @@
     return machine.transferTarget === null ? null : machine;
   }
 
-  /** Machines that have been drained for a transfer. */
+  /** Machines that were to be drained, and now have no tasks or reservations. Cordoned machines are excluded. */
   drained(): DrainedMachine[] {
     const drained: DrainedMachine[] = [];
     for (const { id, transferTarget, tasks, hasReservations, cordoned } of this.machines.values()) {
@@ -109,9 +116,9 @@
   }
 
   /**
-   * Machines that could take tasks once the state store lists them as assigned. The store's list drops machines that are not here
-   * to make room, so they are dropped here as well: one that left and came back would otherwise be given tasks while it is not
-   * on the list, and the next owner would take it to be empty.
+   * Machines that can be given tasks as soon as the state store lists them as assigned. To make room, a write of the stored list
+   * drops machines that are not in the partition, so they are dropped here as well: a machine that left and came back would
+   * otherwise be given tasks while it is not on the list, and the next owner would assume it to be empty.
    */
   unassigned(): string[] {
     const { assignedMachines } = this.options;
@@ -122,23 +129,23 @@
     return unassigned;
   }
 
-  /** The state store lists these machines as assigned now. */
+  /** Records that the state store now lists these machines as assigned. */
   markAssigned(ids: readonly string[]): void {
     for (const id of ids) if (this.machines.has(id)) this.options.assignedMachines.add(id);
   }
 
-  /** Capacity of a machine; null while its type is unknown. */
+  /** Capacity of a machine; null if its type is unknown. */
   capacityOf(machine: MachineState): Resources | null {
     return this.options.machineTypes().get(machine.record.type) ?? null;
   }
 
-  /** Free resources of a machine; null while its type, or a task on it, is unknown. */
+  /** Free resources of a machine; null if its type, or the job of a task on it, is unknown. */
   freeOn(machine: MachineState): Resources | null {
     const capacity = this.capacityOf(machine);
     return capacity && machine.free(capacity);
   }
 
-  /** CPUs of all machines of known type. */
+  /** Total number of CPUs of the machines of known type. */
   totalCpus(): number {
     let cpus = 0;
     for (const machine of this.machines.values()) cpus += this.capacityOf(machine)?.cpus ?? 0;
--- a/src/coordination/partition/machine-usage.ts
+++ b/src/coordination/partition/machine-usage.ts
@@ -1,10 +1,10 @@
 import { type JobSpec } from '../../protocol/jobs';
 import { type Resources } from './resources';
 
-/** What the tasks on a machine, and reservations for tasks that are to be moved there, take of it. */
+/** Resources of a machine that are used by its tasks, or reserved for tasks that are to be moved to it. */
 export class MachineUsage {
   private readonly used: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
-  /** Tasks of unknown jobs: what they take is unknown too. */
+  /** Number of tasks whose job is unknown, and hence also the resources that they use. */
   private unknownTaskCount = 0;
   private readonly reservations = new Map<string, JobSpec>();
 
@@ -31,7 +31,7 @@
     return this.reservations.size > 0;
   }
 
-  /** Reserves what a task takes; ignored if the key has a reservation. */
+  /** Reserves the resources of a task. Ignored if the key has a reservation already. */
   reserve(key: string, spec: JobSpec): void {
     if (this.reservations.has(key)) return;
     this.reservations.set(key, spec);
@@ -43,7 +43,10 @@
     if (spec && this.reservations.delete(key)) this.count(spec, -1);
   }
 
-  /** What is free of a machine's capacity, below zero if more is reserved than there is; null while a task is unknown. */
+  /**
+   * Free resources of a machine with this capacity; null while a task on it is of an unknown job. Values are negative if more is
+   * used and reserved than the machine has.
+   */
   freeOf(capacity: Resources): Resources | null {
     if (this.unknownTaskCount > 0) return null;
     const { cpus, accelerators, memoryGb } = this.used;
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -6,18 +6,18 @@
 import { MachineUsage } from './machine-usage';
 import { type Resources } from './resources';
 
-/** What a heartbeat has shown. */
+/** The changes that a heartbeat has revealed. */
 export interface HeartbeatOutcome {
   exits: TaskExit[];
-  /** Tasks in flight that are certain not to be on the machine. */
+  /** Tasks that were in flight and are certain not to be on the machine any more. */
   lost: InFlightTask[];
-  /** Live tasks that were not in flight here. */
+  /** Live tasks on the machine that were not in flight. */
   unknownTasks: HeartbeatTask[];
 }
 
-/** Tokens that one owner may use for a machine, one after the other. */
+/** Number of tokens that one owner may use for a machine, in increasing order. */
 const TOKENS_PER_EPOCH = 1024;
-/** Added to a worker's lease, for timers that fire late. */
+/** Added to the length of a worker's lease, to allow for timers that fire late. */
 const LEASE_MARGIN_MS = 500;
 
 export interface MachineStateOptions {
@@ -25,54 +25,57 @@
   record: MachineRecord;
   /** Revision of the record. */
   revision: number;
-  /** Whether nothing that an earlier owner started can be on the machine. */
+  /** Whether no task that an earlier owner started can be on the machine. */
   confirmed: boolean;
   /** Steady time in milliseconds. */
   now: number;
 }
 
 /**
- * A machine as its partition's owner sees it: its worker's lease and token, the tasks in flight, and whether tasks may be placed on
- * it. Until it is `confirmed`, tasks of an earlier owner may be on it that this owner has not seen. All times are steady time in
- * milliseconds.
+ * A machine in the state of its partition's owner: its worker's lease and token, the tasks in flight, and whether tasks may be
+ * placed on it. Until it is `confirmed`, it may have tasks of an earlier owner that were not reported to this owner. All times are
+ * steady time in milliseconds.
  */
 export class MachineState {
   readonly id: string;
   record: MachineRecord;
   /** Revision of the record. */
   revision: number;
-  /** Nothing that an earlier owner started can be on the machine without having been reported. */
+  /** Whether every task that an earlier owner started and that can be on the machine has been reported. */
   confirmed: boolean;
   private readonly inFlight = new Map<string, InFlightTask>();
   private readonly usage = new MachineUsage();
-  /** Exits of the last heartbeat that the worker has not been told to forget. */
+  /** Exits in the last heartbeat that the worker was not told to forget yet. */
   private readonly exitedAttempts = new Map<string, TaskExit>();
-  /** Images that the machine holds, or is fetching. */
+  /** Images that the machine has or is fetching. */
   readonly images = new Set<string>();
-  /** Incarnation of the worker's agent: a new one begins with no tasks. */
+  /** Epoch of the worker's agent. The agent begins each epoch without tasks. */
   private agentEpoch = 0;
-  /** Number of the last heartbeat within the agent's epoch. */
+  /** Sequence number of the last heartbeat within the agent's epoch. */
   private sequence = 0;
-  /** When the cloud preempts the machine; null: no notice was given. */
+  /** Time at which the cloud will preempt the machine; null if it has given no notice. */
   preemptionDeadline: number | null = null;
+  /** Null if no heartbeat has been received. */
   lastHeartbeatAt: number | null = null;
-  /** Since when no task is on it. */
+  /** Time since which the machine has had no task. Valid only while it has none. */
   idleSince: number;
-  /** Tasks that failed here since the last success, by job. */
+  /** Number of task failures on the machine since the last success on it, by job. */
   readonly failuresByJob = new Map<string, number>();
-  /** A task has succeeded here. */
+  /** Whether a task has succeeded on the machine. */
   healthy = false;
-  /** The partition that gets the machine once it is drained. */
+  /** The partition to which the machine is transferred once it is drained; null if it stays. */
   transferTarget: string | null = null;
-  /** The machine is being transferred or deprovisioned: no task is started on it. */
+  /** Whether the machine is being transferred or deprovisioned, so that no task may be started on it. */
   cordoned = false;
-  /** Tasks are to be placed on other machines for the time being. */
+  /** Whether tasks are placed on other machines for the time being. */
   deprioritized = false;
-  /** The worker has shown the current token, so answers reach it. */
+  /** Whether the worker has shown the current token, which proves that answers reach it. */
   tokenAcknowledged = false;
+  /** Difference between the current token and this owner's first one; less than `TOKENS_PER_EPOCH`. */
   private tokenOffset = 0;
+  /** Latest time at which an answer may have renewed the worker's lease. */
   private leaseRenewedAt: number;
-  /** Since when no other owner answers the worker. */
+  /** Time since which no other owner has answered the worker. */
   private readonly ownedSince: number;
 
   constructor({ id, record, revision, confirmed, now }: MachineStateOptions) {
@@ -106,12 +109,15 @@
     this.usage.removeTask(known.spec);
   }
 
-  /** Resources are reserved for tasks to be moved here: they are not given to others, and the machine is not released. */
+  /**
+   * Whether resources are reserved for tasks to be moved here. They are not given to other tasks, and the machine is not
+   * released.
+   */
   get hasReservations(): boolean {
     return this.usage.hasReservations;
   }
 
-  /** Reserves what a task takes; ignored if the key has a reservation. */
+  /** Reserves the resources of a task. Ignored if the key has a reservation already. */
   reserve(key: string, spec: JobSpec): void {
     this.usage.reserve(key, spec);
   }
@@ -120,19 +126,21 @@
     this.usage.releaseReservation(key);
   }
 
-  /** What is free of the machine's capacity; null while a task of an unknown job is on it. */
+  /** Free resources of the machine; null while it has a task of an unknown job. */
   free(capacity: Resources): Resources | null {
     return this.usage.freeOf(capacity);
   }
 
   // Tokens and leases.
 
-  /** Whether a heartbeat is newer than all received before. Delayed copies of old ones do arrive. */
+  /** Whether a heartbeat is newer than all received before. Delayed copies of older heartbeats do arrive. */
   isNewer(heartbeat: Heartbeat): boolean {
     return isAfter(heartbeat, this.agentEpoch, this.sequence);
   }
 
-  /** The fencing token to answer with: larger than any of an earlier owner, and larger again after `requireNewToken`. */
+  /**
+   * The fencing token to answer with. It is larger than any token of an earlier owner, and larger again after `requireNewToken`.
+   */
   token(partitionEpoch: number): number {
     return this.firstToken(partitionEpoch) + this.tokenOffset;
   }
@@ -141,7 +149,10 @@
     return Math.max(partitionEpoch, this.revision) * TOKENS_PER_EPOCH;
   }
 
-  /** Asks for proof that answers reach the worker. Until it comes no task is started, for starts would only be lost. */
+  /**
+   * Issues a new token, which the worker must show to prove that answers reach it. Until then no task is started, because the
+   * starts would be lost.
+   */
   private requireNewToken(): void {
     this.tokenAcknowledged = false;
     if (this.tokenOffset < TOKENS_PER_EPOCH - 1) this.tokenOffset++;
@@ -152,8 +163,9 @@
   }
 
   /**
-   * Once no answer can have renewed the worker's lease for its whole length, its tasks are gone: removes and returns them, and
-   * confirms the machine. Null if the lease may be valid, or there is nothing to do.
+   * Removes and returns the tasks, and confirms the machine, once the worker's lease is certain to have expired: no answer can have
+   * renewed it for its whole length, so the tasks are gone. Returns null if the lease may still be valid, or if the machine is
+   * confirmed and has no tasks.
    */
   expireLease(now: number, leaseMs: number): InFlightTask[] | null {
     if (!this.leaseExpired(this.leaseRenewedAt, now, leaseMs)) return null;
@@ -162,21 +174,21 @@
     return this.removeAllTasks();
   }
 
-  /** Removes and returns all tasks: the machine, or its worker's lease, is gone. */
+  /** Removes and returns all tasks, because the machine is gone or its worker's lease has expired. */
   removeAllTasks(): InFlightTask[] {
     const lost = [...this.inFlight.values()];
     for (const task of lost) this.removeTask(task);
     return lost;
   }
 
-  /** Milliseconds since the last heartbeat; -1 if none was received. */
+  /** Milliseconds since the last heartbeat; -1 if none has been received. */
   sinceHeartbeatMs(now: number): number {
     return this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt;
   }
 
   // Heartbeats.
 
-  /** Applies a heartbeat that `isNewer`, and returns what it has shown. */
+  /** Applies a heartbeat, for which `isNewer` must hold, and returns the changes that it has revealed. */
   applyHeartbeat(
     heartbeat: Heartbeat,
     partitionEpoch: number,
@@ -192,29 +204,29 @@
       heartbeat.preemptionNoticeS === null ? null : now + heartbeat.preemptionNoticeS * 1000;
     this.applyToken(heartbeat, partitionEpoch, now, leaseMs);
     this.exitedAttempts.clear();
-    // Exits first: a start refused as `busy` stands beside the live attempt that it met.
+    // Exits come first: an attempt refused as `busy` is reported together with the live attempt because of which it was refused.
     for (const task of heartbeat.tasks) if (task.phase === 'exited') this.applyExit(task, outcome);
     const liveKeys = this.applyLiveTasks(heartbeat, outcome, now);
     this.dropVanished(heartbeat, liveKeys, outcome);
     return outcome;
   }
 
-  /** A new agent epoch begins without tasks: what was started in earlier ones is gone. */
+  /** Drops the tasks that were started in earlier agent epochs: a new epoch begins without tasks. */
   private applyNewAgentEpoch({ agentEpoch }: Heartbeat, outcome: HeartbeatOutcome): void {
     for (const task of [...this.inFlight.values()])
       if (task.sentInHeartbeat.agentEpoch < agentEpoch) this.dropLost(task, outcome);
-    // The worker's lease has expired: its heartbeats may arrive here while the answers do not arrive there.
+    // The worker's lease had expired: its heartbeats may reach this owner while the answers do not reach the worker.
     if (this.agentEpoch > 0) this.requireNewToken();
   }
 
   private applyToken(heartbeat: Heartbeat, partitionEpoch: number, now: number, leaseMs: number): void {
-    // A worker that has seen this token obeys no earlier owner, and a heartbeat with it cannot be a copy from before.
+    // A worker that has received this token obeys no earlier owner, and a heartbeat with it cannot be a copy of an older one.
     if (heartbeat.token >= this.token(partitionEpoch)) {
       this.tokenAcknowledged = true;
       this.confirmed = true;
     }
-    // A worker that shows none of this owner's tokens has taken no answer of it. Its lease is that of an earlier owner, and has
-    // expired with all that one started, although the heartbeats go on.
+    // A worker that shows none of this owner's tokens has received no answer from it. Its lease was granted by an earlier owner.
+    // Once that lease has expired, all tasks that the earlier owner started are gone, although heartbeats keep arriving.
     const receivedNoAnswer = heartbeat.token < this.firstToken(partitionEpoch);
     if (receivedNoAnswer && this.leaseExpired(this.ownedSince, now, leaseMs)) this.confirmed = true;
   }
@@ -230,7 +242,7 @@
     outcome.exits.push(exit);
   }
 
-  /** Updates the tasks in flight that are live; returns the keys of all live tasks. */
+  /** Updates the tasks in flight that are live. Returns the keys of all live tasks. */
   private applyLiveTasks(heartbeat: Heartbeat, outcome: HeartbeatOutcome, now: number): Set<string> {
     const liveKeys = new Set<string>();
     for (const task of heartbeat.tasks) {
@@ -245,8 +257,8 @@
   }
 
   /**
-   * Drops the tasks in flight that a newer heartbeat does not report. A start travels only in the answer to a heartbeat, which the
-   * worker takes before its next heartbeat or not at all, so such a task is not there.
+   * Drops the tasks in flight that a newer heartbeat does not report. A start is sent only in the answer to a heartbeat, which the
+   * worker receives before its next heartbeat or not at all, so such a task is not on the machine.
    */
   private dropVanished(heartbeat: Heartbeat, liveKeys: ReadonlySet<string>, outcome: HeartbeatOutcome): void {
     let startLost = false;
@@ -265,7 +277,7 @@
     outcome.lost.push(task);
   }
 
-  /** Commands to answer the last heartbeat with, before any task is started. Renews the worker's lease. */
+  /** Returns the commands for exits and stops in the answer to the last heartbeat. The answer renews the worker's lease. */
   takeCommands(isForgettable: (exit: TaskExit) => boolean, now: number): Command[] {
     const commands: Command[] = [];
     for (const [key, exit] of this.exitedAttempts) {
@@ -274,16 +286,16 @@
       this.exitedAttempts.delete(key);
     }
     for (const { ref, index, attempt, stop, checkpointing } of this.inFlight.values()) {
-      // A second stop would cut the checkpoint short, as a stop without grace is meant to.
+      // A second stop would cut the checkpoint short. Only a stop without a grace period is meant to do that.
       if (!stop || (checkpointing && stop.graceS > 0)) continue;
       commands.push({ op: 'stop', ref, index, attempt, gracePeriodS: stop.graceS });
     }
-    // The worker counts its lease from when it sent the heartbeat, so counting from the answer errs on the safe side.
+    // The worker's lease starts when it sent the heartbeat, so counting from the answer, which is later, is on the safe side.
     this.leaseRenewedAt = now;
     return commands;
   }
 
-  /** Puts a task in flight whose start is sent in the answer to the last heartbeat; returns the command. */
+  /** Puts a task in flight and returns its start command, which must be sent in the answer to the last heartbeat. */
   startTask(spec: JobSpec, index: number, attempt: number, now: number): Command {
     this.addTask({
       startedAt: now,
@@ -300,7 +312,7 @@
     return { op: 'start', ref: spec.ref, index, attempt };
   }
 
-  /** Puts a live task in flight that an earlier owner started; `spec` is null if its job is unknown. */
+  /** Puts a live task in flight that an earlier owner started. `spec` is null if the job is unknown. */
   adoptRunningTask(task: HeartbeatTask, spec: JobSpec | null, now: number): InFlightTask {
     const adopted: InFlightTask = {
       startedAt: now,
@@ -319,7 +331,7 @@
   }
 }
 
-/** Whether a heartbeat was sent after another one, given by its agent epoch and its sequence number. */
+/** Whether a heartbeat was sent after the heartbeat with the given agent epoch and sequence number. */
 function isAfter(heartbeat: Heartbeat, agentEpoch: number, sequence: number): boolean {
   if (heartbeat.agentEpoch !== agentEpoch) return heartbeat.agentEpoch > agentEpoch;
   return heartbeat.sequence > sequence;
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -18,22 +18,24 @@
 import { RecoveryLog } from './recovery-log';
 import { TerminalStateWriter } from './terminal-state-writer';
 
-/** Whether this controller may act for its partitions, and renew the leases of their workers. */
+/** Permissions of this controller as an owner of partitions. */
 export interface Authority {
+  /** Whether this controller may act for its partitions. */
   alive(): boolean;
+  /** Whether this controller may also answer heartbeats, each of which renews the lease of a worker. */
   mayRenewLeases(): boolean;
 }
 
 export interface PartitionActorOptions {
-  /** Largest value that the state store takes. */
+  /** Size in bytes of the largest value that the state store accepts. */
   valueBytes: number;
-  /** Operations that one transaction may have. */
+  /** Maximum number of operations in one transaction. */
   txnOps: number;
-  /** Writes a second that the state store allows. */
+  /** Writes per second that the state store allows. */
   writeRate: number;
-  /** How many partitions share the state store. */
+  /** Number of partitions that share the state store. */
   partitionCount: number;
-  /** Between two writes of progress if no task waits for them. */
+  /** Interval between two writes of progress while no task waits for one. */
   progressIntervalMs: number;
 }
 
@@ -47,15 +49,18 @@
   log: Log;
   authority: Authority;
   options: PartitionActorOptions;
-  /** Null: the partition's tasks are not moved. */
+  /** Null if the partition's tasks are not moved between machines. */
   balancing: PartitionBalancing | null;
 }
 
-/** Of the writes that the state store allows, one in this many raises start watermarks, and another assigns machines. */
+/**
+ * Of the writes that the state store allows, one in this many may raise start watermarks, and another one in this many may assign
+ * machines.
+ */
 const WRITES_PER_WATERMARK_WRITE = 4;
 const MIN_WATERMARK_INTERVAL_MS = 400;
 
-/** The least time between two writes of a kind that tasks wait for. */
+/** Minimum interval between two writes of the same kind that tasks wait for: start watermarks, or assigned machines. */
 function minWriteIntervalMs({ partitionCount, writeRate }: PartitionActorOptions): number {
   return Math.max(
     MIN_WATERMARK_INTERVAL_MS,
@@ -64,11 +69,11 @@
 }
 
 /**
- * The actor of a partition that this controller owns: it feeds heartbeats and changes of the state store to the partition core, one
- * message at a time, and has writers record the core's decisions in the state store.
+ * Actor of a partition that this controller owns. It passes heartbeats and changes of the state store to the partition core, one
+ * message at a time, and writes the core's decisions to the state store.
  */
 export class PartitionActor extends Actor<PartitionMessage> {
-  /** Handed over, or being handed over: this controller does nothing for the partition any more. */
+  /** True once the partition is handed over or being handed over: this controller no longer acts for it. */
   released = false;
   readonly core: PartitionCore;
   readonly balancing: PartitionBalancing | null;
@@ -128,7 +133,7 @@
     return !this.released && this.deps.authority.alive();
   }
 
-  /** Whether the partition was just taken over, and machines are yet to be confirmed. */
+  /** Whether the partition was taken over recently and has unconfirmed machines. */
   recovering(now: number): boolean {
     return this.recovery.recovering(now);
   }
@@ -177,7 +182,7 @@
         this.core.markAssigned(message.machines);
         return;
       case 'records-decided':
-        // Machines that were transferred are not here any more; those being deprovisioned stay cordoned by their record.
+        // Transferred machines have left the partition; machines that are deprovisioned stay cordoned because of their record.
         for (const id of message.machines) this.core.uncordon(id);
     }
   }
@@ -221,7 +226,7 @@
       this.deps.log.info({ partition: this.core.id, ...decision }, 'task move');
   }
 
-  /** Stops acting for the partition first, and goes on only if the handover has failed for certain. */
+  /** Stops acting for the partition, then hands it over. Acts for it again only if the handover is certain to have failed. */
   private async handOver(target: HandoverTarget): Promise<void> {
     this.released = true;
     this.deps.log.info({ partition: this.core.id, to: target.member }, 'partition handover started');
--- a/src/coordination/partition/partition-balancing.ts
+++ b/src/coordination/partition/partition-balancing.ts
@@ -1,12 +1,12 @@
 import { type LoadSummary } from '@heathbridge/load-balancer';
 import { type TaskObserver } from './task-observer';
 
-/** Balances the tasks of one partition between its machines, and states its load. */
+/** Balances the tasks of one partition across its machines, and reports the partition's load. */
 export interface PartitionBalancing extends TaskObserver {
-  /** The load as it is now; each call gets the next sequence number. */
+  /** The current load; each summary has the next sequence number. */
   loadSummary(now: number): LoadSummary;
-  /** Moves of tasks in progress, for `GET /status`. */
+  /** Task moves in progress, as shown in `GET /status`. */
   movesInProgress(): object[];
-  /** Decisions since the last call, as log entries. */
+  /** Removes and returns the decisions since the last call, as log entries. */
   takeDecisions(): object[];
 }
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -27,38 +27,45 @@
 import { TeamQuota } from './team-quota';
 import { UnconfirmedMachines } from './unconfirmed-machines';
 
-/** Settings of a partition. */
+/** Settings that apply to every partition. */
 export interface PartitionOptions {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** Largest value that the state store takes. */
+  /** Size in bytes of the largest value that the state store accepts. */
   valueBytes: number;
   objectives: readonly Objective[];
 }
 
 export interface PartitionCoreOptions {
   id: string;
-  /** Epoch of the partition's record in the state store: fences every earlier owner. */
+  /** Epoch of the partition's record in the state store; it fences every earlier owner. */
   epoch: number;
   teams: readonly Team[];
-  /** Machine types by name, as the cloud last listed them. */
+  /** Returns the machine types by name, as the cloud last listed them. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Specification of a job that is not open any more; its tasks may still be on machines. */
+  /** Returns the specification of a job that is no longer open; its tasks may still be on machines. */
   specOfClosedJob: (ref: string) => JobSpec | undefined;
   options: PartitionOptions;
-  /** Machines that tasks may have been started on, as the state store knows; the partition takes ownership of the set. */
+  /**
+   * Machines on which tasks may have been started, as listed in the state store. The partition takes ownership of the set and
+   * changes it. Default: none.
+   */
   assignedMachines?: Set<string>;
 }
 
-/** A task that has run for less than this is not stopped for a transfer: it would lose all that it has done. */
+/**
+ * A task that has run for at most this time is not stopped for the transfer of its machine to another partition: it would lose all
+ * the work it has done.
+ */
 const MIN_RUN_BEFORE_STOP_MS = 30_000;
-/** Of a stored value, what the list of finished tasks of one job may take. */
+/** Share of a stored value that the list of finished tasks of one job may take. */
 const MAX_DONE_RANGES_RATIO = 0.25;
 
 /**
- * The state and decisions of one partition: the jobs of its teams and the machines assigned to it. No task of these teams runs on
- * any other machine, so all that quota, placement and recovery depend on is known here. It does no I/O and reads no clock; `now`
- * is steady time in milliseconds throughout. Calls must not overlap: the partition actor makes them one after the other.
+ * The state and decisions of one partition: the jobs of its teams and the machines that belong to it. No task of these teams runs
+ * on any other machine, so everything that quota, placement and recovery depend on is known here. The class does no I/O and reads
+ * no clock; `now` is steady time in milliseconds in every method. Calls must not overlap: the partition actor makes them one
+ * after the other.
  */
 export class PartitionCore implements PlacementContext, PartitionState {
   readonly id: string;
@@ -79,7 +86,7 @@
     stale: 0,
     placementPasses: 0,
   };
-  /** Moves tasks between machines; null: no task is moved. */
+  /** Observer that moves tasks between machines; null if tasks are not moved. */
   observer: TaskObserver | null = null;
   private readonly unconfirmedMachines = new UnconfirmedMachines();
   private readonly machineSet: MachineSet;
@@ -166,12 +173,12 @@
 
   // Machines.
 
-  /** Takes over a machine's record of the given revision; the machine may be known already. */
+  /** Adds a machine, or updates the record of a known machine, to the given revision of its record. */
   upsertMachine(id: string, record: MachineRecord, revision: number, now: number): void {
     this.machineSet.upsert(id, record, revision, now);
   }
 
-  /** The machine is gone, and every task on it. */
+  /** Removes a machine that is gone, and requeues its tasks. */
   removeMachine(id: string, now: number): void {
     const machine = this.machineSet.remove(id);
     if (!machine) return;
@@ -180,17 +187,23 @@
     this.markConfirmed(id);
   }
 
-  /** Cordons an empty machine, to be transferred or deprovisioned. False if it is not empty, or not confirmed to be. */
+  /**
+   * Cordons a machine that is to be transferred or deprovisioned. Returns false, and does nothing, if the machine is unknown,
+   * already cordoned or not confirmed, or if it has tasks or reservations.
+   */
   cordon(id: string): boolean {
     return this.machineSet.cordon(id);
   }
 
-  /** Lets tasks on a machine again, unless its record says that it is being deprovisioned. */
+  /** Uncordons a machine, unless its record says that it is being deprovisioned. */
   uncordon(id: string): void {
     this.machineSet.uncordon(id);
   }
 
-  /** Drains a machine for a transfer to another partition; naming this partition takes that back. */
+  /**
+   * Drains a machine for its transfer to another partition, or to the cloud if `partition` is `DRAIN_TO_CLOUD`. If `partition` is
+   * this partition, the drain is cancelled.
+   */
   drainForTransfer(id: string, partition: string, now: number): void {
     const machine = this.machineSet.setTransferTarget(id, partition);
     if (!machine) return;
@@ -201,20 +214,22 @@
   }
 
   /**
-   * Whether a task may be stopped so that its machine can go to another partition. There must be room for it here, and it must
-   * have run a while: stopped right away it would never get anywhere. An expensive machine that is deprovisioned does not wait.
+   * Whether a task may be stopped so that its machine can be transferred to another partition. The remaining machines must have
+   * room for the task, and it must have run for more than `MIN_RUN_BEFORE_STOP_MS`: stopped soon after each start, it would make
+   * no progress. Neither is required when the machine is drained to the cloud, because an expensive machine is not to be kept
+   * waiting.
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
     return this.placement.reserveSlack(task, now);
   }
 
-  /** Machines that could take tasks once the state store lists them as assigned. */
+  /** Machines that can be given tasks as soon as the state store lists them as assigned. */
   unassignedMachines(): string[] {
     return this.machineSet.unassigned();
   }
 
-  /** The state store lists these machines as assigned now. */
+  /** Records that the state store now lists these machines as assigned. */
   markAssigned(machines: readonly string[]): void {
     this.machineSet.markAssigned(machines);
   }
@@ -223,7 +238,7 @@
     return this.machineSet.isAssigned(machine);
   }
 
-  /** Machines that have been drained for a transfer. */
+  /** Machines that have been drained, each with the partition it goes to. */
   drainedMachines(): DrainedMachine[] {
     return this.machineSet.drained();
   }
@@ -236,14 +251,17 @@
     return this.machineSet.freeOn(machine);
   }
 
-  /** Nothing that an earlier owner started can be on this machine any more without having been seen. */
+  /**
+   * Records that every task that an earlier owner started and that is still on this machine has been reported. Once this holds for
+   * all machines, releases the quota reserved for closed jobs and fails the jobs that were interrupted.
+   */
   private markConfirmed(id: string): void {
     if (!this.unconfirmedMachines.remove(id)) return;
     this.quota.releaseCancelled();
     this.jobSet.failInterruptedJobs();
   }
 
-  /** Up to `count` of the machines that are not confirmed yet. */
+  /** Up to `count` of the machines that are not yet confirmed. */
   firstUnconfirmedMachines(count: number): string[] {
     return this.unconfirmedMachines.firstIds(count);
   }
@@ -254,22 +272,27 @@
 
   // Jobs.
 
-  /** Adds a job that is open in the state store. Ignored if it is known, or of a team of another partition. */
+  /**
+   * Adds a job that is open in the state store. Ignores a job that is known already, or whose team belongs to another partition.
+   */
   openJob(job: OpenJob, now: number): void {
     if (this.jobSet.open(job, now)) this.queue.invalidate();
   }
 
-  /** Adds a job of a pipeline that has terminated already: its edges still count. */
+  /** Adds a terminated job to its pipeline, where its edges still apply. Ignores a job without a pipeline. */
   addTerminatedPipelineJob(job: StoredJobState, state: JobState): void {
     this.jobSet.addTerminatedPipelineJob(job, state);
   }
 
-  /** Reserves quota for a job that was cancelled under an earlier owner: its tasks may be on unconfirmed machines. */
+  /**
+   * Reserves quota for a job that an earlier owner may have started and that ended in a state other than `done`: its tasks may be
+   * on unconfirmed machines.
+   */
   reserveQuotaForCancelled(job: StoredJobState, state: JobState): void {
     this.jobSet.reserveQuotaForCancelled(job, state);
   }
 
-  /** The state store has a job's terminal state. */
+  /** Closes a job whose terminal state is in the state store, and stops its tasks. */
   closeJob(ref: string, state: JobState, now: number): void {
     const job = this.jobSet.close(ref, state);
     if (!job) return;
@@ -282,17 +305,20 @@
     return this.jobSet.lastArrivalAt;
   }
 
-  /** Jobs that have ended while the state store does not know it yet. */
+  /** Terminal states that are not yet known to be in the state store, by job. */
   get terminalStates(): ReadonlyMap<string, TerminalState> {
     return this.jobSet.terminalStates;
   }
 
-  /** Progress to be written, with start watermarks that let the next tasks in scheduling order start. */
+  /** Progress to be written, with start watermarks high enough for the next tasks in scheduling order to start. */
   progress(now: number): ProgressToWrite {
     return progressToWrite(this, now);
   }
 
-  /** The state store has this progress: starts below its watermarks are allowed, exits recorded in it may be forgotten. */
+  /**
+   * Records that the state store has this progress. Tasks below its start watermarks may now be started, and workers may forget the
+   * exits that it includes.
+   */
   markProgressWritten(jobs: ReadonlyMap<string, JobProgress>): void {
     this.jobSet.markProgressWritten(jobs);
   }
@@ -303,12 +329,12 @@
 
   // Heartbeats and time.
 
-  /** Answers a worker's heartbeat with a token and commands; null: the machine does not belong to this partition. */
+  /** Returns the token and commands to answer a worker's heartbeat with; null if its machine is not in this partition. */
   handleHeartbeat(heartbeat: Heartbeat, now: number): HeartbeatAnswer | null {
     return this.heartbeats.handle(heartbeat, now);
   }
 
-  /** Expires leases and prepares the placement of the next heartbeats. To be called a few times a second. */
+  /** Expires leases and prepares the placement at the next heartbeats. Must be called a few times a second. */
   tick(now: number, wallClockMs: number): void {
     this.queue.tick(now, wallClockMs);
     this.expireLeases(now);
@@ -326,7 +352,7 @@
     }
   }
 
-  // What others read.
+  // Machine states and summaries for other components.
 
   isUnschedulable(machine: MachineState, now: number): boolean {
     return this.placement.isUnschedulable(machine, now);
@@ -336,12 +362,12 @@
     return this.placement.isQuarantined(machine);
   }
 
-  /** The load of the partition as it is published to the leader. */
+  /** The partition's load, as it is published to the leader. */
   currentLoad(now: number): PartitionLoad {
     return partitionLoad(this, now);
   }
 
-  /** The partition's part of `GET /status`; the names are part of its output. */
+  /** The partition's entry in `GET /status`. Its field names are part of that interface. */
   statusSummary(): object {
     const byRank = PRIORITIES.map((name, priority) => {
       const jobs = [...this.jobs.values()].filter((job) => job.spec.priority === priority);
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -4,6 +4,7 @@
 import { type Write } from '../../protocol/store';
 import { type PartitionStore } from './partition-store';
 
+/** The member that becomes the owner of the partition. */
 export interface HandoverTarget {
   member: string;
   /** Incarnation of the member's record. */
@@ -11,9 +12,10 @@
 }
 
 /**
- * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to false
- * if the partition stays here: no attempt can be applied any more. An attempt whose response was lost may be applied seconds later,
- * and tasks started meanwhile would be unknown to the new owner.
+ * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to true
+ * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition stays here.
+ * Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and tasks
+ * started in the meantime would be unknown to the new owner.
  */
 export async function handOverPartition(
   store: PartitionStore,
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -6,10 +6,10 @@
 import { eligibleZones } from './placement';
 import { countWithinQuota } from './resources';
 
-/** Of what a task was expected to take, the least that it is still expected to. */
+/** Share of its expected run time that a task is expected to need at least, however long it has run. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/** The load of a partition as its owner publishes it to the leader: pending tasks within their teams' quota, and its machines. */
+/** The load of a partition, as its owner publishes it to the leader: pending tasks within their teams' quota, and machines. */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
@@ -33,7 +33,7 @@
       return {
         machine: m.id,
         tasks: m.tasks.size,
-        // Below zero while room is being made: more is reserved than is free.
+        // Negative while tasks are stopped to make room: more is reserved than is free.
         freeCpus: Math.max(0, free.cpus),
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
@@ -58,7 +58,7 @@
     let remaining = remainingByTeam.get(spec.team);
     if (!remaining) remainingByTeam.set(spec.team, (remaining = partition.quota.remaining(spec.team)));
     const allowedByQuota = countWithinQuota(remaining, spec);
-    // No machine is provisioned for a job that fails everywhere.
+    // A job that fails everywhere counts at most with the one task that may be started, so that no machines are provisioned for it.
     const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), allowedByQuota);
     if (tasks === 0) continue;
     remaining.cpus -= tasks * spec.cpus;
@@ -90,7 +90,7 @@
   return [...found.values()];
 }
 
-/** How many tasks of a job that must be together or apart are in each zone. */
+/** Number of tasks in flight in each zone for a job that must share or spread over zones; empty for any other job. */
 function inFlightByZone({ spec, inFlight }: PartitionJob): Map<string, number> {
   const zones = new Map<string, number>();
   if (!spec.singleZone && !spec.spreadZones) return zones;
@@ -98,14 +98,17 @@
   return zones;
 }
 
-/** CPU seconds that the tasks now out still take, and when each machine has none any more. */
+/**
+ * Estimates the CPU seconds that the tasks on machines still need, by priority, and the seconds until the last task on each machine
+ * ends.
+ */
 function estimateRemainingWork(
   partition: PartitionState,
   now: number,
 ): { remainingWork: number[]; emptyInS: Map<string, number> } {
   const emptyInS = new Map<string, number>();
   const remainingWork = PRIORITIES.map(() => 0);
-  // Tasks are thousands, jobs are few.
+  // Expected run times are computed once per job: there are thousands of tasks, but few jobs.
   const expectedByJob = new Map<JobSpec, number>();
   for (const machine of partition.machines.values()) {
     let longestS = 0;
--- a/src/coordination/partition/partition-messages.ts
+++ b/src/coordination/partition/partition-messages.ts
@@ -4,7 +4,7 @@
 import { type StoredProgress } from '../../storage/job-index';
 import { type HeartbeatAnswer } from './heartbeat-handler';
 
-/** A job that is open in the state store. */
+/** Sent when a job is open in the state store. */
 export interface JobOpenedMessage {
   kind: 'job-opened';
   spec: JobSpec;
@@ -12,29 +12,38 @@
   acceptedAt: number;
   /** Revision at which the state store accepted the job. */
   revision: number;
-  /** Null: no progress has been written. */
+  /** Null if no progress has been written. */
   progress: StoredProgress | null;
 }
 
-/** What a partition actor is sent. `move`, `retire` and `handover` come from the leader and have the names of its peer messages. */
+/**
+ * A message to a partition actor. `move`, `retire` and `handover` originate from the leader and are named like its messages to
+ * peers.
+ */
 export type PartitionMessage =
   | { kind: 'tick' }
-  /** `reply` is called once, before the message is done with; null: this controller may not answer for the machine. */
+  /**
+   * `reply` is called exactly once, while the message is handled. It is called with null if this controller may not answer for the
+   * machine.
+   */
   | { kind: 'heartbeat'; heartbeat: Heartbeat; reply: (answer: HeartbeatAnswer | null) => void }
-  /** `entry` is null if the machine is gone, or belongs to another partition. */
+  /** `entry` is null if the machine is gone or belongs to another partition. */
   | { kind: 'machine-changed'; id: string; entry: FleetEntry | null }
   | JobOpenedMessage
-  /** The state store has a job's terminal state. */
+  /** Sent when a job's terminal state is in the state store. */
   | { kind: 'job-closed'; ref: string; state: JobState }
-  /** A job that had terminated before this owner took over. */
+  /** Sent for a job that had terminated before this owner took over. */
   | { kind: 'job-terminated'; spec: JobSpec; revision: number; state: JobState }
-  /** Transfers a machine; `drain`: once it is empty. Naming this partition takes a drain back. */
+  /**
+   * Transfers a machine, or drains it first if `drain` is true. A drain whose `toPartition` is the actor's own partition cancels
+   * the drain in progress.
+   */
   | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
-  /** Deprovisions a machine; `force`: even if tasks run on it. */
+  /** Deprovisions a machine; only if it is empty, unless `force` is true. */
   | { kind: 'retire'; machine: string; reason: string; force: boolean }
   | { kind: 'handover'; to: string; incarnation: number }
-  /** Sent by the actor to itself once the state store has what was written. */
+  /** This and the next message are sent by the actor to itself once the state store has what was written. */
   | { kind: 'progress-written'; jobs: ReadonlyMap<string, JobProgress> }
   | { kind: 'machines-assigned'; machines: string[] }
-  /** The outcome of a change of machine records is known, applied or not. */
+  /** Sent by the actor to itself once it is known whether a change of these machines' records was applied. */
   | { kind: 'records-decided'; machines: string[] };
--- a/src/coordination/partition/partition-state.ts
+++ b/src/coordination/partition/partition-state.ts
@@ -6,8 +6,8 @@
 import { type TeamQuota } from './team-quota';
 
 /**
- * Read-only state of a partition, as the load snapshot and the start watermarks are computed from it. Both read it and change
- * nothing, so they depend on this interface and not on the partition core that calls them.
+ * Read-only state of a partition, from which its load and its start watermarks are computed. Both computations change nothing, so
+ * they depend on this interface and not on the partition core that calls them.
  */
 export interface PartitionState {
   readonly id: string;
@@ -16,21 +16,22 @@
   readonly machines: ReadonlyMap<string, MachineState>;
   readonly estimates: RuntimeEstimates;
   readonly quota: Pick<TeamQuota, 'usageOf' | 'remaining'>;
-  /** Machines on which an earlier owner may still have tasks that this owner has not seen. */
+  /** Number of machines that may still run tasks of an earlier owner that were not reported to this one. */
   readonly unconfirmedCount: number;
-  /** Steady time in milliseconds at which a job last became known here. */
+  /** Steady time in milliseconds at which a job was last added. */
   readonly lastJobArrivalAt: number;
-  /** Bytes of a stored value that the list of finished tasks of one job may take. */
+  /** Maximum size in bytes of the list of finished tasks of one job in a stored value. */
   readonly maxDoneRangesBytes: number;
+  /** Returns the machine types by name, as the cloud last listed them. */
   readonly machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Capacity of a machine; null while its type is unknown. */
+  /** Capacity of a machine; null if its type is unknown. */
   capacityOf(machine: MachineState): Resources | null;
-  /** Free resources of a machine; null while its type, or a task on it, is unknown. */
+  /** Free resources of a machine; null if its type, or the job of a task on it, is unknown. */
   freeOn(machine: MachineState): Resources | null;
   /** Open jobs in the order in which they are offered resources. */
   jobsInSchedulingOrder(): readonly PartitionJob[];
-  /** Whether no new task may be placed on the machine now. */
+  /** Whether no new task may be placed on a machine now. */
   isUnschedulable(machine: MachineState, now: number): boolean;
-  /** Whether tasks fail on the machine and the machine is taken to be the cause. */
+  /** Whether a machine is given no tasks because it is considered the cause of task failures on it. */
   isQuarantined(machine: MachineState): boolean;
 }
--- a/src/coordination/partition/partition-store.ts
+++ b/src/coordination/partition/partition-store.ts
@@ -5,7 +5,7 @@
 import { keys } from '../../protocol/keys';
 import { type Condition, type Write } from '../../protocol/store';
 
-/** Time between two attempts of a transaction. */
+/** Delay before a transaction is attempted again. */
 const RETRY_INTERVAL_MS = 150;
 
 export interface PartitionStoreOptions {
@@ -19,7 +19,7 @@
   isActive: () => boolean;
 }
 
-/** The state store as the owner of one partition writes to it: each transaction is conditional on the partition's epoch. */
+/** Gives the owner of one partition write access to the state store. Each transaction is conditional on the partition's epoch. */
 export class PartitionStore {
   readonly partition: string;
   readonly epoch: number;
@@ -38,12 +38,12 @@
     return this.options.isActive();
   }
 
-  /** Holds while no other owner has taken the partition over. */
+  /** Condition that holds as long as the partition's record is unchanged, so that no other owner has taken the partition over. */
   get epochCondition(): Condition {
     return { key: keys.partition(this.partition), revision: this.epoch };
   }
 
-  /** A transaction that is refused once another owner has taken the partition over. */
+  /** Runs a transaction, which ends in a conflict once another owner has taken the partition over. */
   transact(
     conditions: readonly Condition[],
     writes: Write[],
@@ -53,7 +53,7 @@
     return this.stateStore.transact([this.epochCondition, ...conditions], writes, priority, timeoutMs);
   }
 
-  /** Resolves when it is time for the next attempt. */
+  /** Resolves when the next attempt is due. */
   waitToRetry(): Promise<void> {
     return pause(this.options.clock, RETRY_INTERVAL_MS);
   }
--- a/src/coordination/partition/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -2,13 +2,14 @@
 import { type JobSpec } from '../../protocol/jobs';
 import { countFitting } from './resources';
 
+/** The properties of a machine that decide whether a job allows it. */
 interface MachineKind {
   type: string;
   zone: string;
   spot: boolean;
 }
 
-/** Whether a type, bought in this way, is allowed, wherever it is. */
+/** Whether a job allows a machine's type and its price model (spot or not), in any zone. */
 export function allowsMachineType(
   job: { machineTypes: string[] | null; spot: boolean },
   machine: MachineKind,
@@ -17,7 +18,7 @@
   return job.spot || !machine.spot;
 }
 
-/** Whether a job allows a kind of machine at all. */
+/** Whether a job allows a machine's type, price model and zone. */
 export function allowsMachine(
   job: { machineTypes: string[] | null; zone: string | null; spot: boolean },
   machine: MachineKind,
@@ -25,7 +26,7 @@
   return (job.zone === null || job.zone === machine.zone) && allowsMachineType(job, machine);
 }
 
-/** How many more tasks of a job a zone may take, given where its tasks are in flight to be now. */
+/** Number of further tasks of a job that may be placed in a zone, given the number of its tasks in flight in each zone. */
 export function remainingInZone(
   spec: JobSpec,
   zone: string,
@@ -39,8 +40,8 @@
 }
 
 /**
- * The zones in which more tasks of a job may start, given where they are in flight to be now; null: all. Room elsewhere is
- * none for it, and machines provisioned there would leave it pending for ever.
+ * The zones in which further tasks of a job may be started, given the number of its tasks in flight in each zone; null if all zones
+ * are allowed. Machines provisioned in any other zone would leave the job pending for ever.
  */
 export function eligibleZones(
   spec: JobSpec,
@@ -52,7 +53,7 @@
   return [...zones].filter((zone) => remainingInZone(spec, zone, inFlightByZone) > 0);
 }
 
-/** Why a job can never run, or null. */
+/** The reason why a job can never run; null if there is none. */
 export function infeasibleReason(
   spec: JobSpec,
   catalog: readonly MachineType[],
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -1,7 +1,7 @@
 import { PRIORITIES, type JobSpec } from '../../protocol/jobs';
 import { type Objective } from '../../protocol/settings';
 
-/** The times, in seconds from its submission, by which a job is expected to be done; earliest first. */
+/** The deadlines of a job in seconds from its submission, earliest first. */
 export function deadlinesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
   const deadlines: number[] = [];
   for (const objective of objectives) {
@@ -14,9 +14,9 @@
 }
 
 /**
- * How many of its deadlines a job has missed for certain, `remainingS` being the least that it still needs. A job
- * that cannot meet its deadlines is scheduled after those that can. One that is late by the length of its last deadline counts as
- * having missed none, so that it does not starve.
+ * Number of its deadlines that a job is certain to miss, where `remainingS` is the minimum run time that it still needs. A job that
+ * cannot meet its deadlines is scheduled after the jobs that can. A job whose age exceeds twice its last deadline counts as having
+ * missed none, so that it does not starve.
  */
 export function missedDeadlineCount(deadlines: readonly number[], ageS: number, remainingS: number): number {
   const last = deadlines[deadlines.length - 1];
@@ -25,8 +25,9 @@
 }
 
 /**
- * A job's priority raised one step once half of the time to its first deadline has passed, as long as the deadline can be met:
- * behind all jobs of a higher priority it would be late.
+ * Priority of a job with its deadlines taken into account. A job of the lowest priority is raised by one step once more than half
+ * of the time to its first deadline has passed, as long as it can meet that deadline. Scheduled after all jobs of a higher
+ * priority, it would miss it.
  */
 export function deadlinePriority(
   spec: JobSpec,
@@ -39,27 +40,31 @@
   return ageS > deadlineS / 2 && ageS + remainingS <= deadlineS ? spec.priority - 1 : spec.priority;
 }
 
-/** Priority of a job that exceeds the maximal wait: only the most urgent jobs go before it. */
+/** Priority of a job that has exceeded the maximum wait: only jobs of the highest priority go before it. */
 const AGED_PRIORITY = 1;
-/** Priority of a job within its team's guarantee that has waited: it goes before jobs of normal priority. */
+/** Priority (normal) to which a job within its team's guarantee is raised once it has waited: before jobs of idle priority. */
 const AGED_GUARANTEED_PRIORITY = 2;
-/** A job must have started a task by this time, however large or late it is. */
+/** Age in seconds by which a job must have started a task, however large or late it is. */
 export const MAX_WAIT_TO_START_S = 150;
-/** A single task of hundreds is no start: by this time half of what the quota allows at once must have started. */
+/**
+ * Age in seconds by which a job must have started half of the tasks that the quota allows to run at once: a single started task of
+ * hundreds does not count as a start of the job.
+ */
 const MAX_WAIT_TO_HALF_STARTED_S = 210;
-/** A job within its team's guarantee is raised after this share of the time in which it is to start. */
+/** A job within its team's guarantee is raised after this share of the time in which it must start. */
 const GUARANTEE_WAIT_RATIO = 0.3;
 const DEFAULT_GUARANTEE_S = 60;
 
+/** How long a job has waited, and how much of it has been started. */
 export interface WaitState {
   ageS: number;
-  /** Tasks started, as a ratio of those that its team's limit allows at once. */
+  /** Ratio of the tasks in flight or done to the tasks of the job that its team's limit allows to run at once. */
   startedRatio: number;
-  /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
+  /** Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs. */
   withinGuarantee: boolean;
 }
 
-/** A job's priority raised by its waiting time, so that no job starves and teams get what they are guaranteed. */
+/** Priority of a job raised by its waiting time, so that no job starves and every team gets what it is guaranteed. */
 export function agedPriority(
   priority: number,
   waitState: WaitState,
@@ -71,16 +76,17 @@
   return guaranteeDue ? Math.min(priority, AGED_GUARANTEED_PRIORITY) : priority;
 }
 
-/** Whether a job has waited longer than any may, to start its first task or half of its tasks. */
+/** Whether a job has exceeded the maximum wait for the start of its first task, or for the start of half of its tasks. */
 export function exceedsMaxWait({ ageS, startedRatio }: WaitState): boolean {
   return startedRatio === 0
     ? ageS > MAX_WAIT_TO_START_S
     : startedRatio < 0.5 && ageS > MAX_WAIT_TO_HALF_STARTED_S;
 }
 
+/** Number of tasks of a workload below which their run times are not used. */
 const MIN_SAMPLE_COUNT = 10;
 
-/** Corrects the estimated run time of tasks by what tasks of the same workload took. */
+/** Corrects the estimated run time of tasks by the measured run times of tasks of the same workload. */
 export class RuntimeEstimates {
   private readonly samplesByWorkload = new Map<string, { expected: number; actual: number; tasks: number }>();
 
--- a/src/coordination/partition/progress-writer.ts
+++ b/src/coordination/partition/progress-writer.ts
@@ -9,21 +9,21 @@
 
 export interface ProgressWriterOptions {
   store: PartitionStore;
-  /** Largest value that the state store takes. */
+  /** Size in bytes of the largest value that the state store accepts. */
   valueBytes: number;
-  /** Operations that one transaction may have. */
+  /** Maximum number of operations in one transaction. */
   txnOps: number;
-  /** Between two writes if no task waits for them. */
+  /** Interval between two writes if no task waits for a start watermark. */
   intervalMs: number;
-  /** Between two writes if tasks wait for their start watermarks. */
+  /** Interval between two writes if tasks wait for start watermarks. */
   minIntervalMs: number;
-  /** Progress as it is to be written now. */
+  /** Returns the progress to be written now. */
   progress: (now: number) => ProgressToWrite;
   /** Called once the state store has the progress of these jobs. */
   onWritten: (jobs: ReadonlyMap<string, JobProgress>) => void;
 }
 
-/** Writes the progress of the open jobs to the state store; only values that have changed are written. */
+/** Writes the progress of the open jobs to the state store. Only values that have changed are written. */
 export class ProgressWriter {
   private readonly slots: ProgressSlots;
   private writing = false;
@@ -33,17 +33,17 @@
     this.slots = new ProgressSlots(options.valueBytes);
   }
 
-  /** The job's progress is in this slot already. */
+  /** Records that the stored progress of a job is in this slot. */
   assignSlot(ref: string, slot: number): void {
     this.slots.assign(ref, slot);
   }
 
-  /** The job is closed: another one may have its slot. */
+  /** Releases the slot of a closed job for another job. */
   releaseSlot(ref: string): void {
     this.slots.release(ref);
   }
 
-  /** Writes progress if it is due: at intervals, and sooner if tasks wait for their start watermarks. */
+  /** Writes progress if that is due: at regular intervals, and sooner if tasks wait for start watermarks. */
   async writeIfDue(now: number): Promise<void> {
     const { store, txnOps, intervalMs, minIntervalMs, onWritten } = this.options;
     if (this.writing || now - this.lastWriteAt < minIntervalMs) return;
@@ -57,7 +57,7 @@
       put: keys.progress(store.partition, slot),
       value: encodeProgress(inSlot),
     }));
-    // An earlier attempt that is applied late must not bring lower start watermarks back.
+    // An earlier attempt that is applied late must not restore lower start watermarks.
     const unchangedConditions = writes.map(({ put }) => ({
       key: put,
       revision: store.stateStore.revisionOf(put),
--- a/src/coordination/partition/recovery-log.ts
+++ b/src/coordination/partition/recovery-log.ts
@@ -1,11 +1,11 @@
 import { type Log } from '../../transport/log';
 import { type PartitionCore } from './partition-core';
 
-/** A machine that sends no heartbeat within this time after a failover is gone, or cut off from this controller. */
+/** A machine that has sent no heartbeat this long after a failover is gone, or cannot reach this controller. */
 const RECOVERY_GRACE_MS = 8000;
 const MAX_LOGGED_MACHINE_COUNT = 5;
 
-/** Follows how a partition recovers after it was taken over, and logs it once. */
+/** Tracks the recovery of a partition after it was taken over, and logs it once. */
 export class RecoveryLog {
   private recoveryLogged = false;
   private unconfirmedLogged = false;
@@ -13,11 +13,11 @@
   constructor(
     private readonly core: PartitionCore,
     private readonly log: Log,
-    /** Steady time in milliseconds. */
+    /** Steady time in milliseconds at which the partition was taken over. */
     private readonly takenOverAt: number,
   ) {}
 
-  /** Whether the partition was just taken over, and machines are yet to be confirmed. */
+  /** Whether the partition was taken over less than the grace period ago and has unconfirmed machines. */
   recovering(now: number): boolean {
     return this.core.unconfirmedCount > 0 && !this.graceIsOver(now);
   }
@@ -26,7 +26,7 @@
     return now - this.takenOverAt >= RECOVERY_GRACE_MS;
   }
 
-  /** Logs once how long the recovery took, and before that once which machines delay it. */
+  /** Logs once how long the recovery took, and once before that, after the grace period, which machines delay it. */
   tick(now: number): void {
     if (this.recoveryLogged) return;
     if (this.core.unconfirmedCount > 0) return this.logUnconfirmed(now);
--- a/src/coordination/partition/scheduling-order.ts
+++ b/src/coordination/partition/scheduling-order.ts
@@ -8,23 +8,28 @@
   type RuntimeEstimates,
 } from './priority';
 
-/** A job steps back by this many times what it would take all machines, and by no more than the maximum. */
+/**
+ * A job is ordered as if it had arrived later by this many times the time that it would take on all machines, but by no more than
+ * `MAX_SIZE_PENALTY_S`.
+ */
 const SIZE_PENALTY_RATIO = 4;
 const MAX_SIZE_PENALTY_S = 90;
-/** Estimates err by half: a deadline counts as missed only if this share of the run time would exceed it. */
+/**
+ * A deadline counts as missed only if this share of the estimated run time would exceed it, because estimates can be off by half.
+ */
 const MIN_RUNTIME_RATIO = 0.6;
 
 export interface SchedulingContext {
-  /** Of all the partition's machines. */
+  /** Total number of CPUs of the partition's machines; must not be 0. */
   cpus: number;
   estimates: RuntimeEstimates;
   teams: ReadonlyMap<string, Team>;
   objectives: readonly Objective[];
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   wallClockMs: number;
 }
 
-/** A partition's open jobs in the order in which they are offered resources; sets the effective priority of each. */
+/** Returns a partition's open jobs in the order in which they are offered resources, and sets the effective priority of each. */
 export function schedulingOrder(jobs: readonly PartitionJob[], context: SchedulingContext): PartitionJob[] {
   const guaranteed = jobsWithinGuarantee(jobs, context.teams);
   const sortKeys = new Map<PartitionJob, { lateness: number; adjustedArrivalMs: number }>();
@@ -39,8 +44,8 @@
     const lateness = exceedsMaxWait(waitState)
       ? -1
       : missedDeadlineCount(deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
-    // Arrival order, but a job steps back by a few times what it would take all our machines: one large job
-    // ahead of twenty small ones makes twenty users wait for one. The step is bounded, so none starves.
+    // Jobs are ordered by arrival, but a large job is delayed in proportion to its size: one large job ahead of twenty small ones
+    // would make twenty users wait for one. The penalty is bounded, so that no job starves.
     const sizePenaltyS = (SIZE_PENALTY_RATIO * spec.tasks * spec.cpus * expectedS) / context.cpus;
     sortKeys.set(job, {
       lateness,
@@ -58,7 +63,7 @@
   );
 }
 
-/** Jobs that fit into their team's guarantee together with the team's earlier unfinished ones. */
+/** The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
 export function jobsWithinGuarantee(
   jobs: readonly PartitionJob[],
   teams: ReadonlyMap<string, Team>,
--- a/src/coordination/partition/scheduling-queue.ts
+++ b/src/coordination/partition/scheduling-queue.ts
@@ -4,7 +4,7 @@
 import { schedulingOrder } from './scheduling-order';
 import { type TeamQuota } from './team-quota';
 
-/** Priorities age with time, so the order is computed anew at least this often. */
+/** Interval after which the order is recomputed, because priorities change as jobs age. */
 const REORDER_INTERVAL_MS = 1000;
 
 export interface SchedulingQueueOptions {
@@ -12,11 +12,11 @@
   quota: TeamQuota;
   estimates: RuntimeEstimates;
   objectives: readonly Objective[];
-  /** CPUs of all machines of the partition. */
+  /** Returns the total number of CPUs of the partition's machines. */
   totalCpus: () => number;
 }
 
-/** The open jobs of a partition in scheduling order. The order is cached: it is read at every heartbeat. */
+/** The open jobs of a partition in scheduling order. The order is cached because it is read at every heartbeat. */
 export class SchedulingQueue {
   private ordered: PartitionJob[] = [];
   private stale = false;
@@ -25,12 +25,12 @@
 
   constructor(private readonly options: SchedulingQueueOptions) {}
 
-  /** Makes the next read compute the order anew. */
+  /** Makes the next read recompute the order. */
   invalidate(): void {
     this.stale = true;
   }
 
-  /** Advances the time of day by which jobs age, in milliseconds; `now` is steady time. */
+  /** Sets the wall-clock time from which the ages of jobs are computed. Both times are in milliseconds; `now` is steady time. */
   tick(now: number, wallClockMs: number): void {
     this.wallClockMs = wallClockMs;
     if (now - this.orderedAt <= REORDER_INTERVAL_MS) return;
@@ -38,13 +38,13 @@
     this.stale = true;
   }
 
-  /** Open jobs, the first to be offered resources first. */
+  /** The open jobs in the order in which they are offered resources. */
   jobsInOrder(): readonly PartitionJob[] {
     if (!this.stale) return this.ordered;
     this.stale = false;
     const { jobs, quota, estimates, objectives, totalCpus } = this.options;
     this.ordered = schedulingOrder([...jobs.values()], {
-      // One more, so that it can be divided by while no machine is known.
+      // Incremented by one to avoid a division by zero while no machine is known.
       cpus: 1 + totalCpus(),
       estimates,
       teams: quota.teams,
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -2,17 +2,17 @@
 import { type PartitionState } from './partition-state';
 import { MIN_TASK_CPUS } from './resources';
 
-/** Start watermarks are raised ahead of what can start now by this share of the partition's capacity. */
+/** Share of the partition's capacity for which start watermarks are raised beyond the tasks that can start now. */
 const WATERMARK_AHEAD_RATIO = 0.5;
 
-/** Progress of open jobs as it is to be written. */
+/** The progress of open jobs that is to be written. */
 export interface ProgressToWrite {
   jobs: Map<string, JobProgress>;
-  /** Tasks wait for it to be written. */
+  /** Whether the progress raises a start watermark, so that tasks wait for it to be written. */
   watermarksRaised: boolean;
 }
 
-/** Progress of the open jobs, in arrival order; with start watermarks that let the next tasks in turn start. */
+/** The progress of the open jobs, with start watermarks high enough for the next tasks in scheduling order to start. */
 export function progressToWrite(partition: PartitionState, now: number): ProgressToWrite {
   const jobs = new Map<string, JobProgress>();
   let watermarksRaised = false;
@@ -23,7 +23,7 @@
     if (job.state !== 'open' || job.finished) continue;
     const startable = Math.min(job.startableCount(allConfirmed), job.maxNewStarts(now));
     const { team, cpus } = job.spec;
-    // What its team's limit holds back takes no room ahead: jobs behind it would otherwise never get a watermark.
+    // Tasks that their team's limit holds back are not counted; otherwise the watermarks of later jobs would never be raised.
     const cpusLeftToTeam =
       teamCpusLeft.get(team) ??
       partition.quota.remaining(team).cpus + WATERMARK_AHEAD_RATIO * partition.quota.usageOf(team).cpus;
@@ -42,7 +42,7 @@
   return { jobs, watermarksRaised };
 }
 
-/** CPUs that could be given out until start watermarks are raised the next time. */
+/** Number of CPUs that may be allocated before start watermarks are raised the next time. */
 function allocatableCpus(partition: PartitionState, now: number): number {
   let cpus = 0;
   for (const machine of partition.machines.values()) {
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -9,14 +9,14 @@
 
 const MIN_RETRY_DELAY_MS = 250;
 const MAX_RETRY_DELAY_MS = 30_000;
-/** Added to the time that a checkpoint takes, so that a task is not killed by its own estimate. */
+/** Added to the estimated duration of a checkpoint, so that a task is not killed if its estimate is slightly too short. */
 const CHECKPOINT_MARGIN_S = 1;
-/** Of a preemption notice, the share that can be relied on. */
+/** Share of the time in a preemption notice that can be relied on. */
 const RELIABLE_NOTICE_RATIO = 0.5;
-/** Heartbeats that may pass until a command reaches the worker. */
+/** Number of heartbeats that may pass until a command reaches the worker. */
 const COMMAND_DELAY_HEARTBEATS = 2;
 
-/** Counters of a partition for `GET /status`; the names are part of its output. */
+/** Counters of a partition in `GET /status`. Their names are part of that interface. */
 export interface PartitionCounters {
   started: number;
   done: number;
@@ -24,7 +24,7 @@
   failed: number;
   /** Heartbeats received. */
   reports: number;
-  /** Heartbeats that were older than one received before. */
+  /** Heartbeats that were not newer than all received before. */
   stale: number;
   placementPasses: number;
 }
@@ -40,7 +40,7 @@
   heartbeatIntervalMs: number;
 }
 
-/** What happens to tasks after they have been started: adopted from an earlier owner, ended, lost, or stopped to go on elsewhere. */
+/** Handles tasks after their start: adopts tasks of an earlier owner, accounts for exits and losses, retries and stops tasks. */
 export class TaskLifecycle {
   constructor(private readonly deps: TaskLifecycleDependencies) {}
 
@@ -48,7 +48,7 @@
     return this.deps.observerHolder.observer;
   }
 
-  /** Adopts a live task that an earlier owner started. One that is not wanted any more is stopped. */
+  /** Adopts a live task that an earlier owner started. Kills it unless its job is open and the task is pending. */
   adoptRunningTask(machine: MachineState, task: HeartbeatTask, now: number): void {
     const { jobs, jobSet, quota } = this.deps;
     const job = jobs.get(task.ref);
@@ -63,19 +63,19 @@
     }
   }
 
-  /** Tasks that are certain not to be on any machine, though no exit of them was reported. */
+  /** Releases a task that is certain not to be on its machine although its exit was not reported. Counts it as lost. */
   releaseLostTask(task: InFlightTask, now: number): void {
     this.deps.counters.lost++;
     this.releaseTask(task, now, true);
   }
 
-  /** A task in flight is certain not to be on its machine any more; `lost`: no exit of it was reported. */
+  /** Releases a task that is certain not to be on its machine any more. `lost` is true if its exit was not reported. */
   releaseTask(task: InFlightTask, now: number, lost: boolean): void {
     const { jobs, jobSet, quota } = this.deps;
     if (task.spec) quota.addUsage(task.spec, -1);
     const job = jobs.get(task.ref);
     const machine = job?.inFlight.get(task.index);
-    // Another attempt of the task may be in flight on another machine, where it is being stopped.
+    // The job may have another attempt of the task in flight on another machine, where it is being stopped.
     if (!job || machine?.tasks.has(taskKey(task.ref, task.index))) return;
     job.requeue(task.index);
     if (job.isPending(task.index)) this.observer?.taskRequeued(task.ref, task.index, now);
@@ -83,7 +83,7 @@
     if (lost && task.phase === 'reported') jobSet.handleLostTask(job);
   }
 
-  /** Accounts for an exit that a worker has reported. It may be reported again until the worker is told to forget it. */
+  /** Handles an exit that a worker has reported. The worker reports it again until it is told to forget it. */
   handleExit(machine: MachineState, exit: TaskExit, now: number): void {
     if (exit.inFlight) this.releaseTask(exit.inFlight, now, false);
     const job = this.deps.jobs.get(exit.ref);
@@ -94,7 +94,7 @@
     else if (exit.inFlight) this.handleFailure(job, machine, exit, now);
   }
 
-  /** The run time of a task that may have resumed from a checkpoint says nothing about the next one. */
+  /** Records the run time of a done task, unless its job saves checkpoints: a task that resumed from one ran for a shorter time. */
   private recordRunTime({ spec }: PartitionJob, exit: TaskExit, now: number): void {
     const runningSince = exit.inFlight?.runningSince;
     if (typeof runningSince !== 'number' || spec.checkpointIntervalS !== 0) return;
@@ -121,7 +121,10 @@
     else if (exit.reason === 'no_room') job.delayRetry(exit.index, now + this.deps.heartbeatIntervalMs);
   }
 
-  /** Retries a failed task with growing delays: the job does not fail until its user cancels it. */
+  /**
+   * Schedules a retry of a failed task, with a delay that doubles with each failure. Retries go on until the user cancels the
+   * job.
+   */
   private retryLater(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
     this.deps.counters.failed++;
     job.failedMachines.add(machine.id);
@@ -132,20 +135,21 @@
     if (job.failsEverywhere) job.backOff(now);
   }
 
+  /** Has the attempt of a task that is in flight killed, if there is one. */
   private killInFlightAttempt(job: PartitionJob, index: number): void {
     const task = job.inFlight.get(index)?.tasks.get(taskKey(job.ref, index));
     if (task) task.stop = { graceS: 0 };
   }
 
   /**
-   * Stops the tasks of a job that is closed. They stay in flight, and counted against the quota, until their machine reports them
-   * gone.
+   * Has all tasks of a closed job killed. They stay in flight, and count against the quota, until they are certain not to be on
+   * their machines any more.
    */
   stopTasksOf(job: PartitionJob): void {
     for (const index of job.inFlight.keys()) this.killInFlightAttempt(job, index);
   }
 
-  /** The cloud is about to preempt the machine: tasks that can save a checkpoint are stopped in time to do so. */
+  /** Stops the tasks that can save a checkpoint, in time to do so before the cloud preempts their machine. */
   checkpointBeforePreemption(machine: MachineState, now: number): void {
     const noticeS = ((machine.preemptionDeadline ?? now) - now) / 1000;
     const commandDelayS = (COMMAND_DELAY_HEARTBEATS * this.deps.heartbeatIntervalMs) / 1000;
@@ -156,7 +160,7 @@
     }
   }
 
-  /** Stops a task that can go on elsewhere from its checkpoint; any other task is left running. */
+  /** Stops a task that can continue on another machine from its checkpoint. Any other task is left running. */
   checkpointAndReschedule(task: InFlightTask): void {
     const job = this.deps.jobs.get(task.ref);
     if (!job || job.runsAtMostOnce || job.spec.checkpointIntervalS <= 0 || task.stop) return;
--- a/src/coordination/partition/task-observer.ts
+++ b/src/coordination/partition/task-observer.ts
@@ -3,22 +3,26 @@
 import { type MachineState } from './machine';
 import { type PlacementSpreader } from './task-placement';
 
-/** Observes what becomes of the tasks of a partition, so that tasks can be moved between machines. */
+/** Observes the tasks of a partition, in order to move tasks between machines. */
 export interface TaskObserver {
+  /** Null if new tasks are not spread over the machines. */
   readonly spreader: PlacementSpreader | null;
-  /** A task that was in flight is on no machine any more, and is pending again. */
+  /** Called when a task that was in flight is on no machine any more and is pending again. */
   taskRequeued(ref: string, index: number, now: number): void;
-  /** A task is done. */
+  /** Called when a task is done. */
   taskDone(ref: string, index: number, now: number): void;
-  /** A task exited neither done nor stopped on command. */
+  /** Called when a task has exited without being done and without having been stopped on command. */
   taskFailed(ref: string, index: number, now: number): void;
-  /** A task that never saves checkpoints was done after this many seconds. */
+  /** Called when a task of a job without checkpoints was done after this many seconds. */
   runTimeMeasured(spec: JobSpec, seconds: number): void;
-  /** A job has a terminal state in the state store. */
+  /** Called when the state store has a job's terminal state. */
   jobClosed(ref: string, now: number): void;
-  /** A machine is gone. */
+  /** Called when a machine is gone. */
   machineRemoved(id: string, now: number): void;
-  /** A heartbeat is being answered: tasks that resources are reserved for are started before any other. */
+  /**
+   * Starts the tasks for which resources are reserved on a machine whose heartbeat is being answered, and adds the start commands.
+   * Called before any other task is placed on the machine.
+   */
   startReservedTasks(machine: MachineState, commands: Command[], now: number): void;
   tick(now: number): void;
 }
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -13,51 +13,53 @@
 } from './resources';
 import { type TeamQuota } from './team-quota';
 
-/** Failures without a success between them after which a machine is quarantined. */
+/** Number of failures on a machine without a success in between after which it is quarantined. */
 const QUARANTINE_FAILURE_COUNT = 3;
-/** A job that has waited this long is not deferred any more for jobs whose image a machine holds. */
+/** Once a job has been known for this long, its images on machines give it no precedence over other jobs of its priority. */
 const MAX_IMAGE_AFFINITY_WAIT_MS = 30_000;
+/** Attempt numbers available in one epoch, so that the attempts of a later owner have larger numbers. */
 const ATTEMPTS_PER_EPOCH = 1_000_000;
-/** Heartbeat intervals, and a margin, after which a machine that sends no heartbeat is given no task. */
+/** A machine is given no task once its last heartbeat is older than this many heartbeat intervals and a margin. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 1.5;
 const HEARTBEAT_AGE_MARGIN_MS = 1000;
 
-/** What placement needs to know of a partition. */
+/** State of a partition that task placement depends on. */
 export interface PlacementContext {
   readonly epoch: number;
   readonly machines: ReadonlyMap<string, MachineState>;
   readonly jobs: ReadonlyMap<string, PartitionJob>;
   readonly quota: TeamQuota;
   readonly heartbeatIntervalMs: number;
-  /** Machines that are not confirmed since the failover. */
+  /** Number of machines that have not been confirmed since the failover. */
   readonly unconfirmedCount: number;
   readonly counters: { started: number; placementPasses: number };
-  /** Whether the store knows that tasks may be on this machine. */
+  /** Whether the state store lists a machine as assigned, that is, as one that may have tasks. */
   isAssigned(machine: string): boolean;
+  /** Free resources of a machine; null if its type, or the job of a task on it, is unknown. */
   freeOn(machine: MachineState): Resources | null;
-  /** The open jobs in the order in which they get room. */
+  /** The open jobs in the order in which they are offered resources. */
   jobsInSchedulingOrder(): readonly PartitionJob[];
-  /** Spreads new tasks over the machines; null: they go to the cheap and full ones first. */
+  /** Spreads new tasks over the machines; null if they are placed on the cheap and full machines first. */
   readonly spreader: PlacementSpreader | null;
 }
 
-/** Bounds what new tasks may take on each machine, so that all are filled alike. */
+/** Limits the resources that new tasks may use on each machine, so that all machines are filled to the same level. */
 export interface PlacementSpreader {
-  /** Looks at the machines that take work, and at how many CPUs wait. */
+  /** Computes the level from the machines that accept tasks and the number of CPUs that pending tasks need. */
   updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void;
-  /** CPUs that new tasks of a job may take on a machine now. */
+  /** Number of CPUs that new tasks of a job may use on a machine now. */
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number;
 }
 
-/** Chooses machines for waiting tasks, and starts the tasks there. */
+/** Chooses machines for pending tasks and starts the tasks on them. */
 export class TaskPlacement {
   private attemptCount = 0;
-  /** Free CPUs beyond what waits, less what stopped tasks will take; null: to be counted anew. */
+  /** Free CPUs beyond those that pending tasks need and stopped tasks will need again; null if they must be recomputed. */
   private slackCpus: number | null = null;
 
   constructor(private readonly context: PlacementContext) {}
 
-  /** Whether nothing new is to be put on a machine just now. */
+  /** Whether no new task may be placed on a machine now. */
   isUnschedulable(machine: MachineState, now: number): boolean {
     const maxAgeMs = this.context.heartbeatIntervalMs * MAX_HEARTBEAT_AGE_INTERVALS + HEARTBEAT_AGE_MARGIN_MS;
     return (
@@ -71,9 +73,10 @@
   }
 
   /**
-   * Whether tasks fail because of the machine. A job that succeeds elsewhere and fails here counts against the machine, and so do
-   * several jobs that fail here. A job that has succeeded nowhere counts only against a machine where no task ever succeeded:
-   * a faulty job fails everywhere, and would have healthy machines deprovisioned.
+   * Whether a machine is considered the cause of task failures on it. The failures of a job count against the machine if the job
+   * has succeeded elsewhere, or if no task ever succeeded on the machine. Other jobs that have failed here count once each, so
+   * that only several of them quarantine the machine. The failures of a job that fails everywhere never count: it is faulty, and
+   * healthy machines would be deprovisioned because of it.
    */
   isQuarantined(machine: MachineState): boolean {
     let failures = 0;
@@ -87,7 +90,10 @@
     return failures >= QUARANTINE_FAILURE_COUNT || unprovenJobs >= QUARANTINE_FAILURE_COUNT;
   }
 
-  /** Whether tasks may be started on it: it is confirmed, answers reach it, and the state store lists it as assigned. */
+  /**
+   * Whether tasks may be started on a machine: it is schedulable and confirmed, answers reach it, and the state store lists it as
+   * assigned.
+   */
   private acceptsTasks(machine: MachineState, now: number): boolean {
     const { id, confirmed, tokenAcknowledged } = machine;
     return (
@@ -95,7 +101,10 @@
     );
   }
 
-  /** Reserves room for a task that is to go on elsewhere in this partition; false: there is none beyond what waits. */
+  /**
+   * Reserves free CPUs for a task that is to be stopped and resumed on another machine of this partition. Returns false if the task
+   * saves no checkpoints, or if the CPUs that are free beyond those that pending tasks need do not suffice.
+   */
   reserveSlack({ spec }: InFlightTask, now: number): boolean {
     if (!spec || spec.checkpointIntervalS <= 0) return false;
     this.slackCpus ??= this.freeCpus(now) - this.pendingCpus();
@@ -118,8 +127,8 @@
   }
 
   /**
-   * Cheap machines first, then the fullest, as far as what waits needs them: what is expensive or nearly empty comes free
-   * to be given back. The others are passed over until more waits.
+   * Chooses as many machines as the pending tasks need, cheap ones first and then the fullest. The others are deprioritized until
+   * more tasks are pending, so that expensive and nearly empty machines become empty and can be deprovisioned.
    */
   prioritizeMachines(now: number): void {
     this.slackCpus = null;
@@ -139,7 +148,7 @@
     }
   }
 
-  /** All machines are used, each up to what it is allowed when it is filled. */
+  /** Uses all machines that accept tasks; the spreader limits the tasks that each of them is given. */
   private prepareSpreading(spreader: PlacementSpreader, pendingCpus: number, now: number): void {
     const usable: MachineState[] = [];
     for (const machine of this.context.machines.values()) {
@@ -150,8 +159,8 @@
   }
 
   /**
-   * Starts a task for which room was held on this machine; false: it cannot be started here now. The same conditions hold as
-   * for any other start.
+   * Starts a task for which resources were reserved on this machine. Returns false if it cannot be started there now. The same
+   * conditions apply as to any other start.
    */
   startReserved(
     job: PartitionJob,
@@ -169,7 +178,7 @@
     return true;
   }
 
-  /** Starts the next task of a job on a machine; false: none can be started there now. */
+  /** Starts the next task of a job on a machine. Returns false if none can be started there now. */
   startNext(job: PartitionJob, machine: MachineState, commands: Command[], now: number): boolean {
     const free = this.context.freeOn(machine);
     const allConfirmed = this.context.unconfirmedCount === 0;
@@ -184,9 +193,10 @@
   }
 
   /**
-   * Starts waiting tasks on a machine that has just reported: first fit in arrival order within an urgency, in two
-   * passes. Room first goes to jobs whose image the machine holds, for a fetch costs as much as many a task. Who has
-   * waited long is not passed over.
+   * Starts pending tasks on a machine whose heartbeat is being answered: first fit in scheduling order, in two passes for each
+   * priority. The first pass considers only jobs whose image the machine has, because fetching an image often takes as long as
+   * running a task. It excludes jobs known for `MAX_IMAGE_AFFINITY_WAIT_MS` or longer, so that a job defers others no longer than
+   * that. The second pass considers all jobs.
    */
   placeTasks(machine: MachineState, commands: Command[], now: number): void {
     if (machine.deprioritized || !this.acceptsTasks(machine, now)) return;
@@ -228,7 +238,9 @@
     }
   }
 
-  /** How many of them keep the machine as full as the others; one at least while it is emptier than they are. */
+  /**
+   * Number of tasks of a job that keep a machine at the level of the others: at least one while the machine is below that level.
+   */
   private maxSpreadStarts({ spec }: PartitionJob, machine: MachineState, free: Resources): number {
     const { spreader } = this.context;
     if (!spreader) return Number.POSITIVE_INFINITY;
@@ -236,12 +248,13 @@
     return cpus <= 0 ? 0 : Math.max(1, Math.floor(cpus / Math.max(spec.cpus, MIN_TASK_CPUS)));
   }
 
-  /** How many tasks of a job may be started on a machine that has so much free. */
+  /** Number of tasks of a job that may be started on a machine with these free resources. */
   private maxStarts(job: PartitionJob, machine: MachineState, free: Resources, now: number): number {
     const { spec } = job;
     const fitting = countFitting(free, spec);
     if (fitting === 0 || job.state !== 'open' || !allowsMachine(spec, machine.record)) return 0;
-    // It succeeded nowhere yet and fails here: another machine tells whose fault it is.
+    // The job has not succeeded anywhere and fails here. Running it on another machine shows whether the job or the machine is
+    // faulty.
     if (job.doneCount === 0 && (machine.failuresByJob.get(job.ref) ?? 0) >= QUARANTINE_FAILURE_COUNT)
       return 0;
     const remaining = this.context.quota.remaining(spec.team);
@@ -268,10 +281,10 @@
     return command;
   }
 
-  /** How many tasks of a job are in each zone. */
+  /** Number of tasks of a job in each zone. */
   private inFlightByZone(job: PartitionJob): Map<string, number> {
     const zones = new Map<string, number>();
-    // Not only `inFlight`: a task may also be in flight on a machine where it is being stopped.
+    // `job.inFlight` does not suffice: another attempt of a task may be in flight on a machine where it is being stopped.
     for (const machine of this.context.machines.values()) {
       for (const task of machine.tasks.values()) {
         if (task.ref !== job.ref) continue;
--- a/src/coordination/partition/team-quota.ts
+++ b/src/coordination/partition/team-quota.ts
@@ -5,13 +5,13 @@
 
 const NO_RESOURCES: ResourceQuota = { cpus: 0, accelerators: 0 };
 
-/** Quota of the teams of a partition: what their tasks use, and what is reserved for tasks that were not reported yet. */
+/** Quota of the teams of a partition: the resources that their tasks use, and those reserved for tasks not reported yet. */
 export class TeamQuota {
   private readonly used = new Map<string, ResourceQuota>();
   readonly teams: ReadonlyMap<string, Team>;
-  /** What tasks on unconfirmed machines may use, by team; null: to be computed anew. */
+  /** Resources that unreported tasks may use on unconfirmed machines, by team; null if they must be recomputed. */
   private reserved: Map<string, ResourceQuota> | null = null;
-  /** What tasks of cancelled jobs may use on unconfirmed machines, by team. */
+  /** Resources that tasks of closed jobs which were not done may use on unconfirmed machines, by team. */
   private readonly cancelled = new Map<string, ResourceQuota>();
 
   constructor(
@@ -27,7 +27,7 @@
     return this.teams.has(team);
   }
 
-  /** Counts `tasks` more tasks against their team, or fewer. */
+  /** Adds the resources of this many tasks to the usage of their team; subtracts them if `tasks` is negative. */
   addUsage(spec: JobSpec, tasks: number): void {
     if (this.used.has(spec.team)) addTo(this.used, spec, tasks);
   }
@@ -36,7 +36,7 @@
     return this.used.get(team) ?? NO_RESOURCES;
   }
 
-  /** What a team may still use; tasks that may be on unconfirmed machines count as if they ran. */
+  /** Resources that a team may still use. Tasks that may be on unconfirmed machines count as used. */
   remaining(team: string): ResourceQuota {
     const limit = this.teams.get(team)?.limit ?? NO_RESOURCES;
     const used = this.usageOf(team);
@@ -47,26 +47,29 @@
     };
   }
 
-  /** Reserves quota for tasks of a cancelled job that may be on unconfirmed machines. */
+  /** Reserves quota for tasks of a job that was closed without being done; they may be on unconfirmed machines. */
   reserveForCancelled(spec: JobSpec, tasks: number): void {
     addTo(this.cancelled, spec, tasks);
     this.invalidateReserved();
   }
 
-  /** All machines are confirmed: no task is on them that was not reported. */
+  /**
+   * Releases what is reserved for closed jobs. Must be called once all machines are confirmed: no unreported task is left on
+   * them.
+   */
   releaseCancelled(): void {
     this.cancelled.clear();
   }
 
-  /** Jobs or machines have changed: what is reserved is to be computed anew. */
+  /** Makes the next read recompute the reserved resources. Must be called after a change of jobs or machines. */
   invalidateReserved(): void {
     this.reserved = null;
   }
 
   /**
-   * What tasks of a team may use without having been reported: no more than the unconfirmed machines have capacity for, nor than
-   * the tasks that an earlier owner may have started, and those of cancelled jobs. To count the machines as full against every team
-   * would hold back teams that have nothing on them.
+   * Upper bound of the resources that unreported tasks of a team may use. It does not exceed what unreported tasks may use on the
+   * unconfirmed machines, nor what the tasks that an earlier owner may have started and those of closed jobs need. Counting the
+   * machines as full against every team would hold back teams that have no tasks on them.
    */
   private reservedFor(team: string): ResourceQuota {
     if (this.unconfirmedMachines.count === 0) return NO_RESOURCES;
@@ -86,7 +89,7 @@
   }
 }
 
-/** An unlimited team stays unlimited, whatever is reserved: infinity less infinity is not a number. */
+/** The rest of a limit. An unlimited team stays unlimited whatever is reserved, because infinity minus infinity is not a number. */
 function remainingOf(limit: number, used: number, reserved: number): number {
   return limit === Infinity ? Infinity : limit - used - reserved;
 }
--- a/src/coordination/partition/terminal-state-writer.ts
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -4,7 +4,7 @@
 import { type PartitionStore } from './partition-store';
 
 const MAX_STATES_PER_WRITE = 30;
-/** Once a stored value is longer than this, a new one is begun. */
+/** Once the JSON text of a stored value is longer than this, the next states are written to a new value. */
 const MAX_VALUE_BYTES = 1500;
 const CATCH_UP_TIMEOUT_MS = 2000;
 
@@ -14,13 +14,13 @@
 
   constructor(
     private readonly store: PartitionStore,
-    /** States that the state store does not have yet. */
+    /** Returns the terminal states that are not yet known to be in the state store, by job. */
     private readonly pending: () => ReadonlyMap<string, TerminalState>,
-    /** Operations that one transaction may have. */
+    /** Maximum number of operations in one transaction. */
     private readonly txnOps: number,
   ) {}
 
-  /** Starts to write what is pending, unless that goes on already. */
+  /** Starts to write the pending states, unless a write is in progress. */
   writePending(): void {
     if (this.pending().size > 0) void this.write();
   }
@@ -30,14 +30,14 @@
     this.writing = true;
     const states = [...this.pending()].slice(0, Math.min(MAX_STATES_PER_WRITE, this.txnOps * 2));
     const { key, revision, value } = this.targetValue();
-    // A job that its user has cancelled meanwhile is not written: its cancellation decides.
+    // The state of a job that its user has cancelled in the meantime is not written, because the cancellation takes precedence.
     const notCancelled = states.map(([ref]) => ({ key: keys.cancel(ref), revision: 0 }));
     const result = await this.store.transact(
       [{ key, revision }, ...notCancelled],
       [{ put: key, value: { ...value, ...Object.fromEntries(states) } }],
       RequestPriority.Decision,
     );
-    // A conflicting change, and this write itself, arrive by the watch; the next attempt starts from there.
+    // A conflicting change, like this write itself, is received through the watch. The next attempt is based on it.
     if (result.kind === 'applied')
       await this.store.stateStore.whenCaughtUp(result.revision, CATCH_UP_TIMEOUT_MS);
     else await this.store.waitToRetry();
@@ -45,7 +45,7 @@
     this.writePending();
   }
 
-  /** The value to extend: the partition's last one, or a new one if that is full. */
+  /** The stored value to extend: the partition's last one, or a new one if that is full. */
   private targetValue(): { key: string; revision: number; value: object } {
     const { partition, replica, stateStore } = this.store;
     const lastIndex = replica.lastTerminalStatesIndex(partition);
--- a/src/coordination/partition/unconfirmed-machines.ts
+++ b/src/coordination/partition/unconfirmed-machines.ts
@@ -2,14 +2,16 @@
 import { type Resources } from './resources';
 
 /**
- * The machines that are not confirmed after a failover, and an upper bound of what unreported tasks may use on them. The sum is kept
- * up to date by differences: computed anew at each first heartbeat, a failover would cost the square of the fleet's size while the
- * leases of the workers not answered yet run out.
+ * The machines that are not confirmed after a failover, and an upper bound of the resources that unreported tasks may use on
+ * them. The sum is updated incrementally. If it were recomputed at each first heartbeat, the cost of a failover would grow with
+ * the square of the number of machines, while the leases of workers that have not been answered yet expire.
  */
 export class UnconfirmedMachines {
-  /** What unreported tasks may use on each machine; null: unknown. */
+  /** Upper bound of the resources that unreported tasks may use on each machine; null if it is unknown. */
   private readonly usageBounds = new Map<string, ResourceQuota | null>();
+  /** Number of machines whose bound is unknown. */
   private unknownCount = 0;
+  /** Sum of the known bounds. */
   private readonly sum: ResourceQuota = { cpus: 0, accelerators: 0 };
 
   get count(): number {
@@ -20,7 +22,7 @@
     return [...this.usageBounds.keys()].slice(0, count);
   }
 
-  /** Adds or updates an unconfirmed machine; `free` is null while its type, or a task on it, is unknown. */
+  /** Adds or updates an unconfirmed machine. `free` is null if its type, or the job of a task on it, is unknown. */
   set(id: string, free: Resources | null): void {
     this.remove(id);
     const bound = free && { cpus: Math.max(0, free.cpus), accelerators: Math.max(0, free.accelerators) };
@@ -28,7 +30,7 @@
     this.addBound(bound, 1);
   }
 
-  /** Removes a machine that is confirmed or gone. True if it was the last one. */
+  /** Removes a machine that is confirmed or gone. Returns true if it was the last unconfirmed machine. */
   remove(id: string): boolean {
     const bound = this.usageBounds.get(id);
     if (bound === undefined) return false;
@@ -37,7 +39,7 @@
     return this.usageBounds.size === 0;
   }
 
-  /** The most that unreported tasks may use on all of them. */
+  /** Upper bound of the resources that unreported tasks may use on all these machines; infinity if that of a machine is unknown. */
   get upperBound(): ResourceQuota {
     if (this.usageBounds.size === 0) return { cpus: 0, accelerators: 0 };
     return this.unknownCount > 0 ? { cpus: Infinity, accelerators: Infinity } : this.sum;
--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -9,26 +9,27 @@
   type RecoveryResult,
 } from './recovery-pass';
 
-/** A job of a pipeline, as far as its pipeline cares. */
+/** The properties of a job on which the evaluation of its pipeline depends. */
 export interface PipelineMember {
   spec: JobSpec;
   state: JobState;
-  /** Order of acceptance; the earliest is walked first. */
+  /** Position in the order of acceptance. The recovery pass handles earlier jobs first. */
   order: number;
 }
 
+/** The result of evaluating a pipeline. Jobs are given by reference. */
 export interface PipelineSnapshot {
-  /** Jobs that may begin now. */
+  /** Open jobs whose tasks may start now. */
   ready: Set<string>;
-  /** Jobs that are over for the pipeline's sake and have not been written down as that. */
+  /** Terminal states of jobs that the pipeline terminates and that are open in the state store. */
   terminalStates: Map<string, TerminalState>;
   statusByJob: Map<string, PipelineJobStatus>;
 }
 
 /**
- * Evaluates the typed edges of one pipeline, given the states of its jobs and which of them were interrupted and cannot go on. It is
- * pure and starts anew each time: only what the state store holds decides, so every owner and every controller comes to the same
- * result, whatever was lost in between.
+ * Evaluates the typed edges of one pipeline from the states of its jobs and the set of jobs that were interrupted and cannot
+ * continue. The function is pure and keeps no state between calls. The result depends only on what the state store holds, so
+ * every owner and every controller obtains the same result, whatever was lost in between.
  */
 export function evaluatePipeline(
   members: readonly PipelineMember[],
@@ -37,14 +38,14 @@
   return new PipelineEvaluation(members, interrupted).snapshot();
 }
 
-/** The jobs of a pipeline as a graph; a job is given by its index in order of acceptance. */
+/** The jobs of a pipeline as a graph. A job is given by its index in the order of acceptance. */
 class PipelineEvaluation {
   private readonly jobs: readonly PipelineMember[];
   private readonly edges: readonly Edge[];
   private readonly nodes: readonly PipelineNode[];
   /** Open jobs that the evaluation terminates. */
   private readonly terminated = new Map<number, TerminalState>();
-  /** Fallbacks and alternates that are to run. */
+  /** Fallbacks and alternates that are released to run. */
   private readonly released = new Set<number>();
   private pipelineFailed = false;
 
@@ -62,7 +63,8 @@
 
   snapshot(): PipelineSnapshot {
     this.applyRecordedFailures();
-    // A fallback starts only once the failure that releases it is recorded: a later owner could not tell that failure anew.
+    // A fallback starts only once the failure that releases it is recorded, because a later owner may not detect that failure
+    // again.
     const recordedReleases = new Set(this.released);
     this.applyResult(recoveryPass(this.nodes, this.edges, [...this.nodes.keys()]));
     this.pipelineFailed ||= this.jobs.some((_, i) => this.hasFailed(i) && !this.hasFallback(i));
@@ -75,7 +77,7 @@
     return snapshot;
   }
 
-  /** Recorded failures are propagated again: not all of their effects may have been recorded. */
+  /** Propagates recorded failures again, because some of their effects may not have been recorded. */
   private applyRecordedFailures(): void {
     this.jobs.forEach(({ state }, i) => {
       if (state !== 'open' && state !== 'done') this.applyResult(failJob(this.nodes, this.edges, i));
@@ -99,7 +101,7 @@
     return state === 'failed' || state === 'cancelled';
   }
 
-  /** Whether a fallback or alternate answers the job's failure; one that nothing answers is the pipeline's. */
+  /** Whether a job has a fallback or an alternate. If a job without one fails, the pipeline fails. */
   private hasFallback(i: number): boolean {
     const hasFallbackEdge = this.edges.some((e) => e.from === i && e.kind === 'force_begin_on_abort');
     return hasFallbackEdge || (this.nodes[i]?.alternates.length ?? 0) > 0;
@@ -143,7 +145,7 @@
   return edges;
 }
 
-/** A fallback or alternate whose job is done will never be asked for. */
+/** State of a job that may not begin yet: `not_needed` if it is a fallback or alternate only for jobs that are done. */
 function waitingState(
   i: number,
   jobs: readonly PipelineMember[],
@@ -161,7 +163,7 @@
   return neverNeeded && !released.has(i) ? 'not_needed' : 'waiting';
 }
 
-/** The earlier job that holds this one back or has ended it. */
+/** The job that holds a job back or has terminated it, or else the job whose alternate it is; null if there is none. */
 function blockingJob(
   i: number,
   jobs: readonly PipelineMember[],
@@ -173,12 +175,13 @@
   return cause ? (jobs[cause.from]?.spec.ref ?? null) : replacedJob;
 }
 
-/** The pipelines of a partition, and which of their jobs were interrupted and cannot go on. */
+/** The pipelines of a partition, and which of their jobs were interrupted and cannot continue. */
 export class PartitionPipelines {
   private readonly members = new Map<string, Map<string, PipelineMember>>();
   private readonly pipelineOf = new Map<string, string>();
   private readonly interrupted = new Set<string>();
 
+  /** Adds a job to its pipeline, or updates it. Ignores a job without a pipeline. */
   setMember(spec: JobSpec, state: JobState, order: number): void {
     if (!spec.pipeline) return;
     const members = this.members.get(spec.pipeline.ref) ?? new Map<string, PipelineMember>();
@@ -187,21 +190,21 @@
     this.pipelineOf.set(spec.ref, spec.pipeline.ref);
   }
 
-  /** False if the job stands alone. */
+  /** Sets the terminal state of a closed job. Returns false if the job has no pipeline. */
   markClosed(ref: string, state: JobState): boolean {
     const member = this.members.get(this.pipelineOf.get(ref) ?? '')?.get(ref);
     if (member) member.state = state;
     return member !== undefined;
   }
 
-  /** True if that is new. */
+  /** Marks a job as interrupted and unable to continue. Returns false if it was marked already. */
   markInterrupted(ref: string): boolean {
     if (this.interrupted.has(ref)) return false;
     this.interrupted.add(ref);
     return true;
   }
 
-  /** How the pipeline of a job stands; null if it stands alone. */
+  /** Evaluates the pipeline of a job; null if the job has no pipeline. */
   snapshotOf(ref: string): PipelineSnapshot | null {
     const members = this.members.get(this.pipelineOf.get(ref) ?? '');
     return members ? evaluatePipeline([...members.values()], this.interrupted) : null;
--- a/src/coordination/pipeline/recovery-pass.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -1,41 +1,50 @@
 import { type EdgeKind } from '../../protocol/jobs';
 
 /**
- * The recovery pass of the paper (Ray, Xin, Zhu, section 5, phase 3) and the typed edges of section 3, on
- * one pipeline. It is pure: a pipeline's states in, the decisions out.
+ * The recovery pass of the paper by Ray, Xin and Zhu (section 5, phase 3) and its typed edges (section 3), for one pipeline. The
+ * functions are pure: they compute decisions from the states of the pipeline's jobs.
  */
-/** `to` depends on `from`. */
+/** A typed edge between two jobs, given by their indices: `to` depends on `from`. */
 export interface Edge {
   from: number;
   to: number;
   kind: EdgeKind;
 }
 
-/** The paper's states: unscheduled, executing, committed, aborted; `interrupted` is what a crash makes of the second. */
+/**
+ * State of a job. In the paper: unscheduled, executing, committed (`done`) and aborted (`failed` or `cancelled`). An executing
+ * job is `interrupted` after a crash.
+ */
 export type NodeState = 'unscheduled' | 'executing' | 'interrupted' | 'done' | 'failed' | 'cancelled';
 
+/** A job of the pipeline. */
 export interface PipelineNode {
   state: NodeState;
   reExecutable: boolean;
-  /** Everything it takes its input from is on record. */
+  /** Whether all inputs of the job are recorded. */
   inputsRecorded: boolean;
-  /** Jobs that stand in for this one once it has failed. */
+  /** Jobs that replace this one once it has failed. */
   alternates: number[];
 }
 
+/** The decisions of a recovery pass. Jobs are given by index. */
 export interface RecoveryResult {
-  /** Interrupted jobs to run again: only their unfinished tasks. */
+  /** Interrupted jobs whose unfinished tasks are run again. */
   rerun: number[];
+  /** Jobs that fail. */
   fail: number[];
-  /** Jobs cancelled because one that they abort-depend on failed. */
+  /** Jobs cancelled because a job on which they abort-depend has failed or was cancelled. */
   cancel: number[];
-  /** Fallbacks and alternates that are now to run. */
+  /** Fallbacks and alternates that are released to run. */
   release: number[];
-  /** A done job abort-depends on a failed one: it stays done, the pipeline is reported failed. */
+  /**
+   * Whether a done job abort-depends on a job that failed or was cancelled. It stays done, and the pipeline is reported as
+   * failed.
+   */
   pipelineFailed: boolean;
 }
 
-/** Walks the interrupted jobs from the earliest; `order` gives the jobs in the order in which they began. */
+/** Decides for each interrupted job whether it is run again or fails. `order` lists the jobs, earliest first. */
 export function recoveryPass(
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
@@ -45,7 +54,7 @@
   const states = nodes.map((n) => n.state);
   for (const i of order) {
     const node = nodes[i];
-    // An earlier job's failure may have reached this one already.
+    // The failure of an earlier job may already have cancelled this one.
     if (!node || states[i] !== 'interrupted') continue;
     if (node.reExecutable && node.inputsRecorded) {
       states[i] = 'executing';
@@ -59,7 +68,7 @@
   return result;
 }
 
-/** What one job's failure in ordinary running does to the others: the same adjustment as after a crash. */
+/** Decides the effects of a job's failure in normal operation on the other jobs. They are the same as after a crash. */
 export function failJob(
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
@@ -78,6 +87,10 @@
   return result;
 }
 
+/**
+ * Cancels all jobs that abort-depend on a failed job, directly or through others, unless done, and releases their fallbacks and
+ * alternates.
+ */
 function propagateFailure(
   first: number,
   nodes: readonly PipelineNode[],
@@ -108,7 +121,7 @@
   }
 }
 
-/** A job may begin once every begin-on-commit parent is done and, if it is a fallback, it has been released. */
+/** Whether a job may begin: every begin-on-commit parent is done and, if it is a fallback or alternate, it has been released. */
 export function mayBegin(
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
