--- a/src/coordination/partition/machine-set.ts
+++ b/src/coordination/partition/machine-set.ts
@@ -41,7 +41,7 @@
     return this.options.assignedMachines.has(id);
   }
 
-  /** Adds a machine, or updates the record of a known machine, to the given revision of its record. */
+  /** Adds a machine, or replaces the record of a known machine. `revision` is the revision of the record. */
   upsert(id: string, record: MachineRecord, revision: number, now: number): void {
     const known = this.machines.get(id);
     if (known) {
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Issues a new token, which the worker must show to prove that answers reach it. Until then no task is started, because the
-   * starts would be lost.
+   * Requires the worker to show a new token, which proves that answers reach it. Until then no task is started, because the starts
+   * would be lost.
    */
   private requireNewToken(): void {
     this.tokenAcknowledged = false;
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -11,7 +11,7 @@
 import { type Heartbeat } from '../../protocol/workers';
 import { HeartbeatHandler, type HeartbeatAnswer } from './heartbeat-handler';
 import { type PartitionJob } from './job';
-import { JobSet, type OpenJob, type StoredJobState } from './job-set';
+import { JobSet, type OpenJob, type AcceptedJob } from './job-set';
 import { type InFlightTask } from './in-flight-task';
 import { type MachineState } from './machine';
 import { MachineSet, type DrainedMachine } from './machine-set';
@@ -173,7 +173,7 @@
 
   // Machines.
 
-  /** Adds a machine, or updates the record of a known machine, to the given revision of its record. */
+  /** Adds a machine, or replaces the record of a known machine. `revision` is the revision of the record. */
   upsertMachine(id: string, record: MachineRecord, revision: number, now: number): void {
     this.machineSet.upsert(id, record, revision, now);
   }
@@ -280,7 +280,7 @@
   }
 
   /** Adds a terminated job to its pipeline, where its edges still apply. Ignores a job without a pipeline. */
-  addTerminatedPipelineJob(job: StoredJobState, state: JobState): void {
+  addTerminatedPipelineJob(job: AcceptedJob, state: JobState): void {
     this.jobSet.addTerminatedPipelineJob(job, state);
   }
 
@@ -288,7 +288,7 @@
    * Reserves quota for a job that an earlier owner may have started and that ended in a state other than `done`: its tasks may be
    * on unconfirmed machines.
    */
-  reserveQuotaForCancelled(job: StoredJobState, state: JobState): void {
+  reserveQuotaForCancelled(job: AcceptedJob, state: JobState): void {
     this.jobSet.reserveQuotaForCancelled(job, state);
   }
 
--- a/src/coordination/partition/placement.ts
+++ b/src/coordination/partition/placement.ts
@@ -41,7 +41,7 @@
 
 /**
  * The zones in which further tasks of a job may be started, given the number of its tasks in flight in each zone; null if all zones
- * are allowed. Machines provisioned in any other zone would leave the job pending for ever.
+ * are allowed. Machines provisioned in any other zone would leave the job pending forever.
  */
 export function eligibleZones(
   spec: JobSpec,
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -42,7 +42,7 @@
 
 /** Priority of a job that has exceeded the maximum wait: only jobs of the highest priority go before it. */
 const AGED_PRIORITY = 1;
-/** Priority (normal) to which a job within its team's guarantee is raised once it has waited: before jobs of idle priority. */
+/** Priority (normal) to which a job within its team's guarantee is raised once it has waited, so that it goes before idle jobs. */
 const AGED_GUARANTEED_PRIORITY = 2;
 /** Age in seconds by which a job must have started a task, however large or late it is. */
 export const MAX_WAIT_TO_START_S = 150;
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -94,7 +94,10 @@
     else if (exit.inFlight) this.handleFailure(job, machine, exit, now);
   }
 
-  /** Records the run time of a done task, unless its job saves checkpoints: a task that resumed from one ran for a shorter time. */
+  /**
+   * Records the run time of a done task. A task of a job with checkpoints is excluded, because it may have resumed from one, and
+   * its run time then says nothing about the next task.
+   */
   private recordRunTime({ spec }: PartitionJob, exit: TaskExit, now: number): void {
     const runningSince = exit.inFlight?.runningSince;
     if (typeof runningSince !== 'number' || spec.checkpointIntervalS !== 0) return;
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -15,7 +15,7 @@
 
 /** Number of failures on a machine without a success in between after which it is quarantined. */
 const QUARANTINE_FAILURE_COUNT = 3;
-/** Once a job has been known for this long, its images on machines give it no precedence over other jobs of its priority. */
+/** Once a job has been known for this long, it no longer takes precedence on machines that have its image. */
 const MAX_IMAGE_AFFINITY_WAIT_MS = 30_000;
 /** Attempt numbers available in one epoch, so that the attempts of a later owner have larger numbers. */
 const ATTEMPTS_PER_EPOCH = 1_000_000;
--- a/src/coordination/pipeline/recovery-pass.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -27,7 +27,7 @@
   alternates: number[];
 }
 
-/** The decisions of a recovery pass. Jobs are given by index. */
+/** Decisions about the jobs of a pipeline after a crash or a failure. Jobs are given by index. */
 export interface RecoveryResult {
   /** Interrupted jobs whose unfinished tasks are run again. */
   rerun: number[];
--- a/test/partition/failing-tasks.test.ts
+++ b/test/partition/failing-tasks.test.ts
@@ -12,7 +12,7 @@
 
 const cases: PartitionCase[] = [
   [
-    'a task that fails is tried again after a pause, and a machine where all fail gets no more',
+    'a failed task is retried after a delay, and a machine on which all tasks fail is quarantined',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 8 }));
@@ -31,8 +31,8 @@
     },
   ],
   [
-    // Jobs with a mistake fail on every machine. Machines on which other work was done were sent back for it.
-    'a job that succeeds nowhere does not put a machine to blame where others succeed',
+    // Faulty jobs fail on every machine. Because of them, machines on which other jobs succeeded were deprovisioned.
+    'a job that succeeds nowhere does not quarantine a machine on which other jobs succeed',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
@@ -46,14 +46,14 @@
         6000,
         failed.map((c) => taskInPhase(c, 'exited', 'error')),
       );
-      assert.deepEqual(startedTasks(next), [], 'nor is it tried there again at once');
+      assert.deepEqual(startedTasks(next), [], 'the job is not retried on this machine at once either');
       assert.equal(partition.core.currentLoad(6000).machines[0]?.quarantined, false);
       partition.addJob(jobSpec('job-3', { tasks: 2 }));
       assert.equal(startedTasks(partition.heartbeat('m', 8000)).length, 2);
     },
   ],
   [
-    'a machine where several jobs fail that succeed elsewhere is to blame',
+    'a machine is quarantined if the tasks of a job fail on it and succeed elsewhere',
     (partition) => {
       partition.addMachine('good', AFTER_OWNER);
       partition.addMachine('bad', AFTER_OWNER);
@@ -77,7 +77,7 @@
     },
   ],
   [
-    'a job that failed on three machines is tried with one task now and then, and nothing is rented for it',
+    'a job that failed on three machines is retried with one task at a time after pauses, and no machines are requested for it',
     (partition) => {
       partition.addJob(jobSpec('job-1', { tasks: 30 }));
       let now = 0;
@@ -91,35 +91,40 @@
         );
       }
       assert.equal(partition.core.currentLoad(now).machines.filter((m) => m.quarantined).length, 0);
-      assert.deepEqual(partition.core.currentLoad(now).demands, [], 'it pauses');
+      assert.deepEqual(partition.core.currentLoad(now).demands, [], 'no demand while the job is paused');
       partition.addJob(jobSpec('job-2', { tasks: 3 }));
       partition.addMachine('p', AFTER_OWNER);
-      assert.equal(startedTasks(partition.heartbeat('p', now)).length, 3, 'others have the room');
-      let tries = 0;
+      assert.equal(
+        startedTasks(partition.heartbeat('p', now)).length,
+        3,
+        'another job gets the free resources',
+      );
+      let attempts = 0;
       for (const until = now + 60_000; now < until; now += 1000) {
-        const tried = partition.heartbeat('p', now).filter((c) => c.op === 'start' && c.ref === 'job-1');
-        assert.ok(tried.length <= 1);
-        tries += tried.length;
-        if (tried[0]) partition.heartbeat('p', now + 500, [taskInPhase(tried[0], 'exited', 'error')]);
+        const retried = partition.heartbeat('p', now).filter((c) => c.op === 'start' && c.ref === 'job-1');
+        assert.ok(retried.length <= 1);
+        attempts += retried.length;
+        if (retried[0]) partition.heartbeat('p', now + 500, [taskInPhase(retried[0], 'exited', 'error')]);
       }
-      assert.ok(tries >= 2 && tries < 10, `${tries} tries in a minute`);
+      assert.ok(attempts >= 2 && attempts < 10, `${attempts} attempts in a minute`);
     },
   ],
   [
-    // Long tasks of a job that ran everywhere else waited one by one behind three machines that failed.
-    'a job that fails on a few machines and runs on most is not at fault',
+    // After failures on three faulty machines, only one task of a job was started at a time, although its long tasks ran on all
+    // others.
+    'a job that fails on a few machines and runs on most is not limited to one task',
     (partition) => {
       partition.addJob(jobSpec('job-1', { tasks: 40 }));
       const all = ['m', 'n', 'o', 'p', 'q', 'r', 's'];
       for (const id of all) partition.addMachine(id, AFTER_OWNER);
-      const begun = new Map(
+      const starts = new Map(
         all.map((id) => [id, partition.heartbeat(id, 0).filter((c) => c.op === 'start')]),
       );
       for (const id of ['m', 'n', 'o'])
         partition.heartbeat(
           id,
           1000,
-          (begun.get(id) ?? []).map((c) => taskInPhase(c, 'exited', 'error')),
+          (starts.get(id) ?? []).map((c) => taskInPhase(c, 'exited', 'error')),
         );
       partition.addMachine('t', AFTER_OWNER);
       assert.equal(startedTasks(partition.heartbeat('t', 1500)).length, 4);
@@ -128,6 +133,6 @@
   ],
 ];
 
-test('a partition: tasks that fail', async (t) => {
+test('partition: failing tasks', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/job.test.ts
+++ b/test/partition/job.test.ts
@@ -13,7 +13,7 @@
 
 const cases: PartitionCase[] = [
   [
-    'an exit is forgotten only once its outcome is durable, and done is told once all are',
+    'the worker is told to forget an exit only once its outcome is durable, and a job is done once all its tasks are done',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
@@ -26,7 +26,7 @@
     },
   ],
   [
-    'a cancelled job: nothing starts, what runs is stopped and counts until it is gone',
+    'no task of a cancelled job is started, and its running tasks are stopped and count against the limit until they are gone',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -39,7 +39,11 @@
       );
       partition.closeJob('job-1', 'cancelled');
       partition.addJob(jobSpec('job-2', { tasks: 8 }));
-      assert.equal(startedTasks(partition.heartbeat('n', 1500)).length, 4, 'limit 8, 4 still out');
+      assert.equal(
+        startedTasks(partition.heartbeat('n', 1500)).length,
+        4,
+        'limit 8, and 4 tasks are still in flight',
+      );
       const stops = partition.heartbeat(
         'm',
         2000,
@@ -49,8 +53,8 @@
     },
   ],
   [
-    // Its tasks counted for nobody once the job was done, while one was still being stopped on a machine.
-    'a job is done once no other attempt of its tasks is left anywhere',
+    // Once the job was done, its tasks no longer counted against the quota, although one was still being stopped on a machine.
+    'a job is done only once no other attempt of its tasks is left on any machine',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -67,7 +71,7 @@
     },
   ],
   [
-    'recorded progress is not run again',
+    'tasks recorded as done are not run again',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 4 }), BEFORE_OWNER, '0-1,3');
@@ -75,28 +79,32 @@
     },
   ],
   [
-    'a job that may not be run again: nothing before its start watermark, and a lost task ends it; then its fallback begins',
+    'a job that runs at most once starts after its watermark is recorded, fails with a lost task, and is then replaced by its alternate',
     (partition) => {
-      const link = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
-      const instead = { ...link, reExecutable: true, alternateFor: 'job-1' };
+      const runOncePipeline = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
+      const alternate = { ...runOncePipeline, reExecutable: true, alternateFor: 'job-1' };
       partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), AFTER_OWNER, '', 0);
-      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: instead }), AFTER_OWNER + 1);
-      assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), [], 'not begun before that is on record');
+      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }), AFTER_OWNER, '', 0);
+      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: alternate }), AFTER_OWNER + 1);
+      assert.deepEqual(
+        startedTasks(partition.heartbeat('m', 0)),
+        [],
+        'no task is started before the start watermark is recorded',
+      );
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
-      const begun = partition.heartbeat('m', 2000);
-      assert.deepEqual(startedTasks(begun), ['job-1/0', 'job-1/1']);
+      const starts = partition.heartbeat('m', 2000);
+      assert.deepEqual(startedTasks(starts), ['job-1/0', 'job-1/1']);
       partition.heartbeat(
         'm',
         4000,
-        begun.map((c) => taskInPhase(c, 'running')),
+        starts.map((c) => taskInPhase(c, 'running')),
       );
       partition.heartbeat('m', 20_000, [], { agentEpoch: 2, sequence: 1 });
       assert.deepEqual([...partition.core.terminalStates], [['job-1', 'failed']]);
       assert.deepEqual(
         startedTasks(partition.heartbeat('m', 22_000, [], { agentEpoch: 2, sequence: 2 })),
         [],
-        'not on record yet',
+        'the failure is not recorded yet',
       );
       partition.closeJob('job-1', 'failed');
       assert.deepEqual(startedTasks(partition.heartbeat('m', 24_000, [], { agentEpoch: 2, sequence: 3 })), [
@@ -105,12 +113,17 @@
     },
   ],
   [
-    'after a take-over such a job goes on if all that was begun is there, and fails if not',
+    'after a takeover, a job that runs at most once continues if all its started tasks are reported, and fails otherwise',
     (partition) => {
-      const link = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
+      const runOncePipeline = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
       partition.addMachine('m', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), BEFORE_OWNER, '', 1);
-      partition.addJob(jobSpec('job-2', { tasks: 2, pipeline: { ...link, ref: 'q' } }), BEFORE_OWNER, '', 1);
+      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }), BEFORE_OWNER, '', 1);
+      partition.addJob(
+        jobSpec('job-2', { tasks: 2, pipeline: { ...runOncePipeline, ref: 'q' } }),
+        BEFORE_OWNER,
+        '',
+        1,
+      );
       const live: HeartbeatTask = { ref: 'job-1', index: 0, attempt: 7, phase: 'running', exit: null };
       partition.heartbeat('m', 0, [live], { token: BEFORE_OWNER * 1024 });
       partition.heartbeat('m', 500, [live]);
@@ -119,6 +132,6 @@
   ],
 ];
 
-test('a partition: how jobs end', async (t) => {
+test('partition: completion, cancellation and failure of jobs', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/machine-transfer.test.ts
+++ b/test/partition/machine-transfer.test.ts
@@ -11,7 +11,7 @@
 
 const cases: PartitionCase[] = [
   [
-    'tasks that can save leave a machine that is to go back to the cloud; others may finish',
+    'tasks that can save a checkpoint are stopped on a machine that is drained to the cloud; other tasks keep running',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
@@ -28,9 +28,14 @@
   ],
   ...(
     [
-      ['a task that can save leaves a machine that another partition gets', 40_000, true, ['stop job-1']],
-      ['not if nothing else here has room for it', 40_000, false, []],
-      ['nor if it has only just begun', 20_000, true, []],
+      [
+        'a task that can save a checkpoint is stopped on a machine that is drained for another partition',
+        40_000,
+        true,
+        ['stop job-1'],
+      ],
+      ['the task keeps running if no other machine of the partition has room for it', 40_000, false, []],
+      ['the task keeps running if it has run only for a short time', 20_000, true, []],
     ] as const
   ).map(([name, now, roomElsewhere, expected]): PartitionCase => [
     name,
@@ -50,9 +55,9 @@
     },
   ]),
   [
-    // Its value was rewritten for another machine's sake, which unlocked it: tasks were started on a machine that
-    // was on its way to another partition.
-    'a machine that is on its way elsewhere gets nothing, whatever is told of its record',
+    // A machine was uncordoned when its stored value was rewritten because of another machine. Tasks were then started on it
+    // although its transfer to another partition was in progress.
+    'a machine in transfer is given no tasks, even if its record is updated',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       assert.equal(partition.core.cordon('m'), true);
@@ -64,7 +69,7 @@
     },
   ],
   [
-    'an emptied machine is given to the partition that waits for it, unless that is taken back',
+    'a drained machine is released to its target partition, unless the drain is cancelled',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.core.drainForTransfer('m', 'p1', 0);
@@ -77,6 +82,6 @@
   ],
 ];
 
-test('a partition: machines that are to leave it', async (t) => {
+test('partition: transfer and deprovisioning of machines', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/machine.test.ts
+++ b/test/partition/machine.test.ts
@@ -14,23 +14,23 @@
 
 const cases: PartitionCase[] = [
   [
-    'a start is given again only after a newer report without it',
+    'a start is repeated only after a newer heartbeat that does not report the task',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 1);
       const late = partition.heartbeat('m', 100, [], { sequence: 1 });
-      assert.deepEqual(late, [], 'a late copy of the report answered says nothing');
+      assert.deepEqual(late, [], 'a late copy of an answered heartbeat proves nothing');
       assert.equal(
         startedTasks(partition.heartbeat('m', 2000)).length,
         0,
-        'it did not hear us: first it is to show that it does',
+        'the answer was lost: the worker must first prove that answers reach it',
       );
       assert.equal(startedTasks(partition.heartbeat('m', 4000)).length, 1);
     },
   ],
   [
-    'a machine taken over is given nothing before it has seen the new token',
+    'a machine that was taken over is given no tasks before it shows the new token',
     (partition) => {
       partition.addMachine('m', BEFORE_OWNER);
       partition.addJob(jobSpec('job-1'));
@@ -39,12 +39,16 @@
     },
   ],
   [
-    'a machine that nobody opened holds nothing up, and gets nothing before it is',
+    'a machine that no owner assigned delays no tasks, and is given none until it is assigned',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addUnassignedMachine('booting', BEFORE_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 6 }), BEFORE_OWNER);
-      assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4, 'begun before, but surely not there');
+      assert.equal(
+        startedTasks(partition.heartbeat('m', 0)).length,
+        4,
+        'the job was accepted before, but cannot be on that machine',
+      );
       assert.deepEqual(startedTasks(partition.heartbeat('booting', 100)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['booting']);
       partition.core.markAssigned(['booting']);
@@ -52,12 +56,12 @@
     },
   ],
   [
-    'a machine of an earlier owner that comes back from another partition is opened anew',
+    'a machine of an earlier owner that comes back from another partition is assigned again',
     (partition) => {
       partition.assignedByEarlierOwner('m');
       partition.addUnassignedMachine('n', AFTER_OWNER);
       partition.heartbeat('n', 0);
-      assert.deepEqual(partition.core.unassignedMachines(), ['n'], 'the list is written anew, without m');
+      assert.deepEqual(partition.core.unassignedMachines(), ['n'], 'the list is rewritten without m');
       partition.addUnassignedMachine('m', AFTER_OWNER + 1);
       partition.addJob(jobSpec('job-1'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 1000)), []);
@@ -67,8 +71,9 @@
     },
   ],
   [
-    // The store's list forgets machines that are gone: trusted after its return, it would hide tasks from a next owner.
-    'a machine that left and came back is opened anew',
+    // The stored list drops machines that are gone. If a machine that came back still counted as assigned, the next owner would not
+    // know of its tasks.
+    'a machine that left and came back is assigned again',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1'));
@@ -79,7 +84,7 @@
     },
   ],
   [
-    'live tasks are adopted, not started again',
+    'live tasks of an earlier owner are adopted and not started again',
     (partition) => {
       partition.addMachine('m', BEFORE_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -91,7 +96,7 @@
     },
   ],
   [
-    'a refused start beside the live attempt leaves the task where it is',
+    'a start refused because another attempt is live leaves the task on its machine',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -104,7 +109,7 @@
     },
   ],
   [
-    'a new session ends what was there',
+    'a new agent epoch ends all tasks on the machine, and they are started again',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
@@ -118,7 +123,7 @@
     },
   ],
   [
-    'a machine that is gone gives its tasks back',
+    'tasks of a machine that is gone are started on another machine',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -130,7 +135,7 @@
     },
   ],
   [
-    'a notice: nothing new, and what can save is told to in time',
+    'on a preemption notice, no task is started and a task that can save a checkpoint is stopped in time',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
@@ -146,34 +151,43 @@
       assert.deepEqual(
         partition.heartbeat('m', 5000, [taskInPhase(start, 'checkpointing')], { preemptionNoticeS: 13 }),
         [],
-        'not cut short',
+        'the checkpoint is not cut short',
       );
     },
   ],
   [
-    // Its answers were lost: each start waited there until it was proved absent, again and again.
-    'a machine whose reports arrive but that does not hear us gets nothing until it shows a new token',
+    // While answers to a machine were lost, the same tasks were started on it again and again, each time until a heartbeat proved
+    // that they were not there.
+    'a machine that sends heartbeats but receives no answers is given no tasks until it shows a new token',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
-      const silent = AFTER_OWNER * 1024;
-      assert.equal(startedTasks(partition.heartbeat('m', 0, [], { token: silent })).length, 1);
+      const staleToken = AFTER_OWNER * 1024;
+      assert.equal(startedTasks(partition.heartbeat('m', 0, [], { token: staleToken })).length, 1);
       for (const now of [2000, 4000, 6000])
-        assert.deepEqual(startedTasks(partition.heartbeat('m', now, [], { token: silent })), []);
+        assert.deepEqual(startedTasks(partition.heartbeat('m', now, [], { token: staleToken })), []);
       assert.deepEqual(
-        startedTasks(partition.heartbeat('m', 20_000, [], { agentEpoch: 2, sequence: 1, token: silent })),
+        startedTasks(partition.heartbeat('m', 20_000, [], { agentEpoch: 2, sequence: 1, token: staleToken })),
         [],
       );
       partition.addMachine('n', AFTER_OWNER);
-      assert.equal(startedTasks(partition.heartbeat('n', 20_100)).length, 1, 'it runs elsewhere');
+      assert.equal(
+        startedTasks(partition.heartbeat('n', 20_100)).length,
+        1,
+        'the task is started on another machine',
+      );
       partition.addJob(jobSpec('job-2', { tasks: 1 }));
-      const heard = partition.heartbeat('m', 22_000, [], { agentEpoch: 2, sequence: 2, token: silent + 2 });
-      assert.equal(startedTasks(heard).length, 1, 'it heals');
+      const answer = partition.heartbeat('m', 22_000, [], {
+        agentEpoch: 2,
+        sequence: 2,
+        token: staleToken + 2,
+      });
+      assert.equal(startedTasks(answer).length, 1, 'the machine is given tasks again');
     },
   ],
   [
-    // Hundreds of machines were given back within seconds of being up: they counted as idle since their rental.
-    'a machine is idle from its first report on, not from its rental',
+    // Hundreds of machines were deprovisioned within seconds of being up, because they counted as idle since they were provisioned.
+    'a machine counts as idle from its first heartbeat on, not from its provisioning',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.heartbeat('m', 30_000);
@@ -182,6 +196,6 @@
   ],
 ];
 
-test('a partition: what a machine reports and is told', async (t) => {
+test('partition: heartbeats of machines and their answers', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -21,30 +21,33 @@
   body: { failed: [key], ledger_rev: 120 },
 });
 
-/** A partition's actor whose changes of the store are answered as written; the last answer stands for all after it. */
+/** A partition actor whose transactions get the given responses in order; the last response is repeated. */
 class PartitionActorHarness {
   readonly time = new VirtualTime();
   alive = true;
   transactionCount = 0;
   readonly actor: PartitionActor;
   readonly core: PartitionCore;
-  readonly ledger: StateStoreClient;
+  readonly stateStore: StateStoreClient;
 
-  constructor(answers: readonly ScriptedResponse[]) {
+  constructor(responses: readonly ScriptedResponse[]) {
     const clock = this.time.clock(() => true);
     const log = pino({ level: 'silent' });
     const call = (_method: string, path: string): Promise<ScriptedResponse> => {
       if (path !== '/multi') return Promise.resolve({ status: 404, body: { ledger_rev: 130 } });
-      return Promise.resolve(answers[Math.min(this.transactionCount++, answers.length - 1)] ?? null);
+      return Promise.resolve(responses[Math.min(this.transactionCount++, responses.length - 1)] ?? null);
     };
     const rates = { requestRate: 1000, writeRate: 1000, controllers: 1 };
-    this.ledger = new StateStoreClient({ transport: { call }, watchTransport: { call }, clock, log }, rates);
-    this.ledger.replica.synced = true;
-    this.ledger.replica.revision = 140;
-    const replica = new ReplicaView(this.ledger.replica, log);
+    this.stateStore = new StateStoreClient(
+      { transport: { call }, watchTransport: { call }, clock, log },
+      rates,
+    );
+    this.stateStore.replica.synced = true;
+    this.stateStore.replica.revision = 140;
+    const replica = new ReplicaView(this.stateStore.replica, log);
     const record = { partition: 'p0', phase: 'active' as const, type: 'small', zone: 'a', spot: true };
     const fleet = [{ type: 'small', zone: 'a', spot: true, phase: 'kept', ids: [MACHINE] }];
-    this.ledger.replica.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
+    this.stateStore.replica.changes.next({ key: keys.fleet('p0', '1'), value: fleet, revision: 110 });
     this.core = new PartitionCore({
       id: 'p0',
       epoch: OWNER_EPOCH,
@@ -57,7 +60,7 @@
     this.actor = new PartitionActor({
       core: this.core,
       record: { teams: [], owner: 'a', incarnation: 7 },
-      stateStore: this.ledger,
+      stateStore: this.stateStore,
       replica,
       clock,
       log,
@@ -68,48 +71,69 @@
   }
 }
 
-// While a try may still be carried out, the partition may be another's at any moment: to go on would start tasks that the new
-// owner knows nothing of.
-test('a hand-over that failed is taken back only if no try of it can be carried out any more', async (t) => {
+// While an attempt may still be applied, another controller may become the owner at any moment. An owner that kept acting would
+// start tasks that the new owner does not know of.
+test('a failed handover is reverted only if no attempt can be applied any more', async (t) => {
   const partition = keys.partition('p0');
   const cases: [string, ScriptedResponse[], boolean][] = [
-    ['refused at once: we go on', [refused], true],
-    ['carried out: it is not ours', [applied], false],
-    ['the taker has a new life: we go on', [conflict(keys.member('b'))], true],
-    ['an answer was lost, then the store refuses: nobody knows', [unanswered, refused], false],
-    ['an answer was lost, and it was carried out', [unanswered, conflict(partition)], false],
-    ['an answer was lost, and it can be no more', [unanswered, refused, conflict(keys.member('b'))], true],
+    ['refused at once: the actor stays active', [refused], true],
+    ['applied: the actor is released', [applied], false],
+    ['the target has a new incarnation: the actor stays active', [conflict(keys.member('b'))], true],
+    [
+      'a response was lost, then the store refuses: the outcome is unknown, the actor is released',
+      [unanswered, refused],
+      false,
+    ],
+    [
+      'a response was lost, and the attempt was applied: the actor is released',
+      [unanswered, conflict(partition)],
+      false,
+    ],
+    [
+      'a response was lost, and the attempt can no longer be applied: the actor stays active',
+      [unanswered, refused, conflict(keys.member('b'))],
+      true,
+    ],
   ];
-  for (const [name, answers, goesOn] of cases) {
+  for (const [name, responses, staysActive] of cases) {
     await t.test(name, async () => {
-      const harness = new PartitionActorHarness(answers);
+      const harness = new PartitionActorHarness(responses);
       harness.actor.send({ kind: 'handover', to: 'b', incarnation: 9 });
       await settle();
       await harness.time.run(20_000);
-      assert.equal(harness.actor.active, goesOn);
+      assert.equal(harness.actor.active, staysActive);
       assert.ok(harness.transactionCount < 200, `${harness.transactionCount} requests in 20 s`);
     });
   }
 });
 
-// A session lease that lapses for a moment, as at the start of an outage, once let go of a machine whose move was on its way.
-test('a machine stays locked while its move may still be carried out', async (t) => {
+// When the session lease expired for a moment, as at the start of an outage, a machine was uncordoned although its transfer could
+// still be applied.
+test('a machine stays cordoned while its transfer may still be applied', async (t) => {
   const cases: [string, ScriptedResponse[], boolean][] = [
-    ['refused at once: it stays and is free again', [refused], false],
-    ['an answer was lost, our session lease lapsed and came back', [unanswered, refused], true],
-    ['an answer was lost, and it can be no more', [unanswered, conflict(keys.fleet('p0', '1'))], false],
+    ['refused at once: the machine stays and is uncordoned', [refused], false],
+    [
+      'a response was lost, and the session lease expired and was acquired again: the machine stays cordoned',
+      [unanswered, refused],
+      true,
+    ],
+    [
+      'a response was lost, and the attempt can no longer be applied: the machine is uncordoned',
+      [unanswered, conflict(keys.fleet('p0', '1'))],
+      false,
+    ],
   ];
-  for (const [name, answers, locked] of cases) {
+  for (const [name, responses, cordoned] of cases) {
     await t.test(name, async () => {
-      const harness = new PartitionActorHarness(answers);
+      const harness = new PartitionActorHarness(responses);
       harness.actor.send({ kind: 'move', machine: MACHINE, toPartition: 'p1', drain: false });
       harness.actor.send({ kind: 'tick' });
-      // The move is tried once more with each tick of a real controller; one is enough here.
+      // A controller attempts the transfer at each tick; one tick is enough here.
       harness.time.at(1000, () => (harness.alive = false));
       harness.time.at(4000, () => (harness.alive = true));
       await settle();
       await harness.time.run(20_000);
-      assert.equal(harness.core.machines.get(MACHINE)?.cordoned, locked);
+      assert.equal(harness.core.machines.get(MACHINE)?.cordoned, cordoned);
     });
   }
 });
--- a/test/partition/placement.test.ts
+++ b/test/partition/placement.test.ts
@@ -7,16 +7,16 @@
 import { LARGE_TYPE, SMALL_TYPE } from '../support/machine-types';
 import { JOB_SPEC } from '../support/job-spec';
 
-test('placement', async (t) => {
-  const impossibles: [string, Partial<JobSpec>, boolean][] = [
-    ['a plain job', {}, false],
-    ['more than any type has', { memoryGb: 500 }, true],
-    ['only an unknown type', { machineTypes: ['other'] }, true],
-    ['a zone without the type', { zone: 'c' }, true],
-    ["a task over the team's limit", { cpus: 9 }, true],
-    ['an array over the limit in sum only', { tasks: 100 }, false],
+test('placement: feasibility, zones and free resources', async (t) => {
+  const feasibilityCases: [string, Partial<JobSpec>, boolean][] = [
+    ['feasible: a job without constraints', {}, false],
+    ['infeasible: a task needs more than any machine type has', { memoryGb: 500 }, true],
+    ['infeasible: only an unknown machine type is allowed', { machineTypes: ['other'] }, true],
+    ['infeasible: no machine type is offered in the zone', { zone: 'c' }, true],
+    ["infeasible: a task needs more than the team's limit", { cpus: 9 }, true],
+    ['feasible: only the sum of all tasks exceeds the limit', { tasks: 100 }, false],
   ];
-  for (const [name, change, expected] of impossibles) {
+  for (const [name, change, expected] of feasibilityCases) {
     await t.test(name, () => {
       const reason = infeasibleReason({ ...JOB_SPEC, ...change }, [SMALL_TYPE, LARGE_TYPE], {
         cpus: 8,
@@ -25,27 +25,38 @@
       assert.equal(reason !== null, expected, String(reason));
     });
   }
-  const rooms: [string, Partial<JobSpec>, [string, number][], number][] = [
-    ['anywhere', {}, [['b', 9]], Number.POSITIVE_INFINITY],
-    ['together: the others are elsewhere', { singleZone: true }, [['b', 1]], 0],
-    ['together: the others are here', { singleZone: true }, [['a', 1]], Number.POSITIVE_INFINITY],
-    ['together: nobody left elsewhere', { singleZone: true }, [['b', 0]], Number.POSITIVE_INFINITY],
-    ['apart: half of 5, rounded up, less 2', { spreadZones: true }, [['a', 2]], 1],
-    ['apart: full', { spreadZones: true }, [['a', 3]], 0],
+  const remainingCases: [string, Partial<JobSpec>, [string, number][], number][] = [
+    ['no zone constraint: no bound', {}, [['b', 9]], Number.POSITIVE_INFINITY],
+    ['single zone, other tasks in another zone: none', { singleZone: true }, [['b', 1]], 0],
+    [
+      'single zone, other tasks in this zone: no bound',
+      { singleZone: true },
+      [['a', 1]],
+      Number.POSITIVE_INFINITY,
+    ],
+    [
+      'single zone, no tasks left in another zone: no bound',
+      { singleZone: true },
+      [['b', 0]],
+      Number.POSITIVE_INFINITY,
+    ],
+    ['spread over zones: half of 5, rounded up, less 2', { spreadZones: true }, [['a', 2]], 1],
+    ['spread over zones, zone full: none', { spreadZones: true }, [['a', 3]], 0],
   ];
-  for (const [name, change, placed, expected] of rooms) {
+  for (const [name, change, inFlightByZone, expected] of remainingCases) {
     await t.test(name, () =>
-      assert.equal(remainingInZone({ ...JOB_SPEC, ...change }, 'a', new Map(placed)), expected),
+      assert.equal(remainingInZone({ ...JOB_SPEC, ...change }, 'a', new Map(inFlightByZone)), expected),
     );
   }
-  // Machines rented where the job may not go left it waiting for ever once it had lost those where it may.
-  const zones: [string, Partial<JobSpec>, [string, number][], string[] | null][] = [
-    ['anywhere', {}, [['b', 9]], null],
-    ['bound to a zone', { zone: 'b' }, [], ['b']],
-    ['together, nothing placed yet', { singleZone: true }, [], null],
-    ['together: where the others are', { singleZone: true }, [['b', 1]], ['b']],
+  // Machines were provisioned in zones that a job may not use. Once it had lost its machines in the others, it stayed pending
+  // forever.
+  const zoneCases: [string, Partial<JobSpec>, [string, number][], string[] | null][] = [
+    ['all zones without a zone constraint', {}, [['b', 9]], null],
+    ['the required zone', { zone: 'b' }, [], ['b']],
+    ['single zone, nothing placed yet: all zones', { singleZone: true }, [], null],
+    ['single zone: the zone of the other tasks', { singleZone: true }, [['b', 1]], ['b']],
     [
-      'apart: where there is room',
+      'spread over zones: the zone that is not full',
       { spreadZones: true },
       [
         ['a', 3],
@@ -53,14 +64,17 @@
       ],
       ['b'],
     ],
-    ['apart: nowhere full yet', { spreadZones: true }, [['a', 2]], ['a', 'b']],
+    ['spread over zones, none full yet: both zones', { spreadZones: true }, [['a', 2]], ['a', 'b']],
   ];
-  for (const [name, change, placed, expected] of zones) {
-    await t.test(`open zones: ${name}`, () =>
-      assert.deepEqual(eligibleZones({ ...JOB_SPEC, ...change }, ['a', 'b'], new Map(placed)), expected),
+  for (const [name, change, inFlightByZone, expected] of zoneCases) {
+    await t.test(`eligible zones: ${name}`, () =>
+      assert.deepEqual(
+        eligibleZones({ ...JOB_SPEC, ...change }, ['a', 'b'], new Map(inFlightByZone)),
+        expected,
+      ),
     );
   }
-  await t.test('never more than there is room for', () => {
+  await t.test('the number of fitting tasks never exceeds the free resources', () => {
     const amount = fc.double({ min: 0.01, max: 100, noNaN: true });
     fc.assert(
       fc.property(amount, amount, amount, amount, (cpus, memoryGb, c, m) => {
--- a/test/partition/priority.test.ts
+++ b/test/partition/priority.test.ts
@@ -11,7 +11,7 @@
 import { type JobSpec } from '../../src/protocol/jobs';
 import { JOB_SPEC } from '../support/job-spec';
 
-test('urgency', async (t) => {
+test('priority: deadlines, aging and run time estimates', async (t) => {
   const idle: JobSpec = { ...JOB_SPEC, priority: 3, deadlineS: 100 };
   const objectives = [
     { kind: 'deadline' as const, workload: 'w', times: 1.5 },
@@ -26,39 +26,91 @@
     withinGuarantee,
   });
   const cases: [string, () => unknown, unknown][] = [
-    ['all deadlines of the class, earliest first', () => deadlinesOf(idle, objectives), [100, 150, 250]],
-    ['without objectives the deadline', () => deadlinesOf(idle, []), [100]],
-    ['no deadline, no due', () => deadlinesOf({ ...idle, deadlineS: null }, objectives.slice(0, 2)), []],
-    ['in time for all', () => missedDeadlineCount([100, 150], 40, 50), 0],
-    ['too late for the first', () => missedDeadlineCount([100, 150], 60, 50), 1],
-    ['too late for all', () => missedDeadlineCount([100, 150], 140, 50), 2],
-    ['so late that it comes forward again', () => missedDeadlineCount([100, 150], 301, 50), 0],
-    ['idle work keeps its rank at first', () => deadlinePriority(idle, [250], 100, 30), 3],
-    ['goes up a step when half of its time is gone', () => deadlinePriority(idle, [250], 130, 30), 2],
-    ['but not once it is too late', () => deadlinePriority(idle, [250], 230, 30), 3],
-    ['other work keeps its rank', () => deadlinePriority({ ...idle, priority: 2 }, [250], 130, 30), 2],
-    [
-      'one that has waited for long without a begin goes up',
+    [
+      'the deadlines of a job are those of all objectives for its workload, earliest first',
+      () => deadlinesOf(idle, objectives),
+      [100, 150, 250],
+    ],
+    ['without objectives, the only deadline is that of the job', () => deadlinesOf(idle, []), [100]],
+    [
+      'objectives relative to a deadline yield none for a job without a deadline',
+      () => deadlinesOf({ ...idle, deadlineS: null }, objectives.slice(0, 2)),
+      [],
+    ],
+    ['no deadline is missed by a job in time for all', () => missedDeadlineCount([100, 150], 40, 50), 0],
+    [
+      'one deadline is missed by a job too late for the first',
+      () => missedDeadlineCount([100, 150], 60, 50),
+      1,
+    ],
+    [
+      'two deadlines are missed by a job too late for both',
+      () => missedDeadlineCount([100, 150], 140, 50),
+      2,
+    ],
+    [
+      'no deadline counts as missed beyond twice the last deadline',
+      () => missedDeadlineCount([100, 150], 301, 50),
+      0,
+    ],
+    [
+      'an idle job keeps its priority before half of the time to its deadline has passed',
+      () => deadlinePriority(idle, [250], 100, 30),
+      3,
+    ],
+    [
+      'an idle job is raised by one step after half of the time to its deadline',
+      () => deadlinePriority(idle, [250], 130, 30),
+      2,
+    ],
+    [
+      'an idle job that cannot meet its deadline any more is not raised',
+      () => deadlinePriority(idle, [250], 230, 30),
+      3,
+    ],
+    [
+      'a job of another priority is not raised for its deadline',
+      () => deadlinePriority({ ...idle, priority: 2 }, [250], 130, 30),
+      2,
+    ],
+    [
+      'a job that has waited for long without starting a task is raised',
       () => agedPriority(3, waits(160), objectives),
       1,
     ],
-    ['not once it has begun', () => agedPriority(3, waits(160, 0.1), objectives), 3],
-    ['again if that was little', () => agedPriority(3, waits(220, 0.1), objectives), 1],
-    ['not if it was half', () => agedPriority(3, waits(220, 0.5), objectives), 3],
-    ['nor a more urgent one', () => agedPriority(0, waits(160), objectives), 0],
     [
-      'work within a guarantee goes up sooner, not past urgent work',
+      'a job that has started some tasks is not raised at that age',
+      () => agedPriority(3, waits(160, 0.1), objectives),
+      3,
+    ],
+    [
+      'a job that has started less than half of its tasks is raised at a higher age',
+      () => agedPriority(3, waits(220, 0.1), objectives),
+      1,
+    ],
+    [
+      'a job that has started half of its tasks is not raised at that age',
+      () => agedPriority(3, waits(220, 0.5), objectives),
+      3,
+    ],
+    ['a job of the highest priority keeps it', () => agedPriority(0, waits(160), objectives), 0],
+    [
+      'a job within its guarantee is raised sooner, but not before urgent jobs',
       () => agedPriority(3, waits(50, 1, true), []),
       2,
     ],
     [
-      'as soon as the operators wish',
+      'a job within its guarantee is raised after a share of the configured time',
       () => [40, 50].map((s) => agedPriority(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
       [3, 2],
     ],
-    ['estimates count until enough was seen', () => estimates.expectedSeconds(JOB_SPEC), 30],
     [
-      'then what was seen, within bounds',
+      'the estimate of the job is used until there are enough samples',
+      () => estimates.expectedSeconds(JOB_SPEC),
+      30,
+    ],
+    [
+      'with enough samples the estimate is corrected by them, within bounds',
       () => {
         for (let i = 0; i < 10; i++) estimates.addSample('w', 30, 15);
         for (let i = 0; i < 10; i++) estimates.addSample('slow', 30, 900);
--- a/test/partition/scheduling.test.ts
+++ b/test/partition/scheduling.test.ts
@@ -13,7 +13,7 @@
 
 const cases: PartitionCase[] = [
   [
-    'tasks start in arrival order up to what fits',
+    'as many tasks are started as the machine has room for',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 6 }));
@@ -21,7 +21,7 @@
     },
   ],
   [
-    'the more urgent go first, whenever they came',
+    'a job of a higher priority is started first although it arrived later',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 4 }));
@@ -35,7 +35,7 @@
     },
   ],
   [
-    'room goes first to a job whose image the machine holds, not past one more urgent',
+    'a job whose image the machine has is started first, but not before a job of a higher priority',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 1, image: 'held', cpus: 2 }));
@@ -46,22 +46,22 @@
       const held = partition.heartbeat('m', 2000, [taskInPhase(start, 'running')]);
       assert.deepEqual(startedTasks(held), ['job-3/0', 'job-3/1']);
       partition.addJob(jobSpec('job-4', { tasks: 1, image: 'new', cpus: 2, priority: 1 }));
-      const over = [...held, start].map((c) => taskInPhase(c, 'exited', 'done'));
-      assert.deepEqual(startedTasks(partition.heartbeat('m', 4000, over)), ['job-4/0', 'job-2/0']);
+      const exits = [...held, start].map((c) => taskInPhase(c, 'exited', 'done'));
+      assert.deepEqual(startedTasks(partition.heartbeat('m', 4000, exits)), ['job-4/0', 'job-2/0']);
     },
   ],
   [
-    "a team's limit holds over all machines",
+    "a team's limit applies to the sum over all machines",
     (partition) => {
       for (const id of ['m', 'n', 'o']) partition.addMachine(id, AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 20 }));
-      const n = ['m', 'n', 'o'].map((id) => startedTasks(partition.heartbeat(id, 0)).length);
-      assert.equal(n[0]! + n[1]! + n[2]!, 8);
+      const startedCounts = ['m', 'n', 'o'].map((id) => startedTasks(partition.heartbeat(id, 0)).length);
+      assert.equal(startedCounts[0]! + startedCounts[1]! + startedCounts[2]!, 8);
     },
   ],
   [
-    // A single task of a large job had begun, so it was passed over for four minutes.
-    'a large job goes first after a while unless half of what its team may run has begun',
+    // After a single task of a large job had been started, other jobs were started before it for four minutes.
+    'a large job is started first once it has waited, unless half of the tasks that its team may run at once were started',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-0', { tasks: 3, priority: 1 }));
@@ -70,19 +70,21 @@
       const first = partition.heartbeat('m', 0);
       const live = first.filter(large).map((c) => taskInPhase(c, 'running'));
       assert.equal(live.length, 1);
-      const over = (commands: Command[]): HeartbeatTask[] =>
+      const exits = (commands: Command[]): HeartbeatTask[] =>
         commands.filter(others).map((c) => taskInPhase(c, 'exited', 'done'));
       partition.addJob(jobSpec('job-2', { tasks: 20 }));
       partition.core.tick(2000, 200_000);
-      const early = partition.heartbeat('m', 2000, [...live, ...over(first)]).filter((c) => c.op === 'start');
-      assert.equal(early.filter(others).length, 3, 'not yet');
+      const early = partition
+        .heartbeat('m', 2000, [...live, ...exits(first)])
+        .filter((c) => c.op === 'start');
+      assert.equal(early.filter(others).length, 3, 'the large job is not started first yet');
       partition.core.tick(4000, 211_000);
-      const late = partition.heartbeat('m', 4000, [...live, ...over(early)]).filter((c) => c.op === 'start');
+      const late = partition.heartbeat('m', 4000, [...live, ...exits(early)]).filter((c) => c.op === 'start');
       assert.equal(late.filter(large).length, 3);
     },
   ],
   [
-    'a guest team without a limit borrows what is free, also while machines are silent',
+    'a team without a limit uses free resources, also while machines are unconfirmed',
     (partition) => {
       partition.addMachine('silent', BEFORE_OWNER);
       partition.addMachine('m', AFTER_OWNER);
@@ -93,7 +95,7 @@
     Infinity,
   ],
   [
-    'together: all in the zone of the first',
+    'all tasks of a single-zone job are started in the zone of the first',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER, { zone: 'b' });
@@ -103,25 +105,25 @@
     },
   ],
   [
-    'the largest job begins within four minutes, however many smaller and more urgent ones keep coming',
+    'the largest job is started within four minutes although smaller jobs of a higher priority keep arriving',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-0', { tasks: 500, expectedS: 900, priority: 3 }));
       let live: HeartbeatTask[] = [];
-      let begun: number | null = null;
-      for (let t = 0; t < 240_000 && begun === null; t += 2000) {
+      let firstStartAt: number | null = null;
+      for (let t = 0; t < 240_000 && firstStartAt === null; t += 2000) {
         partition.addJob(jobSpec(`job-${t + 1}`, { tasks: 8, priority: 1 }));
         partition.core.tick(t, t);
-        const over = live.map((x) => ({ ...x, phase: 'exited' as const, exit: 'done' as const }));
-        const next = partition.heartbeat('m', t, over).filter((c) => c.op === 'start');
-        if (next.some((c) => c.ref === 'job-0')) begun = t;
+        const exits = live.map((x) => ({ ...x, phase: 'exited' as const, exit: 'done' as const }));
+        const next = partition.heartbeat('m', t, exits).filter((c) => c.op === 'start');
+        if (next.some((c) => c.ref === 'job-0')) firstStartAt = t;
         live = next.map((c) => taskInPhase(c, 'running'));
       }
-      assert.ok(begun !== null && begun < 200_000, `begun at ${begun}`);
+      assert.ok(firstStartAt !== null && firstStartAt < 200_000, `first started at ${firstStartAt}`);
     },
   ],
   [
-    "work within its team's guarantee does not wait for ever behind what others flood it with",
+    "a job within its team's guarantee does not starve behind many jobs of a higher priority",
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.core.tick(0, 0);
@@ -135,6 +137,6 @@
   ],
 ];
 
-test('a partition: order and limits of starts', async (t) => {
+test('partition: order and limits of task starts', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/start-watermarks.test.ts
+++ b/test/partition/start-watermarks.test.ts
@@ -11,8 +11,8 @@
 
 const cases: PartitionCase[] = [
   [
-    // Two tasks of a team with room waited for two minutes beside a free machine.
-    'marks are raised past a job that its team limit holds back',
+    // Two tasks of a team below its limit were not started for two minutes although a machine was free.
+    'the watermark of a job is raised although an earlier job is held back by its team limit',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
@@ -24,7 +24,7 @@
     4,
   ],
   [
-    'tasks beyond the start watermark wait until the store has it; after a take-over they are known to be nowhere',
+    'tasks beyond the start watermark are not started before it is recorded; after a takeover they need no confirmation',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('silent', BEFORE_OWNER);
@@ -38,13 +38,13 @@
       assert.deepEqual(
         startedTasks(partition.heartbeat('m', 13_100, [])),
         [],
-        'what was sent did not show: no proof that it hears',
+        'the started tasks were not reported: nothing proves that answers reach the worker',
       );
     },
   ],
   [
-    // Start watermarks were raised for tasks that had to wait anyway: a whole lease long nothing new began.
-    'after a take-over marks are raised for tasks that were never begun, while others wait for a silent machine',
+    // Start watermarks were raised only for tasks that had to wait anyway, so that no task was started for the length of a lease.
+    'after a takeover, watermarks are raised for tasks that were never started while other tasks wait for an unconfirmed machine',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('silent', BEFORE_OWNER);
@@ -54,8 +54,9 @@
     },
   ],
   [
-    // Left out while none of its tasks was out, it lost its start watermark: the next owner took tasks for never begun.
-    'a job whose start watermark was raised stays on record though nothing of it runs',
+    // A job without tasks in flight was omitted and so lost its start watermark: the next owner assumed that its tasks were never
+    // started.
+    'the progress of a job whose start watermark was raised stays recorded although none of its tasks is in flight',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addJob(jobSpec('job-1', { tasks: 20, cpus: 0.1 }), AFTER_OWNER, '', 8);
@@ -65,6 +66,6 @@
   ],
 ];
 
-test('a partition: start watermarks', async (t) => {
+test('partition: start watermarks', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/partition/unconfirmed-machines.test.ts
+++ b/test/partition/unconfirmed-machines.test.ts
@@ -11,8 +11,8 @@
 
 const cases: PartitionCase[] = [
   [
-    // Its reports kept coming, each was answered, and each answer counted as a new lease: it never came to an end.
-    'a machine that hears nothing of a new owner holds up others for one lease at most',
+    // Heartbeats of such a machine kept arriving, and each answer counted as a renewal of its lease, which therefore never expired.
+    'a machine that receives no answers of a new owner delays tasks for at most the length of a lease',
     (partition) => {
       partition.addMachine('deaf', BEFORE_OWNER);
       partition.addMachine('m', BEFORE_OWNER);
@@ -24,13 +24,13 @@
       assert.deepEqual(
         startedTasks(partition.heartbeat('deaf', 13_000, [], { token: 0 })),
         [],
-        'it gets nothing itself',
+        'the machine itself is given no tasks',
       );
       assert.equal(startedTasks(partition.heartbeat('m', 13_100)).length, 2);
     },
   ],
   [
-    'one that took an answer meanwhile is waited for',
+    'tasks wait for a machine that may have received an answer in the meantime',
     (partition) => {
       partition.addMachine('m', BEFORE_OWNER);
       partition.addMachine('late', BEFORE_OWNER);
@@ -40,14 +40,14 @@
       assert.deepEqual(
         startedTasks(partition.heartbeat('m', 13_100)),
         [],
-        'it may have taken the answer of 8 s',
+        'the machine may have received the answer sent at 8 s',
       );
       partition.core.tick(21_000, 0);
       assert.equal(startedTasks(partition.heartbeat('m', 21_100)).length, 2);
     },
   ],
   [
-    'while one machine is silent, earlier jobs wait and new ones run',
+    'while a machine is unconfirmed, jobs accepted before the takeover wait and later ones are started',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('silent', BEFORE_OWNER);
@@ -56,38 +56,38 @@
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), ['job-2/0', 'job-2/1']);
       partition.core.tick(12_000, 0);
       const early = startedTasks(partition.heartbeat('m', 12_100));
-      assert.ok(!early.some((s) => s.startsWith('job-1/')), 'the lease may not have run out yet');
+      assert.ok(!early.some((s) => s.startsWith('job-1/')), 'the lease may not have expired yet');
       partition.core.tick(13_000, 0);
       assert.ok(startedTasks(partition.heartbeat('m', 13_100)).includes('job-1/0'));
     },
   ],
   ...(
     [
-      // What an owner before us may have started counts, wherever it is; else a limit would be exceeded unseen.
+      // Tasks that an earlier owner may have started count, wherever they are; otherwise a limit could be exceeded unnoticed.
       [
-        'tasks of the team that nobody has seen since',
+        'tasks of the team that were not reported since the takeover',
         (partition) => partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
         2,
       ],
       [
-        'a job cancelled before, whose tasks may run on',
+        'tasks of a job cancelled before the takeover',
         (partition) => partition.addTerminatedJob(jobSpec('job-1', { tasks: 3 })),
         3,
       ],
       [
-        'more than the machine holds',
+        'no more tasks than the machine has room for',
         (partition) => partition.addTerminatedJob(jobSpec('job-1', { tasks: 30 })),
         4,
       ],
-      // Counted as full for everybody, one silent machine held teams back that had nothing on it.
-      ['nothing', () => undefined, 0],
+      // One silent machine that counted as full for every team held back teams that had no tasks on it.
+      ['no tasks of a team without jobs from before the takeover', () => undefined, 0],
       [
-        'a job that was done',
+        'no tasks of a job that was done',
         (partition) => partition.addTerminatedJob(jobSpec('job-1', { tasks: 3 }), 'done'),
         0,
       ],
       [
-        'a job cancelled while it is silent',
+        'tasks of a job cancelled while the machine is silent',
         (partition) => (
           partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
           partition.closeJob('job-1', 'cancelled')
@@ -95,25 +95,30 @@
         2,
       ],
     ] as [string, (partition: PartitionHarness) => void, number][]
-  ).map(([what, before, hidden]): PartitionCase => [
-    `a silent machine may hide of a team: ${what}`,
+  ).map(([name, setUp, reserved]): PartitionCase => [
+    `quota is reserved for a silent machine: ${name}`,
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('n', AFTER_OWNER);
       partition.addMachine('silent', BEFORE_OWNER);
-      before(partition);
+      setUp(partition);
       partition.addJob(jobSpec('job-2', { tasks: 20 }));
       assert.equal(
         startedTasks(partition.heartbeat('m', 0)).length + startedTasks(partition.heartbeat('n', 0)).length,
-        8 - hidden,
+        8 - reserved,
       );
       partition.core.tick(13_000, 0);
-      assert.equal(partition.core.quota.remaining('t').cpus, 8, 'all leases over, nothing is hidden');
+      assert.equal(
+        partition.core.quota.remaining('t').cpus,
+        8,
+        'no quota is reserved once all leases have expired',
+      );
     },
   ]),
   [
-    // Never begun, they went to one zone while others of the job ran in another, on a machine that had not spoken yet.
-    'tasks that must be together wait for all machines to speak, also if they were never begun',
+    // Tasks that were never started were placed in one zone while other tasks of the job ran in another zone, on a machine that
+    // had not sent a heartbeat yet.
+    'tasks that must share a zone wait until all machines are confirmed, even if they were never started',
     (partition) => {
       partition.addMachine('m', AFTER_OWNER);
       partition.addMachine('silent', BEFORE_OWNER, { zone: 'b' });
@@ -124,6 +129,6 @@
   ],
 ];
 
-test('a partition: machines that an earlier owner may have given tasks', async (t) => {
+test('partition: unconfirmed machines after a takeover', async (t) => {
   for (const [name, run, limit] of cases) await t.test(name, () => run(new PartitionHarness(limit)));
 });
--- a/test/pipeline/recovery-pass.test.ts
+++ b/test/pipeline/recovery-pass.test.ts
@@ -15,45 +15,50 @@
 
 const NO_CHANGES = { rerun: [], fail: [], cancel: [], release: [], pipelineFailed: false };
 
-test('recovery walk', async (t) => {
+test('recovery pass', async (t) => {
   const abort = (from: number, to: number): Edge => ({ from, to, kind: 'abort' });
   const fallback = (from: number, to: number): Edge => ({ from, to, kind: 'force_begin_on_abort' });
   const cases: [string, PipelineNode[], Edge[], object][] = [
-    ['nothing interrupted', [node('done'), node('unscheduled')], [abort(0, 1)], NO_CHANGES],
+    ['no job is interrupted: no changes', [node('done'), node('unscheduled')], [abort(0, 1)], NO_CHANGES],
     ['a re-executable job is run again', [node('interrupted')], [], { ...NO_CHANGES, rerun: [0] }],
-    ['any other fails', [node('interrupted', false)], [], { ...NO_CHANGES, fail: [0] }],
     [
-      'inputs that are not recorded forbid a rerun',
+      'an interrupted job that is not re-executable fails',
+      [node('interrupted', false)],
+      [],
+      { ...NO_CHANGES, fail: [0] },
+    ],
+    [
+      'an interrupted job whose inputs are not recorded fails',
       [{ ...node('interrupted'), inputsRecorded: false }],
       [],
       { ...NO_CHANGES, fail: [0] },
     ],
     [
-      'failure passes down abort edges, link by link',
+      'a failure cancels direct and indirect abort-dependents',
       [node('interrupted', false), node('unscheduled'), node('interrupted')],
       [abort(0, 1), abort(1, 2)],
       { ...NO_CHANGES, fail: [0], cancel: [1, 2] },
     ],
     [
-      'a done dependent stays done, the pipeline has failed',
+      'a done abort-dependent stays done, and the pipeline has failed',
       [node('interrupted', false), node('done'), node('unscheduled')],
       [abort(0, 1), abort(1, 2)],
       { ...NO_CHANGES, fail: [0], pipelineFailed: true },
     ],
     [
-      'a fallback and an alternate are released once',
+      'a job that is both fallback and alternate is released once',
       [node('interrupted', false, [1]), node('unscheduled')],
       [fallback(0, 1)],
       { ...NO_CHANGES, fail: [0], release: [1] },
     ],
     [
-      'a fallback that is itself aborted is not released',
+      'a fallback that is itself cancelled is not released',
       [node('interrupted', false), node('unscheduled'), node('unscheduled')],
       [fallback(0, 2), abort(0, 1), abort(1, 2)],
       { ...NO_CHANGES, fail: [0], cancel: [1, 2] },
     ],
     [
-      'the earliest decides: a later interrupted job may be cancelled instead of rerun',
+      'the failure of an earlier job cancels a later interrupted job, which is not rerun',
       [node('interrupted', false), node('interrupted')],
       [abort(0, 1)],
       { ...NO_CHANGES, fail: [0], cancel: [1] },
@@ -62,17 +67,20 @@
   for (const [name, nodes, edges, expected] of cases) {
     await t.test(name, () => assert.deepEqual(recoveryPass(nodes, edges, [...nodes.keys()]), expected));
   }
-  await t.test('a cycle of abort edges ends', () => {
+  await t.test('propagation along a cycle of abort edges terminates', () => {
     const ring = [node('executing'), node('executing'), node('executing')];
     const result = failJob(ring, [abort(0, 1), abort(1, 2), abort(2, 0)], 0);
     assert.deepEqual(result.cancel, [1, 2]);
   });
-  await t.test('a job begins after its begin-on-commit parents and its release', () => {
-    const edges: Edge[] = [{ from: 0, to: 1, kind: 'begin_on_commit' }, fallback(0, 2)];
-    const nodes = [node('executing'), node('unscheduled'), node('unscheduled')];
-    assert.equal(mayBegin(nodes, edges, 1, new Set()), false);
-    assert.equal(mayBegin([node('done'), ...nodes.slice(1)], edges, 1, new Set()), true);
-    assert.equal(mayBegin(nodes, edges, 2, new Set()), false);
-    assert.equal(mayBegin(nodes, edges, 2, new Set([2])), true);
-  });
+  await t.test(
+    'a job may begin once its begin-on-commit parents are done, and a fallback once it is released',
+    () => {
+      const edges: Edge[] = [{ from: 0, to: 1, kind: 'begin_on_commit' }, fallback(0, 2)];
+      const nodes = [node('executing'), node('unscheduled'), node('unscheduled')];
+      assert.equal(mayBegin(nodes, edges, 1, new Set()), false);
+      assert.equal(mayBegin([node('done'), ...nodes.slice(1)], edges, 1, new Set()), true);
+      assert.equal(mayBegin(nodes, edges, 2, new Set()), false);
+      assert.equal(mayBegin(nodes, edges, 2, new Set([2])), true);
+    },
+  );
 });
