--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -277,7 +277,7 @@
     outcome.lost.push(task);
   }
 
-  /** Returns the commands for exits and stops in the answer to the last heartbeat. The answer renews the worker's lease. */
+  /** Returns the commands of the answer to the last heartbeat that precede any starts. The answer renews the worker's lease. */
   takeCommands(isForgettable: (exit: TaskExit) => boolean, now: number): Command[] {
     const commands: Command[] = [];
     for (const [key, exit] of this.exitedAttempts) {
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -216,8 +216,8 @@
   /**
    * Whether a task may be stopped so that its machine can be transferred to another partition. The remaining machines must have
    * room for the task, and it must have run for more than `MIN_RUN_BEFORE_STOP_MS`: stopped soon after each start, it would make
-   * no progress. Neither is required when the machine is drained to the cloud, because an expensive machine is not to be kept
-   * waiting.
+   * no progress. Neither is required when the machine is drained to the cloud, because the deprovisioning of an expensive machine
+   * must not wait.
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
@@ -253,7 +253,7 @@
 
   /**
    * Records that every task that an earlier owner started and that is still on this machine has been reported. Once this holds for
-   * all machines, releases the quota reserved for closed jobs and fails the jobs that were interrupted.
+   * all machines, releases the quota reserved for closed jobs and fails interrupted jobs that run at most once.
    */
   private markConfirmed(id: string): void {
     if (!this.unconfirmedMachines.remove(id)) return;
--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -63,7 +63,7 @@
 
   snapshot(): PipelineSnapshot {
     this.applyRecordedFailures();
-    // A fallback starts only once the failure that releases it is recorded, because a later owner may not detect that failure
+    // A fallback starts only once the failure that releases it is recorded, because a later owner could not detect that failure
     // again.
     const recordedReleases = new Set(this.released);
     this.applyResult(recoveryPass(this.nodes, this.edges, [...this.nodes.keys()]));
