--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -199,7 +199,7 @@
       policy,
       clock,
       log,
-      member: this.membership,
+      membership: this.membership,
       stateStore: this.stateStore,
       replica: this.replica,
       cloud: new CloudClient({
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -40,7 +40,7 @@
 export interface LeaderDependencies {
   settings: Settings;
   policy: Policy;
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   cloud: CloudClient;
@@ -75,11 +75,11 @@
 
   constructor(private readonly deps: LeaderDependencies) {
     super((error) => deps.log.error({ error }, 'leader failed'));
-    const { member, replica } = deps;
+    const { membership, replica } = deps;
     const { history, loads } = this;
     this.leadership = new Leadership({ ...deps, onAcquired: (term) => this.beginTerm(term) });
     this.registry = new MachineRegistry(deps);
-    this.assignment = new PartitionAssignment({ ...deps, leader: member.name, loads });
+    this.assignment = new PartitionAssignment({ ...deps, leader: membership.name, loads });
     this.catalog = new MachineCatalog(deps);
     const { registry, catalog } = this;
     this.machineList = new MachineListReconciler({
@@ -174,6 +174,6 @@
 
   /** The term is part of the name, so no other leader's calls have the same names. */
   private nextProvisionCallName(): string {
-    return `${this.deps.member.name}-${this.leadership.term}-${++this.provisionCallCount}`;
+    return `${this.deps.membership.name}-${this.leadership.term}-${++this.provisionCallCount}`;
   }
 }
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -9,7 +9,7 @@
 const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
 
 export interface LeadershipDependencies {
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
@@ -32,23 +32,23 @@
 
   /** Whether this controller leads as far as its session lease and its replica show. */
   get held(): boolean {
-    const { member, replica } = this.deps;
-    return this.term !== 0 && member.alive() && replica.leader?.term === this.term;
+    const { membership, replica } = this.deps;
+    return this.term !== 0 && membership.alive() && replica.leader?.term === this.term;
   }
 
   /** Creates the leader's record if there is none; does nothing while another controller leads. */
   async claim(): Promise<void> {
-    const { member, stateStore, replica } = this.deps;
-    if (this.claiming || !member.alive() || !stateStore.replica.synced) return;
+    const { membership, stateStore, replica } = this.deps;
+    if (this.claiming || !membership.alive() || !stateStore.replica.synced) return;
     if (replica.leader) return this.recognizeOwnClaim(replica.leader);
     this.claiming = true;
-    const record: MemberRecord = { member: member.name };
+    const record: MemberRecord = { member: membership.name };
     const result = await stateStore.transact(
       [
         { key: keys.leader, revision: 0 },
-        { key: keys.member(member.name), revision: member.memberIncarnation },
+        { key: keys.member(membership.name), revision: membership.memberIncarnation },
       ],
-      [{ put: keys.leader, value: record, leaseId: member.sessionLeaseId }],
+      [{ put: keys.leader, value: record, leaseId: membership.sessionLeaseId }],
       RequestPriority.Decision,
     );
     if (result.kind === 'applied') {
@@ -64,8 +64,8 @@
    * member's name that is newer than its membership belongs to this process.
    */
   private recognizeOwnClaim(leader: { member: string; term: number }): void {
-    const { member } = this.deps;
-    const isOwn = leader.member === member.name && leader.term > member.memberIncarnation;
+    const { membership } = this.deps;
+    const isOwn = leader.member === membership.name && leader.term > membership.memberIncarnation;
     if (isOwn && leader.term !== this.term) this.acquire(leader.term);
   }
 
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -16,7 +16,7 @@
 
 export interface MachineRegistryDependencies {
   settings: Settings;
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -19,7 +19,7 @@
 
 export interface NewMachineWriterDependencies {
   settings: Settings;
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
@@ -46,11 +46,11 @@
     leaderTerm: number,
     isCurrent: () => boolean,
   ): Promise<void> {
-    const { member, stateStore } = this.deps;
+    const { membership, stateStore } = this.deps;
     const { conditions, writes } = this.newValues(machines, leaderTerm);
     let outcomeUnknown = false;
     while (isCurrent()) {
-      if (member.alive()) {
+      if (membership.alive()) {
         const result = await stateStore.transact(conditions, writes, RequestPriority.Decision);
         outcomeUnknown ||= result.kind === 'unknown';
         if (await this.replicaShows(result)) break;
