--- a/src/coordination/balancing/balancing.ts
+++ b/src/coordination/balancing/balancing.ts
@@ -3,7 +3,7 @@
 import { type PartitionCore } from '../partition/partition-core';
 
 /** Load balancing as it is switched on for a controller; what implements it is loaded only then. */
-export interface Balancing {
+export interface LoadBalancing {
   forPartition(core: PartitionCore): PartitionBalancing;
   readonly fleet: FleetBalancing;
 }
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -25,7 +25,7 @@
 const MAX_PLAN_INTERVAL_RATIO = 10;
 
 /** Moves tasks within one partition: tells the balancer what becomes of tasks, and carries its moves on. */
-export class TaskMoves implements PartitionBalancing {
+export class TaskMover implements PartitionBalancing {
   readonly balancer: PartitionBalancer;
   readonly spreader: PlacementSpreader | null;
   private readonly snapshot: CoreSnapshot;
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -9,7 +9,7 @@
 import { listenForPeers, PeerLink } from '../../transport/peer-link';
 import { type Policy } from '../../protocol/policy';
 import { type Settings } from '../../protocol/settings';
-import { type Balancing } from '../balancing/balancing';
+import { type LoadBalancing } from '../balancing/balancing';
 import { Controller } from './controller';
 import type { ApiDependencies } from '../requests/express-app';
 import { plainRoutes } from '../requests/plain-routes';
@@ -28,7 +28,7 @@
   clock: Clock;
   log: Log;
   /** Null: load is not balanced beyond what placement and planning do. */
-  balancing: Balancing | null;
+  balancing: LoadBalancing | null;
 }
 
 /** Starts a controller and its servers, for as long as the process lives. A port that is taken is logged as an error. */
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -10,7 +10,7 @@
 import { SubmissionBatcher } from '../../storage/submission-batcher';
 import { StateStoreClient } from '../../storage/state-store-client';
 import { type StoreTransport } from '../../storage/store-connection';
-import { type Balancing } from '../balancing/balancing';
+import { type LoadBalancing } from '../balancing/balancing';
 import { CloudClient, type CloudTransport } from '../leader/cloud-client';
 import { Leader } from '../leader/leader';
 import { LeaseExtensions } from '../membership/lease-extension';
@@ -42,7 +42,7 @@
   /** Unique to this process: no other controller and no earlier process of this one ever had it. */
   processIncarnation: string;
   /** Null: load is not balanced beyond what placement and planning do. */
-  balancing: Balancing | null;
+  balancing: LoadBalancing | null;
 }
 
 /** One controller. It acts only after `start`, and from then on for as long as the process lives. */
@@ -128,7 +128,7 @@
   }
 
   /** How load is balanced: the whole fleet where this controller leads, else who does. */
-  private balanceStatus({ fleet }: Balancing): object {
+  private balanceStatus({ fleet }: LoadBalancing): object {
     const leader = this.replica.leader?.member ?? null;
     const moves = [...this.partitions.values()].flatMap(
       ({ balancing }) => balancing?.movesInProgress() ?? [],
@@ -149,7 +149,7 @@
   private reconcilePartitions(): void {
     if (!this.stateStore.replica.synced) return;
     this.partitions.reconcile();
-    this.heartbeats.ownersChanged();
+    this.heartbeats.handleOwnerChanges();
   }
 
   private tick(): void {
--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -45,8 +45,8 @@
   }
 
   /** Answers deferred heartbeats of partitions whose owner has changed. */
-  ownersChanged(): void {
-    this.deferred.ownersChanged();
+  handleOwnerChanges(): void {
+    this.deferred.handleOwnerChanges();
   }
 
   /** Milliseconds since the last heartbeat of any machine, -1: none has come yet. */
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -7,7 +7,7 @@
 import { type ReplicaEvent } from '../../storage/replica-events';
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
 import { type StateStoreClient } from '../../storage/state-store-client';
-import { type Balancing } from '../balancing/balancing';
+import { type LoadBalancing } from '../balancing/balancing';
 import { type Membership } from '../membership/membership';
 import { PartitionActor } from '../partition/partition-actor';
 import { PartitionCore } from '../partition/partition-core';
@@ -22,7 +22,7 @@
   membership: Membership;
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Null: tasks are not moved for the sake of balance. */
-  balancing: Balancing | null;
+  balancing: LoadBalancing | null;
 }
 
 /**
@@ -47,7 +47,7 @@
   }
 
   /** The actor of the partition that a machine is recorded in, if this controller owns it. */
-  ofMachine(machine: string): PartitionActor | undefined {
+  actorOfMachine(machine: string): PartitionActor | undefined {
     const stored = this.deps.replica.machines.get(machine);
     return stored && this.actors.get(stored.record.partition);
   }
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -8,7 +8,7 @@
 import { type Leader } from '../leader/leader';
 import { type LeaseExtensions } from '../membership/lease-extension';
 import { type OwnedPartitions } from './owned-partitions';
-import { STORE_SILENCE_MS, type Readiness } from './readiness';
+import { STORE_RESPONSE_TIMEOUT_MS, type Readiness } from './readiness';
 
 /**
  * The state store keeps this many changes for its watches, so a replica cannot be further ahead of ours: a status that
@@ -61,7 +61,7 @@
   /** Answers with the state of our connection to the store and, where one is due, with a lease extension. */
   private answerStatus(status: StatusMessage, answer: (bytes: Buffer) => void): void {
     const { stateStore, replica, leaseExtensions, clock } = this.deps;
-    const storeReachable = stateStore.respondedWithin(STORE_SILENCE_MS);
+    const storeReachable = stateStore.respondedWithin(STORE_RESPONSE_TIMEOUT_MS);
     const extended = leaseExtensions.grant(
       status.member,
       this.mayVouchFor(status),
@@ -113,13 +113,13 @@
         return leader.send({ kind: 'load-summary', summary: message.summary, at: now });
       case 'move':
       case 'retire':
-        return partitions.ofMachine(message.machine)?.send(message);
+        return partitions.actorOfMachine(message.machine)?.send(message);
     }
   }
 
   private handleStatus(status: StatusMessage, now: number): void {
     const { leader, readiness } = this.deps;
-    readiness.recordPeer(status.member, status.storeReachable, now);
+    readiness.recordPeerStatus(status.member, status.storeReachable, now);
     leader.send({ kind: 'heartbeat-stats', member: status.member, stats: status, at: now });
     for (const load of status.partitions) leader.send({ kind: 'partition-load', load, at: now });
   }
@@ -129,7 +129,7 @@
     // The cancellations of an extension are recorded before it: only together with them does it count.
     for (const { job, revision } of pong.cancelled) replica.recordCancellation(job, revision);
     leaseExtensions.recordResponse(pong.member, pong.sequence, pong.extended, pong.page, pong.pages);
-    readiness.recordPeer(pong.member, pong.storeReachable, now);
+    readiness.recordPeerStatus(pong.member, pong.storeReachable, now);
   }
 
   private handleHandover(partition: string, to: string): void {
--- a/src/coordination/controller/readiness.ts
+++ b/src/coordination/controller/readiness.ts
@@ -3,7 +3,7 @@
 import { type StateStoreClient } from '../../storage/state-store-client';
 
 /** A state store that has not responded for this long counts as out of reach, for status messages to peers. */
-export const STORE_SILENCE_MS = 1500;
+export const STORE_RESPONSE_TIMEOUT_MS = 1500;
 /** The same for readiness, which should not change with every short pause. */
 const READY_STORE_SILENCE_MS = 3000;
 const PEER_SILENCE_MS = 2500;
@@ -22,7 +22,7 @@
   constructor(private readonly deps: ReadinessDependencies) {}
 
   /** Notes what a peer says about its own connection to the state store. */
-  recordPeer(member: string, storeReachable: boolean, now: number): void {
+  recordPeerStatus(member: string, storeReachable: boolean, now: number): void {
     this.peerStoreHealth.set(member, { storeReachable, at: now });
   }
 
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -9,7 +9,7 @@
 import { type HeartbeatRouter } from './heartbeat-router';
 import { type OwnedPartitions } from './owned-partitions';
 import { type PeerMessenger } from './peer-messenger';
-import { STORE_SILENCE_MS } from './readiness';
+import { STORE_RESPONSE_TIMEOUT_MS } from './readiness';
 
 /** Between two loads of the partitions: the leader plans with nothing much older than the upper bound. */
 const LOAD_INTERVAL_MS = { min: 450, max: 1800 };
@@ -55,7 +55,7 @@
       kind: 'status' as const,
       member,
       sequence: leaseExtensions.recordRequest(now),
-      storeReachable: stateStore.respondedWithin(STORE_SILENCE_MS),
+      storeReachable: stateStore.respondedWithin(STORE_RESPONSE_TIMEOUT_MS),
       memberIncarnation: membership.memberIncarnation,
       sinceHeartbeatMs: heartbeats.sinceHeartbeatMs(now),
       revision: stateStore.replica.synced ? stateStore.replica.revision : 0,
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -147,7 +147,7 @@
       const owner = members.has(record.owner) ? record.owner : this.leastLoaded(counts);
       if (!owner) continue;
       const failedOwner = members.has(record.owner) ? null : record.owner;
-      if (failedOwner && !extensions.permitsTakeOver(failedOwner, now)) continue;
+      if (failedOwner && !extensions.permitsTakeover(failedOwner, now)) continue;
       const change = { partition: id, teams: record.teams, owner, epoch, failedOwner };
       if (await this.changeOwner(change)) countOne(counts, owner);
     }
@@ -182,7 +182,13 @@
       if (received?.load.epoch !== epoch || now - received.at > MAX_LOAD_AGE_MS) continue;
       const { owner } = record;
       const { heartbeatIntervalMs } = settings;
-      const newOwner = this.reachability.betterOwner(owner, received.load, heartbeatIntervalMs, members, now);
+      const newOwner = this.reachability.selectReplacementOwner(
+        owner,
+        received.load,
+        heartbeatIntervalMs,
+        members,
+        now,
+      );
       if (newOwner === null) continue;
       log.info({ partition: id, owner, newOwner }, 'owner unreachable by its machines');
       this.handOver(id, owner, newOwner, now);
--- a/src/coordination/membership/lease-extension.ts
+++ b/src/coordination/membership/lease-extension.ts
@@ -93,13 +93,13 @@
   }
 
   /** Whether our own grants permit that a failed member's partitions are assigned to others. */
-  permitsTakeOver(member: string, now: number): boolean {
+  permitsTakeover(member: string, now: number): boolean {
     if (now < this.startedAt + GRANTER_EXTENSION_MS) return false;
     return now >= (this.grantedUntil.get(member) ?? Number.NEGATIVE_INFINITY);
   }
 
   /** Whether the extensions of all peers to us hold. */
-  allHeld(now: number): boolean {
+  extendedByAllPeers(now: number): boolean {
     return this.peers.every((peer) => now < (this.received.get(peer)?.expiresAt ?? Number.NEGATIVE_INFINITY));
   }
 }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -70,7 +70,10 @@
   /** Whether this controller may act: its session lease has not expired, or all its peers have extended it. */
   alive(): boolean {
     const now = this.deps.clock.steady();
-    return this.memberIncarnation !== 0 && (now < this.leaseExpiresAt || this.deps.extensions.allHeld(now));
+    return (
+      this.memberIncarnation !== 0 &&
+      (now < this.leaseExpiresAt || this.deps.extensions.extendedByAllPeers(now))
+    );
   }
 
   /** The last moment of the steady clock up to which every cancellation that any controller confirmed is known here. */
--- a/src/coordination/membership/misrouted-heartbeats.ts
+++ b/src/coordination/membership/misrouted-heartbeats.ts
@@ -14,7 +14,7 @@
   private readonly lastSeenAt = new Map<string, Map<string, number>>();
 
   /** Takes a misrouted heartbeat, and forgets those that no longer count. */
-  note(partition: string, machine: string, now: number): void {
+  record(partition: string, machine: string, now: number): void {
     let machines = this.lastSeenAt.get(partition);
     if (!machines) this.lastSeenAt.set(partition, (machines = new Map<string, number>()));
     // Deleted first, so that it goes to the end of the map's order.
@@ -27,7 +27,7 @@
   }
 
   /** Whether so many of a partition's machines come here that its owner may be about to change. */
-  exceedsDeferringRatio(partition: string, machines: number, now: number): boolean {
+  exceedsDeferralRatio(partition: string, machines: number, now: number): boolean {
     const recent = this.countWithin(partition, DEFERRING_WINDOW_MS, now);
     return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRING_RATIO * machines;
   }
--- a/src/coordination/membership/reachability.ts
+++ b/src/coordination/membership/reachability.ts
@@ -48,7 +48,7 @@
    * The member that should get a partition because its machines reach that member and not the owner; null: the owner keeps
    * it. Machines that are gone come to no controller, so their silence changes nothing. The owner is avoided from then on.
    */
-  betterOwner(
+  selectReplacementOwner(
     owner: string,
     load: PartitionLoad,
     heartbeatIntervalMs: number,
--- a/src/coordination/requests/api-responses.ts
+++ b/src/coordination/requests/api-responses.ts
@@ -11,7 +11,7 @@
 }
 
 /** No job has this ref. */
-export const UNKNOWN_JOB: ApiResponse = { status: 404, body: { error: 'no such job' } };
+export const JOB_NOT_FOUND: ApiResponse = { status: 404, body: { error: 'no such job' } };
 
 /** A request met a defect; it may be repeated. */
 export const REQUEST_FAILED: ApiResponse = { status: 503, body: { error: 'failed' }, retryAfterS: 1 };
--- a/src/coordination/requests/deferred-heartbeats.ts
+++ b/src/coordination/requests/deferred-heartbeats.ts
@@ -47,7 +47,7 @@
   }
 
   /** Answers the deferred heartbeats of partitions whose owners have changed. */
-  ownersChanged(): void {
+  handleOwnerChanges(): void {
     const now = this.clock.steady();
     for (const { id, epoch } of this.replica.partitions.values())
       if (this.ownedSince.get(id)?.epoch !== epoch) this.ownedSince.set(id, { epoch, at: now });
@@ -61,9 +61,9 @@
    */
   private ownerMayChange(partition: string, machine: string): boolean {
     const now = this.clock.steady();
-    this.misrouted.note(partition, machine, now);
+    this.misrouted.record(partition, machine, now);
     const machines = this.replica.fleetValuesOf(partition).reduce((n, [, fleet]) => n + fleet.size, 0);
-    return this.misrouted.exceedsDeferringRatio(partition, machines, now);
+    return this.misrouted.exceedsDeferralRatio(partition, machines, now);
   }
 
   /** Just after a change of owner a short time: it only spreads the heartbeats that the new owner receives. */
--- a/src/coordination/requests/express-app.ts
+++ b/src/coordination/requests/express-app.ts
@@ -1,7 +1,7 @@
 import express, { type NextFunction, type Request, type Response } from 'express';
 import { API_PATHS } from '../../protocol/api-paths';
 import { JOB_REF_PATTERN } from '../../protocol/jobs';
-import { logRejection, REQUEST_FAILED, UNKNOWN_JOB, type ApiResponse } from './api-responses';
+import { logRejection, REQUEST_FAILED, JOB_NOT_FOUND, type ApiResponse } from './api-responses';
 import {
   answerHeartbeat,
   MAX_BODY_BYTES,
@@ -34,11 +34,11 @@
   });
   app.get(`${API_PATHS.jobs}/:ref`, async (req: Request, res: Response) => {
     const ref = String(req.params['ref']);
-    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.status(ref) : UNKNOWN_JOB);
+    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.status(ref) : JOB_NOT_FOUND);
   });
   app.post(`${API_PATHS.jobs}/:ref/cancel`, async (req: Request, res: Response) => {
     const ref = String(req.params['ref']);
-    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.cancel(ref) : UNKNOWN_JOB);
+    respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.cancel(ref) : JOB_NOT_FOUND);
   });
   app.post(API_PATHS.jobs, json, async (req: Request, res: Response) => {
     const answer = await jobService.submit(req.body);
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -19,7 +19,7 @@
 import { type Team } from '../../protocol/settings';
 import { evaluatePipeline } from '../pipeline/pipelines';
 import { infeasibleReason } from '../partition/placement';
-import { UNKNOWN_JOB, type ApiResponse } from './api-responses';
+import { JOB_NOT_FOUND, type ApiResponse } from './api-responses';
 
 const unavailable = (error: string): ApiResponse => ({ status: 503, body: { error }, retryAfterS: 1 });
 const DURABLE_WRITE_TIMEOUT_MS = 3000;
@@ -123,14 +123,14 @@
     this.pendingQueryCount++;
     const job = await this.findJob(ref).finally(() => this.pendingQueryCount--);
     if (job === null) return this.answerUnavailable('no answer yet');
-    return job === 'absent' ? UNKNOWN_JOB : { status: 200, body: this.jobBody(job) };
+    return job === 'absent' ? JOB_NOT_FOUND : { status: 200, body: this.jobBody(job) };
   }
 
   private async cancelJob(ref: string): Promise<ApiResponse> {
     for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPT_COUNT; attempt++) {
       const job = await this.findJob(ref);
       if (job === null) break;
-      if (job === 'absent') return UNKNOWN_JOB;
+      if (job === 'absent') return JOB_NOT_FOUND;
       if (isTerminal(job)) return { status: 200, body: this.jobBody(job) };
       const conditions = this.openJobConditions(job);
       if (!conditions) break;
--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { balancerSettingsSchema, type BalancerSettings } from '@heathbridge/load-balancer';
 import { PartitionCore } from '../../src/coordination/partition/partition-core';
-import { TaskMoves } from '../../src/coordination/balancing/task-moves';
+import { TaskMover } from '../../src/coordination/balancing/task-moves';
 import { type MachineType } from '../../src/protocol/cloud';
 import { type JobSpec } from '../../src/protocol/jobs';
 import { type MachineRecord } from '../../src/protocol/records';
@@ -63,7 +63,7 @@
 class PartitionSimulation {
   now = 0;
   core: PartitionCore;
-  moves: TaskMoves | null = null;
+  moves: TaskMover | null = null;
   readonly workers: SimulatedWorker[] = [];
   readonly recordedHeartbeats: { core: PartitionCore; report: Heartbeat }[] = [];
   readonly closed = new Set<string>();
@@ -95,7 +95,7 @@
       },
       assignedMachines: new Set(this.assigned),
     });
-    if (this.settings) core.observer = this.moves = new TaskMoves(core, this.settings, () => this.now);
+    if (this.settings) core.observer = this.moves = new TaskMover(core, this.settings, () => this.now);
     return core;
   }
 
@@ -209,7 +209,7 @@
   const waits = [ON, OFF].map((settings) => {
     const simulation = new PartitionSimulation(settings);
     if (!settings)
-      simulation.core.observer = new TaskMoves(
+      simulation.core.observer = new TaskMover(
         simulation.core,
         { ...ON, task_moves: false },
         () => simulation.now,
--- a/test/cluster/cluster-options.ts
+++ b/test/cluster/cluster-options.ts
@@ -1,4 +1,4 @@
-import { type Balancing } from '../../src/coordination/balancing/balancing';
+import { type LoadBalancing } from '../../src/coordination/balancing/balancing';
 import { type Clock } from '../../src/transport/clock';
 import { type FakeMachineType } from '../standin/fake-cloud';
 
@@ -44,7 +44,7 @@
   initialMachines?: { kind: string; count: number }[];
   taskListener?: TaskListener;
   /** Load is balanced by this. */
-  balancing?: (clock: Clock) => Balancing;
+  balancing?: (clock: Clock) => LoadBalancing;
 }
 
 /** A team as the settings name it. */
--- a/test/cluster/partition-handover.test.ts
+++ b/test/cluster/partition-handover.test.ts
@@ -12,7 +12,7 @@
     return cluster.expiredLeases;
   };
   const whole = await leases();
-  const restore = patchProperty(Reachability.prototype, 'betterOwner', { value: () => null });
+  const restore = patchProperty(Reachability.prototype, 'selectReplacementOwner', { value: () => null });
   try {
     const without = await leases();
     assert.ok(whole < without / 2, `${whole} leases lost, ${without} without the hand-over`);
--- a/test/membership/lease-extension.test.ts
+++ b/test/membership/lease-extension.test.ts
@@ -13,23 +13,23 @@
       false,
     ],
     ['else it is given', () => extensions.grant('b', true, false, extendedAt), true],
-    ['and kept', () => extensions.permitsTakeOver('b', extendedAt + LEASE_EXTENSION_MS), false],
+    ['and kept', () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS), false],
     [
       'until it has run out',
-      () => extensions.permitsTakeOver('b', extendedAt + LEASE_EXTENSION_MS + 10),
+      () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS + 10),
       true,
     ],
-    ['others are not covered', () => extensions.permitsTakeOver('c', extendedAt), true],
+    ['others are not covered', () => extensions.permitsTakeover('c', extendedAt), true],
     [
       'a process that has just started sits out what it may have extended before',
-      () => new LeaseExtensions(['b'], 50_000).permitsTakeOver('b', 50_000 + LEASE_EXTENSION_MS),
+      () => new LeaseExtensions(['b'], 50_000).permitsTakeover('b', 50_000 + LEASE_EXTENSION_MS),
       false,
     ],
     [
       "one peer's extension is not enough",
       () => {
         extensions.recordResponse('b', extensions.recordRequest(20_000), true);
-        return extensions.allHeld(20_001);
+        return extensions.extendedByAllPeers(20_001);
       },
       false,
     ],
@@ -39,7 +39,7 @@
         const seq = extensions.recordRequest(20_000);
         extensions.recordResponse('b', seq, true);
         extensions.recordResponse('c', seq, true);
-        return [extensions.allHeld(22_600), extensions.allHeld(22_800)];
+        return [extensions.extendedByAllPeers(22_600), extensions.extendedByAllPeers(22_800)];
       },
       [true, false],
     ],
@@ -50,7 +50,7 @@
         for (let i = 0; i < 20; i++) extensions.recordRequest(31_000);
         extensions.recordResponse('b', old, true);
         extensions.recordResponse('c', old, true);
-        return extensions.allHeld(30_001);
+        return extensions.extendedByAllPeers(30_001);
       },
       false,
     ],
@@ -130,12 +130,12 @@
       for (const [peer, at, page, pages] of answers)
         extensions.recordResponse(peer, seqs.get(at) ?? 0, true, page, pages);
       assert.equal(extensions.freshAsOf, expected);
-      assert.equal(extensions.allHeld(2000), expected > 0);
+      assert.equal(extensions.extendedByAllPeers(2000), expected > 0);
     });
   }
   await t.test('an answer to what was never asked', () => {
     const extensions = new LeaseExtensions(['b'], 0);
     extensions.recordResponse('b', extensions.recordRequest(1000) + 1, true);
-    assert.equal(extensions.allHeld(1001), false);
+    assert.equal(extensions.extendedByAllPeers(1001), false);
   });
 });
--- a/test/membership/reachability.test.ts
+++ b/test/membership/reachability.test.ts
@@ -36,7 +36,7 @@
       const reach = new Reachability();
       reach.recordStats('a', heard(0, 6000), 0);
       for (const [member, n] of Object.entries(told)) reach.recordStats(member, heard(n), 0);
-      const better = reach.betterOwner(
+      const better = reach.selectReplacementOwner(
         'a',
         partitionLoad('p0', [], machines),
         REPORT_MS,
@@ -59,19 +59,19 @@
       const reach = new Reachability();
       reach.recordStats('a', heard(0, 6000), 0);
       reach.recordStats('b', heard(8), 0);
-      reach.betterOwner('a', partitionLoad('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
+      reach.selectReplacementOwner('a', partitionLoad('p0', [], silent(8, 6000)), REPORT_MS, ['a', 'b'], 100);
       reach.recordStats('a', { misrouted: [], sinceHeartbeatMs }, at);
       assert.equal(reach.isAvoided('a'), avoided);
     });
   }
   await t.test('reports wait for a change of owner only if many machines stray, and lately', () => {
     const misrouted = new MisroutedHeartbeats();
-    for (let i = 0; i < 5; i++) misrouted.note('p0', `i-${i % 3}`, i * 100);
-    assert.equal(misrouted.exceedsDeferringRatio('p0', 30, 500), true);
-    assert.equal(misrouted.exceedsDeferringRatio('p0', 31, 500), false, 'a few of many');
-    assert.equal(misrouted.exceedsDeferringRatio('p0', 30, 3000), false, 'a while ago');
+    for (let i = 0; i < 5; i++) misrouted.record('p0', `i-${i % 3}`, i * 100);
+    assert.equal(misrouted.exceedsDeferralRatio('p0', 30, 500), true);
+    assert.equal(misrouted.exceedsDeferralRatio('p0', 31, 500), false, 'a few of many');
+    assert.equal(misrouted.exceedsDeferralRatio('p0', 30, 3000), false, 'a while ago');
     assert.deepEqual(misrouted.counts(500), [{ partition: 'p0', machines: 3 }], 'each counts once');
-    misrouted.note('p0', 'i-9', 8000);
+    misrouted.record('p0', 'i-9', 8000);
     assert.deepEqual(misrouted.counts(8000), [{ partition: 'p0', machines: 1 }]);
   });
 });
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -1,6 +1,6 @@
 import prand from 'pure-rand';
 import { balancerSettingsSchema, coefficientOfVariation } from '@heathbridge/load-balancer';
-import { loadBalancing } from '../../src/coordination/balancing/load-balancing';
+import { createLoadBalancing } from '../../src/coordination/balancing/load-balancing';
 import { type JobShape, type TaskListener } from '../cluster/cluster-options';
 import { VirtualCluster } from '../cluster/virtual-cluster';
 
@@ -128,7 +128,7 @@
     machineTypes: MACHINE_TYPES,
     taskListener: startDelays,
     initialMachines: [{ kind: 'small', count: options.machines }],
-    ...(settings ? { balancing: (clock) => loadBalancing(settings, clock) } : {}),
+    ...(settings ? { balancing: (clock) => createLoadBalancing(settings, clock) } : {}),
   });
   submitJobs(cluster, options);
   const endMs = options.minutes * 60_000;
