--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -57,9 +57,9 @@
     maxBodyBytes: MAX_BODY_BYTES,
   });
   plainServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
-  const apiAddress = parseAddress(settings.listen);
+  const apiAddress = parseAddress(settings.listenAddress);
   plainServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
-  const peerAddress = parseAddress(settings.peerListen);
+  const peerAddress = parseAddress(settings.peerListenAddress);
   listenForPeers({
     ...peerAddress,
     onFrame: (bytes, answer) => controller.receiveFrame(bytes, answer),
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -69,7 +69,7 @@
     private readonly log: Log,
     private readonly dependencies: ControllerDependencies,
   ) {
-    this.maxStalenessMs = maxStalenessMs(settings.leaseMs, settings.cancelMs);
+    this.maxStalenessMs = maxStalenessMs(settings.workerLeaseMs, settings.cancellationDeadlineMs);
     this.stateStore = this.createStateStore();
     this.replica = new ReplicaView(this.stateStore.replica, log);
     this.leaseExtensions = new LeaseExtensions(this.peers(), clock.steady());
@@ -82,12 +82,12 @@
     this.statusPublisher = this.createStatusPublisher();
     this.jobService = this.createJobService();
     this.replica.events.subscribe((event) => this.partitions.forwardReplicaEvent(event));
-    this.stateStore.replica.batches.subscribe(() => this.reconcilePartitions());
+    this.stateStore.replica.snapshots.subscribe(() => this.reconcilePartitions());
   }
 
   /** Joins the cluster and starts all timers. */
   start(): void {
-    void this.stateStore.follow();
+    void this.stateStore.followChanges();
     this.membership.send({ kind: 'join' });
     // Asks for the machine types at once: without them no submission can be taken.
     this.leader.send({ kind: 'tick' });
@@ -119,7 +119,7 @@
       alive: this.membership.alive(),
       leading: this.leader.leading,
       revision: this.stateStore.replica.revision,
-      store: { ...this.stateStore.counters, changes: this.stateStore.changesByKind },
+      store: { ...this.stateStore.counters, changes: this.stateStore.requestedWritesByKind },
       users: this.jobService.counters,
       took: this.metrics.summary(),
       partitions: [...this.partitions.values()].map((partition) => partition.core.summary()),
@@ -169,7 +169,7 @@
 
   private createStateStore(): StateStoreClient {
     const { settings, clock, log, dependencies, metrics } = this;
-    const { requestRate, writeRate } = settings.stateStore;
+    const { requestRate, writeRate } = settings.stateStoreLimits;
     const rates = {
       requestRate,
       writeRate,
@@ -283,7 +283,7 @@
 
   private createJobService(): JobService {
     const { settings, clock, dependencies } = this;
-    const { valueBytes, txnOps } = settings.stateStore;
+    const { valueBytes, txnOps } = settings.stateStoreLimits;
     const { processIncarnation } = dependencies;
     const limits = { valueBytes, txnOps, processIncarnation };
     const batcher = new SubmissionBatcher(
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -97,7 +97,7 @@
 
   private createActor(stored: StoredPartition): PartitionActor {
     const { settings, policy, replica, stateStore, clock, log, membership, balancing } = this.deps;
-    const { valueBytes, txnOps, writeRate } = settings.stateStore;
+    const { valueBytes, txnOps, writeRate } = settings.stateStoreLimits;
     const core = this.createCore(stored);
     const options = {
       valueBytes,
@@ -129,11 +129,11 @@
       specOfClosedJob: (ref) => replica.jobs.get(ref)?.spec,
       options: {
         heartbeatIntervalMs: settings.heartbeatIntervalMs,
-        leaseMs: settings.leaseMs,
-        valueBytes: settings.stateStore.valueBytes,
+        leaseMs: settings.workerLeaseMs,
+        valueBytes: settings.stateStoreLimits.valueBytes,
         objectives: settings.objectives,
       },
-      assignedMachines: replica.assignedInPartition(id),
+      assignedMachines: replica.assignedMachinesInPartition(id),
     });
   }
 
--- a/src/coordination/fleet/fleet-history.ts
+++ b/src/coordination/fleet/fleet-history.ts
@@ -1,4 +1,4 @@
-import { type ListedMachine, type MachineRequest } from '../../protocol/cloud';
+import { type ListedMachine, type ProvisionRequest } from '../../protocol/cloud';
 import { type PartitionLoad } from '../../protocol/peers';
 import { type MachineRecord } from '../../protocol/records';
 import { type FleetMachine, type MachineKind } from './fleet-snapshot';
@@ -19,7 +19,7 @@
 
 interface ProvisionsInFlight {
   partition: string;
-  kind: MachineRequest;
+  kind: ProvisionRequest;
   count: number;
 }
 
@@ -86,7 +86,7 @@
   }
 
   /** Adds to the machines that are being provisioned for a partition; with a negative `n`, that many are no longer. */
-  countProvisions(partition: string, kind: MachineRequest, n: number): void {
+  countProvisions(partition: string, kind: ProvisionRequest, n: number): void {
     const key = JSON.stringify([partition, kind.type, kind.zone, kind.spot]);
     const count = (this.provisionsInFlight.get(key)?.count ?? 0) + n;
     if (count > 0) this.provisionsInFlight.set(key, { partition, kind, count });
--- a/src/coordination/fleet/fleet-snapshot.ts
+++ b/src/coordination/fleet/fleet-snapshot.ts
@@ -1,4 +1,4 @@
-import { type MachineRequest, type MachineType } from '../../protocol/cloud';
+import { type ProvisionRequest, type MachineType } from '../../protocol/cloud';
 import { type PartitionLoad } from '../../protocol/peers';
 import { type Policy } from '../../protocol/policy';
 
@@ -48,7 +48,7 @@
 
 /** What is to be done to one machine of the fleet. */
 export type FleetAction =
-  | { kind: 'scale-out'; partition: string; request: MachineRequest }
+  | { kind: 'scale-out'; partition: string; request: ProvisionRequest }
   /** `drain`: the machine may be in use and is emptied first; to its own partition: a drain is revoked. */
   | { kind: 'transfer'; machine: string; fromPartition: string; toPartition: string; drain: boolean }
   /** `force`: the machine is given back although it may be in use. */
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,4 +1,4 @@
-import { type MachineRequest, type MachineType } from '../../protocol/cloud';
+import { type ProvisionRequest, type MachineType } from '../../protocol/cloud';
 import { PRIORITIES } from '../../protocol/jobs';
 import { type Demand } from '../../protocol/peers';
 import { countFitting } from '../partition/resources';
@@ -163,9 +163,9 @@
   { demand, tasks }: PendingDemand,
   missingCpus: number,
   onDemandAllowed: boolean,
-): MachineRequest | null {
+): ProvisionRequest | null {
   const waysToBuy = onDemandAllowed ? [true, false] : [true];
-  let best: MachineRequest | null = null;
+  let best: ProvisionRequest | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of plan.snapshot.types.values()) {
     const taskCount = Math.min(countFitting(type, demand), tasks);
@@ -187,7 +187,7 @@
 /** Price of a useful CPU, with what late boots cost. */
 function costOf(
   { lateBootRatios, machinesByZone }: CapacityPlan,
-  request: MachineRequest,
+  request: ProvisionRequest,
   type: MachineType,
   usefulCpus: number,
 ): number {
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -10,7 +10,7 @@
   parseProvisioned,
   provisionBody,
   type ListedMachine,
-  type MachineRequest,
+  type ProvisionRequest,
   type MachineType,
 } from '../../protocol/cloud';
 
@@ -77,7 +77,7 @@
   }
 
   /** Requests machines under a name that no request had before. */
-  async provision(name: string, request: MachineRequest): Promise<ProvisionResult> {
+  async provision(name: string, request: ProvisionRequest): Promise<ProvisionResult> {
     const response = await this.call('POST', cloudPaths.provision, provisionBody(name, request));
     const status = response?.status ?? null;
     const machines = response?.status === 200 ? parseProvisioned(response.body) : null;
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -93,7 +93,7 @@
       loads,
       machines,
       capacityExhausted: (kind) => provisioner.isExhausted(kind, now),
-      leaseMs: settings.leaseMs,
+      leaseMs: settings.workerLeaseMs,
       policy,
     });
   }
--- a/src/coordination/leader/machine-provisioner.ts
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -1,4 +1,4 @@
-import { type MachineRequest } from '../../protocol/cloud';
+import { type ProvisionRequest } from '../../protocol/cloud';
 import { type MachineRecord } from '../../protocol/records';
 import { type FleetAction, kindKey, type MachineKind } from '../fleet/fleet-snapshot';
 import { type FleetHistory } from '../fleet/fleet-history';
@@ -12,7 +12,7 @@
 
 /** One call to the cloud for machines of one kind, and the partitions that they are for. */
 export interface ProvisionCall {
-  request: MachineRequest;
+  request: ProvisionRequest;
   /** One for each machine. */
   partitions: readonly string[];
 }
@@ -48,7 +48,7 @@
     }
   }
 
-  private call(kind: MachineRequest, partitions: readonly string[]): void {
+  private call(kind: ProvisionRequest, partitions: readonly string[]): void {
     const { cloud, history, nextCallName, onResult } = this.deps;
     for (const partition of partitions) history.countProvisions(partition, kind, 1);
     const request = { ...kind, count: partitions.length };
@@ -79,8 +79,8 @@
 
 function groupByKind(
   actions: readonly FleetAction[],
-): Map<string, { kind: MachineRequest; partitions: string[] }> {
-  const groups = new Map<string, { kind: MachineRequest; partitions: string[] }>();
+): Map<string, { kind: ProvisionRequest; partitions: string[] }> {
+  const groups = new Map<string, { kind: ProvisionRequest; partitions: string[] }>();
   for (const action of actions) {
     if (action.kind !== 'scale-out') continue;
     const key = kindKey(action.request);
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -83,7 +83,7 @@
     const ids = [...this.terminated].filter((id) => replica.machines.get(id)?.record.partition === partition);
     if (ids.length === 0) return null;
     const changes = new Map(ids.map((id) => [id, null]));
-    const edit = planFleetEdit(replica, partition, changes, '', settings.stateStore);
+    const edit = planFleetEdit(replica, partition, changes, '', settings.stateStoreLimits);
     const result = await stateStore.transact(edit.conditions, edit.writes, RequestPriority.Decision);
     log.info({ machines: edit.ids, result: result.kind }, 'machines removed');
     return result;
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -1,5 +1,5 @@
 import { pause, type Clock } from '../../transport/clock';
-import { mayBeRepeated } from '../../storage/fleet-edit';
+import { initialWriteMayBeRetried } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
 import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
@@ -74,7 +74,7 @@
     if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
     this.sweptAt = now;
     const { settings, stateStore } = this.deps;
-    const maxKeys = Math.min(MAX_VALUES_PER_SWEEP, settings.stateStore.txnOps);
+    const maxKeys = Math.min(MAX_VALUES_PER_SWEEP, settings.stateStoreLimits.txnOps);
     const removedKeys = this.removableKeys().slice(0, maxKeys);
     if (removedKeys.length === 0) return;
     this.sweeping = true;
@@ -88,7 +88,7 @@
   private removableKeys(): string[] {
     const { replica } = this.deps;
     return [...replica.emptyFleetKeys].filter(
-      (key) => this.settledKeys.has(key) || !mayBeRepeated(replica, key),
+      (key) => this.settledKeys.has(key) || !initialWriteMayBeRetried(replica, key),
     );
   }
 
--- a/src/coordination/partition/assigned-machine-writer.ts
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -1,4 +1,4 @@
-import { planAssignedEdit } from '../../storage/assigned-machines';
+import { planAssignedMachinesEdit } from '../../storage/assigned-machines';
 import { RequestPriority } from '../../storage/request-queue';
 import { type PartitionCore } from './partition-core';
 import { type PartitionStore } from './partition-store';
@@ -34,7 +34,7 @@
     this.writing = true;
     this.startedAt = now;
     const exists = (id: string): boolean => core.machines.has(id);
-    const edit = planAssignedEdit(store.replica, {
+    const edit = planAssignedMachinesEdit(store.replica, {
       partition: store.partition,
       machines,
       exists,
--- a/src/coordination/partition/terminal-state-writer.ts
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -31,7 +31,7 @@
     const states = [...this.pending()].slice(0, Math.min(MAX_STATES_PER_WRITE, this.txnOps * 2));
     const { key, revision, value } = this.targetValue();
     // A job that its user has cancelled meanwhile is not written: its cancellation decides.
-    const notCancelled = states.map(([ref]) => ({ key: keys.cancel(ref), revision: 0 }));
+    const notCancelled = states.map(([ref]) => ({ key: keys.cancellation(ref), revision: 0 }));
     const result = await this.store.transact(
       [{ key, revision }, ...notCancelled],
       [{ put: key, value: { ...value, ...Object.fromEntries(states) } }],
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -136,7 +136,7 @@
       if (!conditions) break;
       const result = await this.deps.stateStore.transact(
         conditions,
-        [{ put: keys.cancel(ref), value: 1 }],
+        [{ put: keys.cancellation(ref), value: 1 }],
         RequestPriority.Decision,
         DURABLE_WRITE_TIMEOUT_MS,
       );
@@ -159,7 +159,7 @@
     const last = this.deps.replica.lastTerminalStatesIndex(partition);
     const current = keys.terminalStates(partition, last);
     return [
-      { key: keys.cancel(job.spec.ref), revision: 0 },
+      { key: keys.cancellation(job.spec.ref), revision: 0 },
       { key: current, revision: this.deps.stateStore.revisionOf(current) },
       { key: keys.terminalStates(partition, last + 1), revision: 0 },
     ];
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -106,7 +106,7 @@
 };
 
 /** A request for machines of one kind. */
-export interface MachineRequest {
+export interface ProvisionRequest {
   type: string;
   zone: string;
   spot: boolean;
@@ -114,7 +114,7 @@
 }
 
 /** The body of a request for machines. A repeated request with one id provisions once. */
-export function provisionBody(requestId: string, request: MachineRequest): object {
+export function provisionBody(requestId: string, request: ProvisionRequest): object {
   return {
     hire_order: requestId,
     model: request.type,
--- a/src/protocol/features.ts
+++ b/src/protocol/features.ts
@@ -30,7 +30,7 @@
  * @throws FeaturesError if its content is wrong; an error of the file system if it cannot be read.
  */
 export function loadFeatures(path: string): Features {
-  return checkFeatures(path, readFileSync(path, 'utf8'));
+  return parseFeatures(path, readFileSync(path, 'utf8'));
 }
 
 /**
@@ -38,7 +38,7 @@
  *
  * @throws FeaturesError if the text is not TOML or a field is unknown or wrong.
  */
-export function checkFeatures(path: string, text: string): Features {
+export function parseFeatures(path: string, text: string): Features {
   let content: unknown;
   try {
     content = parse(text);
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -14,7 +14,7 @@
 export type EdgeKind = (typeof EDGE_KINDS)[number];
 
 /** How a job depends on earlier jobs of its pipeline. Stored as it is. */
-export interface PipelineLink {
+export interface PipelineMembership {
   ref: string;
   after: { job: string; kind: EdgeKind }[];
   /** Whether it may be run again after its tasks were interrupted. */
@@ -50,7 +50,7 @@
   checkpointDurationS: number;
   deadlineS: number | null;
   /** Null: it belongs to no pipeline. */
-  pipeline: PipelineLink | null;
+  pipeline: PipelineMembership | null;
 }
 
 /** The form of a job's ref. */
@@ -93,10 +93,10 @@
 });
 
 /** `reason`: one line that names the first field that is wrong. */
-export type SubmissionResult = { ok: true; spec: JobSpec } | { ok: false; reason: string };
+export type SubmissionParseResult = { ok: true; spec: JobSpec } | { ok: false; reason: string };
 
 /** Checks a submission field by field; unknown fields are ignored. */
-export function parseSubmission(body: unknown): SubmissionResult {
+export function parseSubmission(body: unknown): SubmissionParseResult {
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return { ok: false, reason: 'not a JSON object' };
   }
@@ -133,7 +133,7 @@
   };
 }
 
-function toPipelineLink(link: z.infer<typeof pipelineSchema>): PipelineLink {
+function toPipelineLink(link: z.infer<typeof pipelineSchema>): PipelineMembership {
   return {
     ref: link.ref,
     after: (link.after ?? []).map(({ job, type }) => ({ job, kind: type })),
--- a/src/protocol/keys.ts
+++ b/src/protocol/keys.ts
@@ -32,7 +32,7 @@
   /** Jobs accepted together; written once, never changed. */
   batch: (name: string): string => keyOf(KEY_KINDS.batch, name),
   /** Present once the job's user has cancelled it; written once. */
-  cancel: (ref: string): string => keyOf(KEY_KINDS.cancellation, ref),
+  cancellation: (ref: string): string => keyOf(KEY_KINDS.cancellation, ref),
   /** How jobs of a partition ended; the values are filled one after the other. */
   terminalStates: (partition: string, index: number): string =>
     keyOf(KEY_KINDS.terminalStates, partition, index),
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -158,7 +158,7 @@
 }
 
 /** One job of a batch. */
-export function encodeAccepted({ spec, acceptedAt }: AcceptedJob): unknown {
+export function encodeAcceptedJob({ spec, acceptedAt }: AcceptedJob): unknown {
   return [spec.ref, encodeSpec(spec), acceptedAt];
 }
 
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -83,18 +83,18 @@
 /** The settings of one controller. Rates are per second and shared by all controllers. */
 export interface Settings {
   member: string;
-  listen: string;
-  peerListen: string;
+  listenAddress: string;
+  peerListenAddress: string;
   peers: { member: string; address: string }[];
   cloudAddress: string;
   stateStoreAddress: string;
   teams: Team[];
   objectives: Objective[];
   heartbeatIntervalMs: number;
-  leaseMs: number;
+  workerLeaseMs: number;
   /** A cancelled job's tasks must have ended within this time after its user got the response. */
-  cancelMs: number;
-  stateStore: { requestRate: number; writeRate: number; valueBytes: number; txnOps: number };
+  cancellationDeadlineMs: number;
+  stateStoreLimits: { requestRate: number; writeRate: number; valueBytes: number; txnOps: number };
   cloudRequestRate: number;
   cloudListLagMs: number;
 }
@@ -137,17 +137,17 @@
   const s = read.data;
   return {
     member: s.member,
-    listen: s.serve_on,
-    peerListen: s.cluster_listen,
+    listenAddress: s.serve_on,
+    peerListenAddress: s.cluster_listen,
     peers: s.peers.map((p) => ({ member: p.member, address: p.addr })),
     cloudAddress: s.external.cloud,
     stateStoreAddress: s.external.state,
     teams: s.facts.teams.map(toTeam),
     objectives: s.facts.objectives.flatMap(toObjectives),
     heartbeatIntervalMs: s.facts.workers.report_s * 1000,
-    leaseMs: s.facts.workers.lease_s * 1000,
-    cancelMs: s.facts.workers.cancel_s * 1000,
-    stateStore: {
+    workerLeaseMs: s.facts.workers.lease_s * 1000,
+    cancellationDeadlineMs: s.facts.workers.cancel_s * 1000,
+    stateStoreLimits: {
       requestRate: s.facts.state.rps,
       writeRate: s.facts.state.write_rps,
       valueBytes: s.facts.state.value_kb * 1024 - VALUE_MARGIN_BYTES,
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -142,7 +142,7 @@
 const SCAN_PAGE_ENTRIES = 1000;
 
 /** Paths of the store's requests. */
-export const paths = {
+export const storePaths = {
   entry: (key: string): string => `/store/${key}`,
   /** The entries after a key, '' for the first ones. */
   scan: (prefix: string, after: string): string => {
--- a/src/storage/assigned-machines.ts
+++ b/src/storage/assigned-machines.ts
@@ -3,7 +3,7 @@
 import { type ReplicaView } from './replica-view';
 
 /** A change of one value of assigned machines. */
-export interface AssignedEdit {
+export interface AssignedMachinesEdit {
   /** The machines that this edit adds; the others are left for the next one. */
   ids: string[];
   condition: Condition;
@@ -11,7 +11,7 @@
 }
 
 /** Machines to be added to the assigned ones of a partition. */
-export interface AssignedEditRequest {
+export interface AssignedMachinesEditRequest {
   partition: string;
   machines: readonly string[];
   /** Whether a machine is still in the partition. */
@@ -24,16 +24,16 @@
  * Adds machines to those that tasks of a partition may have been started on, with one write. Machines that no longer exist
  * are dropped, so the list stays about as long as the fleet is large.
  */
-export function planAssignedEdit(
+export function planAssignedMachinesEdit(
   replica: ReplicaView,
-  { partition, machines, exists, valueBytes }: AssignedEditRequest,
-): AssignedEdit {
+  { partition, machines, exists, valueBytes }: AssignedMachinesEditRequest,
+): AssignedMachinesEdit {
   for (let index = 0; ; index++) {
     const key = keys.assignedMachines(partition, index);
-    const value = replica.assignedInKey(key).filter(exists);
+    const value = replica.assignedMachinesInKey(key).filter(exists);
     const ids = machinesThatFit(value, machines, valueBytes);
     if (ids.length === 0) continue;
-    const condition = { key, revision: replica.store.revisionOf(key) };
+    const condition = { key, revision: replica.storeReplica.revisionOf(key) };
     return { ids, condition, write: { put: key, value: [...new Set([...value, ...ids])] } };
   }
 }
--- a/src/storage/fleet-edit.ts
+++ b/src/storage/fleet-edit.ts
@@ -45,7 +45,7 @@
     key,
     machines: remainingMachines(replica.fleetInKey(key), partition, changes, changed),
   }));
-  const conditions = touchedKeys.map((key) => ({ key, revision: replica.store.revisionOf(key) }));
+  const conditions = touchedKeys.map((key) => ({ key, revision: replica.storeReplica.revisionOf(key) }));
   const writes = rewriteValues(replica, rest, limits);
   for (const [target, machines] of transfers) {
     const key = keys.fleet(target, name);
@@ -61,7 +61,7 @@
  * removed while that leader leads, machines that were transferred meanwhile would be in this value again, and their tasks
  * would be started a second time.
  */
-export function mayBeRepeated(replica: ReplicaView, key: string): boolean {
+export function initialWriteMayBeRetried(replica: ReplicaView, key: string): boolean {
   return replica.leader !== null && leaderTermOfFleetKey(key) === replica.leader.term;
 }
 
@@ -106,7 +106,7 @@
   return values.map(({ key, machines }, i) => {
     const mergedPart = i === 0 ? merged : [];
     const value = merge ? mergedPart : encodeFleet(machines);
-    return value.length > 0 || mayBeRepeated(replica, key) ? { put: key, value } : { remove: key };
+    return value.length > 0 || initialWriteMayBeRetried(replica, key) ? { put: key, value } : { remove: key };
   });
 }
 
--- a/src/storage/fresh-read-batcher.ts
+++ b/src/storage/fresh-read-batcher.ts
@@ -1,5 +1,5 @@
 import { keys } from '../protocol/keys';
-import { parseRevision, paths } from '../protocol/store';
+import { parseRevision, storePaths } from '../protocol/store';
 import { type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
 import { RequestPriority, type RequestLimits } from './request-queue';
@@ -70,7 +70,7 @@
 
   /** The store's revision now; null if it did not say. */
   private async readRevision(withinMs: number): Promise<number | null> {
-    const path = paths.entry(keys.neverWritten);
+    const path = storePaths.entry(keys.neverWritten);
     const outcome = await this.connection.send({
       method: 'GET',
       path,
--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -1,6 +1,6 @@
 import { type Subscription } from 'rxjs';
 import { KEY_PREFIX } from '../protocol/keys';
-import { parseScan, parseWatch, paths, type Entry } from '../protocol/store';
+import { parseScan, parseWatch, storePaths, type Entry } from '../protocol/store';
 import { pause, type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
 import { RequestPriority, type RequestQueue } from './request-queue';
@@ -54,7 +54,7 @@
   }
 
   /** Fills the replica and follows the changes until it is closed. Never rejects. */
-  async follow(): Promise<void> {
+  async followChanges(): Promise<void> {
     const { clock } = this.deps;
     while (!this.closed) {
       if (this.filled || (await this.fill())) await this.watchOnce();
@@ -72,7 +72,7 @@
   private async watchOnce(): Promise<void> {
     const { replica, connection, queue, watchTransport, clock, log, watchHoldMs } = this.deps;
     const startedAt = clock.steady();
-    const path = paths.watch(KEY_PREFIX, replica.revision, watchHoldMs);
+    const path = storePaths.watch(KEY_PREFIX, replica.revision, watchHoldMs);
     // Watches count as requests and wait for their turn like the others.
     const maySend = await queue.awaitTurn(RequestPriority.Decision, 0, Number.POSITIVE_INFINITY);
     if (!maySend) return;
@@ -104,7 +104,7 @@
     for (;;) {
       const outcome = await connection.send({
         method: 'GET',
-        path: paths.scan(KEY_PREFIX, after),
+        path: storePaths.scan(KEY_PREFIX, after),
         priority: RequestPriority.Decision,
         withinMs: FILL_TIMEOUT_MS,
       });
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -49,11 +49,11 @@
   private readonly assigned = new Map<string, readonly string[]>();
 
   constructor(
-    readonly store: StoreReplica,
+    readonly storeReplica: StoreReplica,
     private readonly log: Log,
   ) {
-    store.changes.subscribe((change) => this.applyChange(change));
-    store.batches.subscribe(() => this.fleetIndex.publishRemovals());
+    storeReplica.changes.subscribe((change) => this.applyChange(change));
+    storeReplica.snapshots.subscribe(() => this.fleetIndex.publishRemovals());
   }
 
   progressOf(ref: string): StoredProgress | null {
@@ -71,7 +71,7 @@
   /** The index of the value that terminal states of a partition's jobs are written to now, 0 at first. */
   lastTerminalStatesIndex(partition: string): number {
     let index = 0;
-    while (this.store.entries.has(keys.terminalStates(partition, index + 1))) index++;
+    while (this.storeReplica.entries.has(keys.terminalStates(partition, index + 1))) index++;
     return index;
   }
 
@@ -86,12 +86,12 @@
   }
 
   /** The machines that one value says tasks may have been started on. */
-  assignedInKey(key: string): readonly string[] {
+  assignedMachinesInKey(key: string): readonly string[] {
     return this.assigned.get(key) ?? [];
   }
 
   /** The machines that owners of this partition may have started tasks on. */
-  assignedInPartition(partition: string): Set<string> {
+  assignedMachinesInPartition(partition: string): Set<string> {
     return new Set(
       [...this.assigned].flatMap(([key, ids]) => (partitionOfKey(key) === partition ? ids : [])),
     );
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -8,7 +8,7 @@
   parseFailedKeys,
   parseLease,
   parseRevision,
-  paths,
+  storePaths,
   transactionBody,
   type Condition,
   type Entry,
@@ -73,7 +73,7 @@
 export class StateStoreClient {
   readonly replica: StoreReplica;
   /** Writes asked for, by the kind of key. */
-  readonly changesByKind: Record<string, number> = {};
+  readonly requestedWritesByKind: Record<string, number> = {};
   private readonly log: Log;
   private readonly queue: RequestQueue;
   private readonly connection: StoreConnection;
@@ -109,8 +109,8 @@
   }
 
   /** Fills the replica and follows the changes until the client is closed. */
-  follow(): Promise<void> {
-    return this.feed.follow();
+  followChanges(): Promise<void> {
+    return this.feed.followChanges();
   }
 
   /** Ends the replica's feed and refuses the requests that still wait for their turn. */
@@ -129,7 +129,7 @@
     this.countChanges(writes);
     const outcome = await this.connection.send({
       method: 'POST',
-      path: paths.transaction,
+      path: storePaths.transaction,
       body: transactionBody(conditions, writes),
       priority,
       withinMs,
@@ -144,7 +144,7 @@
   async read(key: string, withinMs = READ_TIMEOUT_MS): Promise<ReadResult> {
     const outcome = await this.connection.send({
       method: 'GET',
-      path: paths.entry(key),
+      path: storePaths.entry(key),
       priority: RequestPriority.Read,
       withinMs,
     });
@@ -176,7 +176,7 @@
   async openLease(ttlMs: number): Promise<number | null> {
     const outcome = await this.connection.send({
       method: 'POST',
-      path: paths.leases,
+      path: storePaths.leases,
       body: openLeaseBody(ttlMs),
       priority: RequestPriority.Lease,
       withinMs: OPEN_LEASE_TIMEOUT_MS,
@@ -188,7 +188,7 @@
   async renewLease(leaseId: number): Promise<LeaseRenewal> {
     const outcome = await this.connection.send({
       method: 'POST',
-      path: paths.renewLease(leaseId),
+      path: storePaths.renewLease(leaseId),
       body: {},
       priority: RequestPriority.Lease,
       withinMs: LEASE_TIMEOUT_MS,
@@ -201,7 +201,7 @@
   async endLease(leaseId: number): Promise<boolean> {
     const outcome = await this.connection.send({
       method: 'DELETE',
-      path: paths.lease(leaseId),
+      path: storePaths.lease(leaseId),
       priority: RequestPriority.Lease,
       withinMs: LEASE_TIMEOUT_MS,
     });
@@ -211,7 +211,7 @@
   private transactionResult(response: HttpResponse, writes: Write[]): TransactionResult {
     switch (response.status) {
       case STATUS.ok: {
-        const revision = logIfMalformed(this.log, parseRevision(response.body), paths.transaction);
+        const revision = logIfMalformed(this.log, parseRevision(response.body), storePaths.transaction);
         return revision === null ? { kind: 'unknown' } : { kind: 'applied', revision };
       }
       case STATUS.conflict:
@@ -235,7 +235,7 @@
   private countChanges(writes: Write[]): void {
     for (const write of writes) {
       const kind = keyKind('put' in write ? write.put : write.remove);
-      this.changesByKind[kind] = (this.changesByKind[kind] ?? 0) + 1;
+      this.requestedWritesByKind[kind] = (this.requestedWritesByKind[kind] ?? 0) + 1;
     }
   }
 }
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -15,7 +15,7 @@
   /** Every change, in the order in which it is applied. */
   readonly changes = new Subject<Change>();
   /** Emits after one change or many, once the replica is a snapshot at one revision again. */
-  readonly batches = new Subject<void>();
+  readonly snapshots = new Subject<void>();
   readonly entries = new Map<string, Entry>();
   revision = 0;
   /** Whether the replica is a snapshot of the store at one revision. While it is filled it is a mixture. */
@@ -71,7 +71,7 @@
   /** The replica is a snapshot at its revision: publishes that and resolves those who wait for it. */
   publishSnapshot(): void {
     this.synced = true;
-    this.batches.next();
+    this.snapshots.next();
     for (const waiter of this.waiters.filter((w) => w.revision <= this.revision)) {
       this.waiters.splice(this.waiters.indexOf(waiter), 1);
       waiter.resolve();
--- a/src/storage/submission-batcher.ts
+++ b/src/storage/submission-batcher.ts
@@ -1,6 +1,6 @@
 import { type Clock } from '../transport/clock';
 import { keys } from '../protocol/keys';
-import { encodeAccepted, type AcceptedJob } from '../protocol/records';
+import { encodeAcceptedJob, type AcceptedJob } from '../protocol/records';
 import { type ReplicaView } from './replica-view';
 import { RequestPriority } from './request-queue';
 import { type StateStoreClient } from './state-store-client';
@@ -94,7 +94,7 @@
     const { stateStore, replica } = this.dependencies;
     const writes = batches.map((batch) => ({
       put: keys.batch(`${this.options.processIncarnation}-${++this.batchCount}`),
-      value: batch.map(({ job }) => encodeAccepted(job)),
+      value: batch.map(({ job }) => encodeAcceptedJob(job)),
     }));
     const conditions = writes.map(({ put }) => ({ key: put, revision: 0 }));
     const result = await stateStore.transact(conditions, writes, RequestPriority.Decision, WRITE_TIMEOUT_MS);
@@ -130,5 +130,5 @@
 }
 
 function encodedBytes(job: AcceptedJob): number {
-  return Buffer.byteLength(JSON.stringify(encodeAccepted(job)));
+  return Buffer.byteLength(JSON.stringify(encodeAcceptedJob(job)));
 }
--- a/test/cluster/removed-guards.test.ts
+++ b/test/cluster/removed-guards.test.ts
@@ -98,7 +98,8 @@
   },
   {
     name: 'the next owner is not told which machines may have tasks on them',
-    apply: () => patchProperty(ReplicaView.prototype, 'assignedInPartition', { value: () => new Set() }),
+    apply: () =>
+      patchProperty(ReplicaView.prototype, 'assignedMachinesInPartition', { value: () => new Set() }),
     fault: crashWhileSilent,
     breaks: /ran_twice/,
   },
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -10,7 +10,7 @@
 import { DEFAULT_POLICY } from '../src/protocol/policy';
 import { type MachineRecord } from '../src/protocol/records';
 import { type Heartbeat, type HeartbeatTask } from '../src/protocol/workers';
-import { planAssignedEdit } from '../src/storage/assigned-machines';
+import { planAssignedMachinesEdit } from '../src/storage/assigned-machines';
 import { type ReplicaView } from '../src/storage/replica-view';
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
 import { jobSpec } from './support/job-spec';
@@ -165,12 +165,12 @@
 test('the list of assigned machines goes on in more values, each within its limit', () => {
   const values = new Map<string, string[]>();
   const replica = {
-    assignedInKey: (key: string) => values.get(key) ?? [],
-    store: { revisionOf: () => 0 },
+    assignedMachinesInKey: (key: string) => values.get(key) ?? [],
+    storeReplica: { revisionOf: () => 0 },
   } as unknown as ReplicaView;
   let left = names;
   while (left.length > 0) {
-    const { ids, write } = planAssignedEdit(replica, {
+    const { ids, write } = planAssignedMachinesEdit(replica, {
       partition: 'p0',
       machines: left,
       exists: () => true,
--- a/test/protocol/config-errors.test.ts
+++ b/test/protocol/config-errors.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ConfigError, type ConfigErrorCode } from '../../src/protocol/config-error';
-import { checkFeatures } from '../../src/protocol/features';
+import { parseFeatures } from '../../src/protocol/features';
 import { loadPolicy, parsePolicy } from '../../src/protocol/policy';
 import { parseSettings } from '../../src/protocol/settings';
 
@@ -50,14 +50,14 @@
     },
     {
       name: 'features that are not TOML',
-      read: () => checkFeatures('f.toml', '[load_balancer'),
+      read: () => parseFeatures('f.toml', '[load_balancer'),
       code: 'ERR_INVALID_FEATURES',
       message: /^f\.toml: /,
       cause: true,
     },
     {
       name: 'a feature that is unknown',
-      read: () => checkFeatures('f.toml', '[other]'),
+      read: () => parseFeatures('f.toml', '[other]'),
       code: 'ERR_INVALID_FEATURES',
       message: /^f\.toml: other: unknown field$/,
       cause: true,
--- a/test/protocol/features.test.ts
+++ b/test/protocol/features.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import Ajv2020 from 'ajv/dist/2020';
 import { parse } from 'smol-toml';
-import { checkFeatures, featuresJsonSchema } from '../../src/protocol/features';
+import { parseFeatures, featuresJsonSchema } from '../../src/protocol/features';
 
 const root = join(__dirname, '..', '..', '..');
 
@@ -34,9 +34,9 @@
   test(`features: ${JSON.stringify(text)} ${field === null ? 'is fine' : `is refused for ${field}`}`, () => {
     const validate = new Ajv2020().compile(JSON.parse(published) as object);
     assert.equal(validate(parse(text)), field === null || contradiction);
-    if (field === null) return void checkFeatures('f.toml', text);
+    if (field === null) return void parseFeatures('f.toml', text);
     assert.throws(
-      () => checkFeatures('f.toml', text),
+      () => parseFeatures('f.toml', text),
       (error: Error) => error.message.startsWith(`f.toml: ${field}: `),
     );
   });
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -4,7 +4,7 @@
 import { SETTINGS } from '../support/settings-file';
 
 test('settings: the first bad one is named', () => {
-  assert.equal(parseSettings(JSON.stringify({ ...SETTINGS, later: 1 })).leaseMs, 12_000);
+  assert.equal(parseSettings(JSON.stringify({ ...SETTINGS, later: 1 })).workerLeaseMs, 12_000);
   const cases: [object, RegExp][] = [
     [{ ...SETTINGS, member: 7 }, /^member: /],
     [{ ...SETTINGS, serve_on: 'localhost' }, /^serve_on: .*IPv4/],
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -6,7 +6,7 @@
   decodeBatch,
   decodeFleet,
   decodeProgress,
-  encodeAccepted,
+  encodeAcceptedJob,
   encodeFleet,
   encodeProgress,
 } from '../src/protocol/records';
@@ -118,7 +118,7 @@
     };
     const acceptedAt = '2026-01-02T03:04:05.678Z';
     assert.deepEqual(decodeBatch([stored]), [{ spec, acceptedAt }]);
-    assert.deepEqual(plain(encodeAccepted({ spec, acceptedAt })), stored);
+    assert.deepEqual(plain(encodeAcceptedJob({ spec, acceptedAt })), stored);
   });
   await t.test('progress', () => {
     const stored = { 'job-000001': ['0-3,7', 5, 2, 16] };
@@ -157,7 +157,7 @@
         keys.catalog,
         keys.partition('p0'),
         keys.batch('b'),
-        keys.cancel('j'),
+        keys.cancellation('j'),
       ],
       ...[
         keys.terminalStates('p0', 1),
--- a/test/startup/features-file.test.ts
+++ b/test/startup/features-file.test.ts
@@ -4,14 +4,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { checkFeatures } from '../../src/protocol/features';
+import { parseFeatures } from '../../src/protocol/features';
 import { EXIT_CODES } from '../../src/cli/client';
 
 const root = join(__dirname, '..', '..', '..');
 
 test('the file under deploy is fine, and a broken one ends a start with code 2 and one line', () => {
   const deployed = join(root, 'deploy', 'features.toml');
-  checkFeatures(deployed, readFileSync(deployed, 'utf8'));
+  parseFeatures(deployed, readFileSync(deployed, 'utf8'));
   const folder = mkdtempSync(join(tmpdir(), 'heathbridge-'));
   const [features, config] = [join(folder, 'features.toml'), join(folder, 'settings.json')];
   const settings = {
--- a/test/storage/closing.test.ts
+++ b/test/storage/closing.test.ts
@@ -42,7 +42,7 @@
     limits,
   );
   let ended = false;
-  void client.follow().then(() => (ended = true));
+  void client.followChanges().then(() => (ended = true));
   await settle();
   await time.run(2000);
   assert.ok(client.replica.synced && !ended);
--- a/test/storage/replica-view.test.ts
+++ b/test/storage/replica-view.test.ts
@@ -3,10 +3,10 @@
 import pino from 'pino';
 import { ReplicaView } from '../../src/storage/replica-view';
 import { planFleetEdit } from '../../src/storage/fleet-edit';
-import { planAssignedEdit } from '../../src/storage/assigned-machines';
+import { planAssignedMachinesEdit } from '../../src/storage/assigned-machines';
 import { StateStoreClient } from '../../src/storage/state-store-client';
 import { type JobSpec } from '../../src/protocol/jobs';
-import { encodeAccepted, encodeFleet, type MachineRecord } from '../../src/protocol/records';
+import { encodeAcceptedJob, encodeFleet, type MachineRecord } from '../../src/protocol/records';
 import { keys } from '../../src/protocol/keys';
 import { VirtualTime } from '../standin/clock';
 
@@ -66,12 +66,12 @@
     this.whole = false;
     for (const change of changes) change();
     this.whole = true;
-    this.replica.store.batches.next();
+    this.replica.storeReplica.snapshots.next();
     return this;
   }
 
   private endBatch(): this {
-    if (this.whole) this.replica.store.batches.next();
+    if (this.whole) this.replica.storeReplica.snapshots.next();
     return this;
   }
 
@@ -79,19 +79,19 @@
     this.revision = Math.max(this.revision, revision);
     // The wire gives back what JSON keeps.
     const v = JSON.parse(JSON.stringify(value)) as unknown;
-    this.replica.store.entries.set(key, { key, value: v, revision, leaseId: null });
-    this.replica.store.changes.next({ key, value: v, revision });
+    this.replica.storeReplica.entries.set(key, { key, value: v, revision, leaseId: null });
+    this.replica.storeReplica.changes.next({ key, value: v, revision });
     return this.endBatch();
   }
 
   remove(key: string): this {
-    this.replica.store.entries.delete(key);
-    this.replica.store.changes.next({ key, deleted: true, revision: ++this.revision });
+    this.replica.storeReplica.entries.delete(key);
+    this.replica.storeReplica.changes.next({ key, deleted: true, revision: ++this.revision });
     return this.endBatch();
   }
 
   acceptJobs(name: string, jobs: JobSpec[], version?: number): this {
-    const value = jobs.map((s) => encodeAccepted({ spec: s, acceptedAt: '2026-01-01T00:00:00.000Z' }));
+    const value = jobs.map((s) => encodeAcceptedJob({ spec: s, acceptedAt: '2026-01-01T00:00:00.000Z' }));
     return this.change(keys.batch(name), value, version ?? ++this.revision);
   }
 
@@ -133,7 +133,7 @@
         harness.acceptJobs('a', [spec, { ...spec, ref: 'job-2' }]);
         harness.change(keys.terminalStates('p0', 0), { 'job-1': 'done', 'job-2': 'failed' });
         harness
-          .change(keys.cancel('job-2'), 1)
+          .change(keys.cancellation('job-2'), 1)
           .change(keys.terminalStates('p0', 0), { 'job-1': 'done', 'job-2': 'failed' });
         assert.deepEqual(
           [...harness.replica.jobs.values()].map((j) => j.state),
@@ -306,7 +306,7 @@
     await t.test(name, () => {
       const harness = new ReplicaHarness();
       for (const [n, ids] of listed.entries()) harness.change(keys.assignedMachines('p0', n), ids);
-      const { ids, condition, write } = planAssignedEdit(harness.replica, {
+      const { ids, condition, write } = planAssignedMachinesEdit(harness.replica, {
         partition: 'p0',
         machines: open,
         exists: (id) => !gone?.includes(id),
@@ -315,9 +315,9 @@
       const key = keys.assignedMachines('p0', expect.n);
       assert.deepEqual(ids, expect.ids);
       assert.deepEqual(write, { put: key, value: expect.value });
-      assert.deepEqual(condition, { key, revision: harness.replica.store.revisionOf(key) });
-      assert.deepEqual([...harness.replica.assignedInPartition('p0')], listed.flat());
-      assert.equal(harness.replica.assignedInPartition('p1').size, 0);
+      assert.deepEqual(condition, { key, revision: harness.replica.storeReplica.revisionOf(key) });
+      assert.deepEqual([...harness.replica.assignedMachinesInPartition('p0')], listed.flat());
+      assert.equal(harness.replica.assignedMachinesInPartition('p1').size, 0);
     });
   }
 });
--- a/test/storage/state-store-client.test.ts
+++ b/test/storage/state-store-client.test.ts
@@ -96,8 +96,8 @@
     await t.test(name, async () => {
       const { stateStore, time } = scriptedStateStore(pages, watches);
       const publishedRevisions: number[] = [];
-      stateStore.replica.batches.subscribe(() => publishedRevisions.push(stateStore.replica.revision));
-      void stateStore.follow();
+      stateStore.replica.snapshots.subscribe(() => publishedRevisions.push(stateStore.replica.revision));
+      void stateStore.followChanges();
       await settle();
       await time.run(3000);
       assert.deepEqual(publishedRevisions, expected);
--- a/test/support/api-fixture.ts
+++ b/test/support/api-fixture.ts
@@ -133,7 +133,7 @@
     const partition = { teams: [VISION_TEAM.name], owner: 'velodrome-0', incarnation: 1 };
     const transaction = { if: [], apply: [{ set: 'hb/part/p0', v: partition }] };
     await this.store.request('POST', '/multi', transaction, () => false);
-    void stateStore.follow();
+    void stateStore.followChanges();
     return {
       jobService: jobServiceOver(stateStore, clock, () => this.types),
       log: SILENT_LOG,
