--- a/packages/load-balancer/src/even-placement.ts
+++ b/packages/load-balancer/src/even-placement.ts
@@ -1,9 +1,9 @@
 import { type MachineSnapshot } from './partition-snapshot';
 
 /** A machine's CPUs, and how many of them are in use. */
-export interface MachineFill {
+export interface MachineCpuUsage {
   cpus: number;
-  used: number;
+  usedCpus: number;
 }
 
 /** Steps of the binary search; finer than any difference that a task makes. */
@@ -13,13 +13,13 @@
  * The share of their CPUs up to which all machines would be filled if pending tasks were spread evenly: machines that are
  * fuller already get none. 1 if fewer CPUs are free than are pending.
  */
-export function evenLevel(machines: readonly MachineFill[], pendingCpus: number): number {
+export function evenUtilization(machines: readonly MachineCpuUsage[], pendingCpus: number): number {
   let low = 0;
   let high = 1;
   for (let step = 0; step < LEVEL_SEARCH_STEP_COUNT; step++) {
     const level = (low + high) / 2;
     let freeCpus = 0;
-    for (const { cpus, used } of machines) freeCpus += Math.max(0, level * cpus - used);
+    for (const { cpus, usedCpus } of machines) freeCpus += Math.max(0, level * cpus - usedCpus);
     if (freeCpus < pendingCpus) low = level;
     else high = level;
   }
@@ -30,7 +30,7 @@
  * CPUs that new tasks of a job may take on a machine while all are filled evenly. A machine that has the image may go beyond
  * the level by the fetch that it saves, as a share of the task's run time: locality against evenness.
  */
-export function evenAllowance(
+export function evenCpuAllowance(
   machine: Pick<MachineSnapshot, 'capacity' | 'free'>,
   level: number,
   savedFetchS: number,
--- a/packages/load-balancer/src/fetch-planner.ts
+++ b/packages/load-balancer/src/fetch-planner.ts
@@ -45,8 +45,8 @@
 function machinesFetchingMost(partition: PartitionSnapshot): MachineSnapshot[] {
   return partition
     .machines()
-    .filter(({ fetching }) => fetching >= MIN_SHARED_FETCH_COUNT)
-    .sort((a, b) => b.fetching - a.fetching)
+    .filter(({ activeFetchCount }) => activeFetchCount >= MIN_SHARED_FETCH_COUNT)
+    .sort((a, b) => b.activeFetchCount - a.activeFetchCount)
     .slice(0, MAX_SOURCES_PER_ROUND);
 }
 
@@ -81,5 +81,9 @@
 
 /** How long the whole fetch takes where it is; the machine's count of fetches includes this one. */
 function fetchSecondsAtSource({ spec }: TaskSnapshot, source: MachineSnapshot): number {
-  return fetchSeconds(spec, { ...source, fetching: source.fetching - 1, hasImage: () => false });
+  return fetchSeconds(spec, {
+    ...source,
+    activeFetchCount: source.activeFetchCount - 1,
+    hasImage: () => false,
+  });
 }
--- a/packages/load-balancer/src/load-model.ts
+++ b/packages/load-balancer/src/load-model.ts
@@ -32,8 +32,11 @@
   freeCpus: number;
 }
 
-function noWork(priorities: number): OutstandingWork {
-  return { running: new Array<number>(priorities).fill(0), queued: new Array<number>(priorities).fill(0) };
+function noWork(priorityCount: number): OutstandingWork {
+  return {
+    running: new Array<number>(priorityCount).fill(0),
+    queued: new Array<number>(priorityCount).fill(0),
+  };
 }
 
 function addWork(work: WorkByPriority, priority: number, cpuSeconds: number): void {
@@ -54,24 +57,24 @@
 export function partitionWorkload(
   partition: PartitionSnapshot,
   estimator: RuntimeEstimator,
-  priorities: number,
+  priorityCount: number,
 ): PartitionWorkload {
   const workload: PartitionWorkload = {
-    total: noWork(priorities),
+    total: noWork(priorityCount),
     byTeam: new Map(),
     byMachine: new Map(),
     cpus: 0,
     freeCpus: 0,
   };
   const workOfTeam = (team: string): OutstandingWork => {
-    const work = workload.byTeam.get(team) ?? noWork(priorities);
+    const work = workload.byTeam.get(team) ?? noWork(priorityCount);
     workload.byTeam.set(team, work);
     return work;
   };
   for (const { id, capacity, accepting, free } of partition.machines()) {
     workload.cpus += capacity.cpus;
     workload.freeCpus += accepting ? Math.max(0, free.cpus) : 0;
-    const ofMachine = noWork(priorities);
+    const ofMachine = noWork(priorityCount);
     workload.byMachine.set(id, ofMachine);
     for (const task of partition.tasksOn(id)) {
       const { spec, phase } = task;
@@ -81,8 +84,8 @@
         addWork(work[kind], spec.priority, cpuSeconds);
     }
   }
-  for (const { spec, tasks } of partition.pendingTasks()) {
-    const cpuSeconds = tasks * spec.resources.cpus * estimator.total(spec).meanS;
+  for (const { spec, taskCount } of partition.pendingTasks()) {
+    const cpuSeconds = taskCount * spec.resources.cpus * estimator.estimateRuntime(spec).meanS;
     addWork(workOfTeam(spec.team).queued, spec.priority, cpuSeconds);
     addWork(workload.total.queued, spec.priority, cpuSeconds);
   }
--- a/packages/load-balancer/src/machine-clearing.ts
+++ b/packages/load-balancer/src/machine-clearing.ts
@@ -44,7 +44,7 @@
       machine,
       moves: needed,
       costS: needed.reduce((sum, { costS }) => sum + costS, 0),
-      clearedInS: Math.max(0, ...needed.map(({ cost }) => cost.messagesS + cost.saveS)),
+      clearedInS: Math.max(0, ...needed.map(({ cost }) => cost.commandLatencyS + cost.checkpointS)),
     };
   }
 
--- a/packages/load-balancer/src/machine-transfer-guard.ts
+++ b/packages/load-balancer/src/machine-transfer-guard.ts
@@ -18,7 +18,7 @@
   'allowed' | 'no fresh summary' | 'moved back too soon' | 'the difference is too small' | 'too many moves';
 
 /** What became of a proposal. */
-export interface MachineTransferVerdict {
+export interface MachineTransferDecision {
   allowed: boolean;
   reason: TransferReason;
   /** Seconds in which each partition would complete its work, with its trend; null: not computed. */
@@ -54,7 +54,12 @@
   }
 
   /** Reviews one proposal in a fleet of `machines`, of which `draining` are being emptied for another partition. */
-  review(transfer: MachineTransfer, now: number, machines: number, draining: number): MachineTransferVerdict {
+  review(
+    transfer: MachineTransfer,
+    now: number,
+    machines: number,
+    draining: number,
+  ): MachineTransferDecision {
     const verdict = this.verdict(transfer, now, machines, draining);
     if (!verdict.allowed) {
       this.counters.refused++;
@@ -74,7 +79,7 @@
   }
 
   /** Forgets machines that are gone. */
-  forget(isKnown: (machine: string) => boolean): void {
+  pruneMachines(isKnown: (machine: string) => boolean): void {
     for (const id of this.lastTransfers.keys()) if (!isKnown(id)) this.lastTransfers.delete(id);
   }
 
@@ -83,7 +88,7 @@
     now: number,
     machines: number,
     draining: number,
-  ): MachineTransferVerdict {
+  ): MachineTransferDecision {
     if (this.wouldReturn(transfer, now)) return refused('moved back too soon');
     // An empty machine costs nobody anything: only its going back and forth is checked.
     if (!transfer.drain) return { allowed: true, reason: 'allowed', fromS: null, toS: null };
@@ -104,6 +109,6 @@
   }
 }
 
-function refused(reason: TransferReason): MachineTransferVerdict {
+function refused(reason: TransferReason): MachineTransferDecision {
   return { allowed: false, reason, fromS: null, toS: null };
 }
--- a/packages/load-balancer/src/move-candidates.ts
+++ b/packages/load-balancer/src/move-candidates.ts
@@ -53,7 +53,7 @@
   /** Machines that could hold a task of this job if they were empty. */
   suitableMachines({ job, resources }: JobSnapshot): MachineSnapshot[] {
     return this.accepting.filter(
-      ({ id, capacity }) => fits(capacity, resources) && this.partition.allows(job, id),
+      ({ id, capacity }) => fits(capacity, resources) && this.partition.jobAllowsMachine(job, id),
     );
   }
 
@@ -71,7 +71,7 @@
       const reservedHere = reserved.get(machine.id);
       const free = this.free(machine.id);
       const left = reservedHere ? addResources(free, reservedHere, -1) : free;
-      if (!fits(left, spec.resources) || !this.partition.allows(spec.job, machine.id)) continue;
+      if (!fits(left, spec.resources) || !this.partition.jobAllowsMachine(spec.job, machine.id)) continue;
       if (!hasImage) remoteCount++;
       targets.push(machine);
     }
--- a/packages/load-balancer/src/move-eligibility.ts
+++ b/packages/load-balancer/src/move-eligibility.ts
@@ -23,6 +23,6 @@
 function mayPreempt({ spec }: TaskSnapshot, pending: PendingTasks, partition: PartitionSnapshot): boolean {
   if (pending.spec.priority < spec.priority) return true;
   if (spec.team === pending.spec.team || !pending.withinGuarantee) return false;
-  const { usedCpus, guaranteedCpus } = partition.team(spec.team);
+  const { usedCpus, guaranteedCpus } = partition.teamUsage(spec.team);
   return usedCpus - spec.resources.cpus >= guaranteedCpus;
 }
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -44,7 +44,7 @@
     const plans: MovePlan[] = [];
     const pendingJobs = [...this.partition.pendingTasks()].sort((a, b) => a.spec.priority - b.spec.priority);
     for (const pending of pendingJobs.slice(0, MAX_JOBS_PER_ROUND)) {
-      if (pending.tasks === 0 || this.context.hasMovesInProgress(pending.spec.job)) continue;
+      if (pending.taskCount === 0 || this.context.hasMovesInProgress(pending.spec.job)) continue;
       plans.push(...this.planFor(pending));
     }
     return plans;
@@ -52,7 +52,7 @@
 
   private planFor(pending: PendingTasks): MovePlan[] {
     const plans: MovePlan[] = [];
-    const maxPlans = Math.min(MAX_CLEARED_MACHINES_PER_JOB, pending.tasks);
+    const maxPlans = Math.min(MAX_CLEARED_MACHINES_PER_JOB, pending.taskCount);
     while (plans.length < maxPlans) {
       const plan = this.planClearing(pending);
       if (!plan) break;
--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -41,7 +41,7 @@
 export type MoveEffect = 'stop-source' | 'hold-task' | 'free-task' | 'release-room';
 
 /** A change of state, and its effects in their order. */
-export interface MoveStep {
+export interface MoveTransition {
   state: MoveState;
   effects: MoveEffect[];
   /** Why the move is abandoned. */
@@ -58,8 +58,8 @@
  * and reordered. The reservation at the target is released by every end of a move, and a task that is held for its target is
  * released by every end that does not start it there.
  */
-export function nextStep(state: MoveState, event: MoveEvent): MoveStep {
-  const stays: MoveStep = { state, effects: [] };
+export function transition(state: MoveState, event: MoveEvent): MoveTransition {
+  const stays: MoveTransition = { state, effects: [] };
   if (isTerminal(state)) return stays;
   switch (event.kind) {
     case 'stop-sent':
@@ -98,13 +98,13 @@
   timeout: 'it took too long',
 };
 
-function abandonFor(state: MoveState, ending: AbandonCause): MoveStep {
+function abandonFor(state: MoveState, ending: AbandonCause): MoveTransition {
   // Once the start was sent, the task is an ordinary task of the target, and the move has done its work.
   if (state === 'starting' && ending !== 'timeout') return { state: 'completed', effects: [] };
   return abandon(state, ABANDON_REASONS[ending]);
 }
 
-function abandon(state: MoveState, reason: string): MoveStep {
+function abandon(state: MoveState, reason: string): MoveTransition {
   const effects: MoveEffect[] = [];
   if (state !== 'starting') effects.push('release-room');
   if (state === 'restarting') effects.push('free-task');
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -1,6 +1,6 @@
 import { type MoveExecutor } from './move-executor';
 import { type MoveCause, type MovePlan, type PlannedMove } from './move-plan';
-import { isTerminal, nextStep, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
+import { isTerminal, transition, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
 import { taskKey, type TaskId } from './partition-snapshot';
 
 /** Resources that are being freed on a machine for a pending job. */
@@ -8,7 +8,7 @@
   readonly machine: string;
   readonly job: string;
   /** When it is given up. */
-  readonly dueAt: number;
+  readonly expiresAt: number;
 }
 
 /** A move that was begun. */
@@ -23,7 +23,7 @@
   readonly costS: number;
   state: MoveState;
   /** When it is abandoned unless its state changes. */
-  dueAt: number;
+  timeoutAt: number;
   /** Why it was abandoned; null: it was not. */
   reason: string | null;
 }
@@ -114,8 +114,12 @@
   }
 
   private reserveForJob(machine: string, { cause, moves }: MovePlan, now: number): void {
-    const saveS = Math.max(0, ...moves.map(({ task }) => task.spec.saveS));
-    this.jobReservations.push({ machine, job: cause.job, dueAt: now + this.timeoutMs('stopping', saveS) });
+    const checkpointS = Math.max(0, ...moves.map(({ task }) => task.spec.checkpointDurationS));
+    this.jobReservations.push({
+      machine,
+      job: cause.job,
+      expiresAt: now + this.timeoutMs('stopping', checkpointS),
+    });
     this.executor.reserveForJob(machine, cause.job);
   }
 
@@ -130,12 +134,12 @@
       gainS: plan.gainS,
       costS,
       state: 'reserved',
-      dueAt: now,
+      timeoutAt: now,
       reason: null,
     };
     this.moves.set(taskKey(task), move);
     this.recordDecision(move, 'begun');
-    this.apply(move, { kind: 'stop-sent' }, now, spec.saveS);
+    this.apply(move, { kind: 'stop-sent' }, now, spec.checkpointDurationS);
   }
 
   /** Reservations for jobs on a machine. */
@@ -159,7 +163,7 @@
   }
 
   /** A machine accepts no tasks any more. */
-  targetLost(machine: string, now: number): void {
+  machineUnavailable(machine: string, now: number): void {
     this.releaseJobReservations((reservation) => reservation.machine === machine);
     for (const { target, task } of this.movesInProgress)
       if (target === machine) this.handleEvent(task, { kind: 'target-lost' }, now);
@@ -173,7 +177,7 @@
   }
 
   /** Tasks that are to be started on this machine now. */
-  startsOn(machine: string): TaskId[] {
+  tasksToStartOn(machine: string): TaskId[] {
     const due: TaskId[] = [];
     for (const { target, state, task } of this.moves.values())
       if (target === machine && state === 'restarting') due.push(task);
@@ -182,9 +186,9 @@
 
   /** Abandons what is due. */
   tick(now: number): void {
-    this.releaseJobReservations(({ dueAt }) => now >= dueAt);
-    for (const { dueAt, task } of this.movesInProgress)
-      if (now >= dueAt) this.handleEvent(task, { kind: 'timeout' }, now);
+    this.releaseJobReservations(({ expiresAt }) => now >= expiresAt);
+    for (const { timeoutAt, task } of this.movesInProgress)
+      if (now >= timeoutAt) this.handleEvent(task, { kind: 'timeout' }, now);
   }
 
   /** Decisions since the last call, at most MAX_BUFFERED_DECISIONS. */
@@ -192,11 +196,11 @@
     return this.decisions.splice(0);
   }
 
-  private apply(move: Move, event: MoveEvent, now: number, saveS = 0): void {
-    const { state, effects, reason } = nextStep(move.state, event);
+  private apply(move: Move, event: MoveEvent, now: number, checkpointS = 0): void {
+    const { state, effects, reason } = transition(move.state, event);
     if (state === move.state) return;
     move.state = state;
-    move.dueAt = now + this.timeoutMs(state, saveS);
+    move.timeoutAt = now + this.timeoutMs(state, checkpointS);
     move.reason = reason ?? null;
     for (const effect of effects) this.carryOut(effect, move);
     if (isTerminal(state)) this.end(move, state);
@@ -208,11 +212,11 @@
     this.recordDecision(move, outcome);
   }
 
-  private timeoutMs(state: MoveState, saveS: number): number {
+  private timeoutMs(state: MoveState, checkpointS: number): number {
     const { heartbeatIntervalMs, leaseMs } = this.timeouts;
     const heartbeatsMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
     // A source that falls silent is certainly without its tasks only once their lease has expired.
-    if (state === 'stopping') return leaseMs + saveS * 1000 + heartbeatsMs;
+    if (state === 'stopping') return leaseMs + checkpointS * 1000 + heartbeatsMs;
     return state === 'starting' ? leaseMs : heartbeatsMs;
   }
 
@@ -224,7 +228,7 @@
       case 'release-room':
         return move.target === null ? undefined : executor.release(move.target, move.task);
       case 'hold-task':
-        return executor.holdTask(move.task, move.dueAt);
+        return executor.holdTask(move.task, move.timeoutAt);
       case 'free-task':
         return executor.releaseHeldTask(move.task);
     }
--- a/packages/load-balancer/src/partition-balancer.ts
+++ b/packages/load-balancer/src/partition-balancer.ts
@@ -16,7 +16,7 @@
   /** The partition's name. */
   partition: string;
   /** Number of priorities. */
-  priorities: number;
+  priorityCount: number;
   settings: BalancerSettings;
   timeouts: MoveTimeouts;
   snapshot: PartitionSnapshot;
@@ -79,7 +79,7 @@
       localityWeight: settings.locality_weight,
       isMoving: (task) => this.tracker.isMoving(task),
       hasMovesInProgress: (job) => this.tracker.hasMovesFor(job),
-      requeueS: this.requeueSeconds(),
+      requeueDelayS: this.requeueSeconds(),
       // Computed for all machines at once, and only in a round that weighs targets.
       excessWorkS: (machine) => (excessWork ??= this.excessWorkByMachine()).get(machine) ?? 0,
     };
@@ -94,11 +94,11 @@
     const pendingJobs = snapshot.pendingTasks();
     const cpus = snapshot.machines().reduce((sum, { capacity }) => sum + capacity.cpus, 0);
     return (job) => {
-      const ownWork = this.estimator.total(job).meanS * job.resources.cpus;
+      const ownWork = this.estimator.estimateRuntime(job).meanS * job.resources.cpus;
       let workAhead = 0;
-      for (const { spec, tasks } of pendingJobs) {
+      for (const { spec, taskCount } of pendingJobs) {
         if (spec.priority > job.priority) continue;
-        workAhead += tasks * spec.resources.cpus * this.estimator.total(spec).meanS;
+        workAhead += taskCount * spec.resources.cpus * this.estimator.estimateRuntime(spec).meanS;
       }
       return (workAhead + ownWork) / Math.max(1, cpus);
     };
@@ -114,7 +114,7 @@
 
   /** The outstanding work of the partition, by machine and team. */
   workload(): PartitionWorkload {
-    return partitionWorkload(this.options.snapshot, this.estimator, this.options.priorities);
+    return partitionWorkload(this.options.snapshot, this.estimator, this.options.priorityCount);
   }
 
   /** The load as it is sent to the leader; each call gets the next sequence number. */
--- a/packages/load-balancer/src/partition-snapshot.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -26,9 +26,9 @@
   /** The submitter's estimate of a task's run time. */
   expectedS: number;
   /** Interval of its checkpoints, 0: it makes none. */
-  checkpointS: number;
+  checkpointIntervalS: number;
   /** Time that a checkpoint takes when the task is stopped. */
-  saveS: number;
+  checkpointDurationS: number;
 }
 
 /** A task that is on a machine, or on its way there. */
@@ -50,7 +50,7 @@
   /** New tasks may be placed on it: it sent a heartbeat lately, receives its owner's responses, stays and is healthy. */
   accepting: boolean;
   /** Number of images that it is fetching. */
-  fetching: number;
+  activeFetchCount: number;
   fetchGbPerS: number;
   hasImage(image: string): boolean;
 }
@@ -59,7 +59,7 @@
 export interface PendingTasks {
   spec: JobSnapshot;
   /** How many could start now if there were a machine, within their team's limit. */
-  tasks: number;
+  taskCount: number;
   pendingS: number;
   /** The job is within its team's guarantee. */
   withinGuarantee: boolean;
@@ -80,6 +80,6 @@
   /** Tasks of a machine; empty for an unknown one. */
   tasksOn(machine: string): readonly TaskSnapshot[];
   /** Whether a job allows a machine: its type, zone and way of buying. */
-  allows(job: string, machine: string): boolean;
-  team(name: string): TeamUsage;
+  jobAllowsMachine(job: string, machine: string): boolean;
+  teamUsage(name: string): TeamUsage;
 }
--- a/packages/load-balancer/src/runtime-estimator.ts
+++ b/packages/load-balancer/src/runtime-estimator.ts
@@ -3,7 +3,7 @@
 /** How long something takes, and by how much that may be wrong (one standard deviation). */
 export interface Estimate {
   meanS: number;
-  errorS: number;
+  stdDevS: number;
 }
 
 /** What must be known of a job for its tasks' run time to be estimated. */
@@ -63,8 +63,8 @@
   }
 
   /** Run time of a whole task. */
-  total({ job, workload, expectedS }: EstimatedJob): Estimate {
-    const prior = { meanS: expectedS, errorS: expectedS * PRIOR_ERROR_RATIO };
+  estimateRuntime({ job, workload, expectedS }: EstimatedJob): Estimate {
+    const prior = { meanS: expectedS, stdDevS: expectedS * PRIOR_ERROR_RATIO };
     const ratio = this.byWorkload.get(workload);
     const ofClass = ratio ? blend(prior, ratio, expectedS) : prior;
     const own = this.byJob.get(job);
@@ -76,13 +76,13 @@
    * task that has outlived its estimate is not about to end, but one of the long ones.
    */
   remainingS(job: EstimatedJob, elapsedS: number, probability: number): number {
-    const { meanS, errorS } = this.total(job);
-    const sigma = Math.sqrt(Math.log(1 + (errorS / meanS) ** 2));
+    const { meanS, stdDevS } = this.estimateRuntime(job);
+    const sigma = Math.sqrt(Math.log(1 + (stdDevS / meanS) ** 2));
     const logMedian = Math.log(meanS) - sigma ** 2 / 2;
     const survived = elapsedS > 0 ? 1 - normalProbability((Math.log(elapsedS) - logMedian) / sigma) : 1;
     const left = clampProbability(survived * (1 - probability));
     const leftS = Math.exp(logMedian + sigma * normalQuantile(1 - left)) - elapsedS;
-    return Math.max(elapsedS > meanS ? MIN_REMAINING_ERROR_RATIO * errorS : 0, leftS);
+    return Math.max(elapsedS > meanS ? MIN_REMAINING_ERROR_RATIO * stdDevS : 0, leftS);
   }
 }
 
@@ -109,6 +109,6 @@
   const share = seen.count / (seen.count + PRIOR_WEIGHT_TASK_COUNT);
   const meanS = (1 - share) * prior.meanS + share * seen.mean * scale;
   const observedError = Math.max(Math.sqrt(seen.variance) * scale, MIN_ERROR_RATIO * meanS);
-  const errorS = (1 - share) * prior.errorS + share * observedError;
-  return { meanS, errorS };
+  const stdDevS = (1 - share) * prior.stdDevS + share * observedError;
+  return { meanS, stdDevS };
 }
--- a/packages/load-balancer/test/load-model.test.ts
+++ b/packages/load-balancer/test/load-model.test.ts
@@ -15,7 +15,7 @@
     },
     { id: 'm1', cpus: 4, images: [], tasks: [task(b, 1)] },
   ]);
-  partition.pending.push({ spec: b, tasks: 3, pendingS: 1, withinGuarantee: false });
+  partition.pending.push({ spec: b, taskCount: 3, pendingS: 1, withinGuarantee: false });
   const workload = partitionWorkload(partition, new RuntimeEstimator(), 4);
   assert.equal(workload.freeCpus, 5);
   assert.ok((workload.total.running[1] ?? 0) > 50);
--- a/packages/load-balancer/test/model.ts
+++ b/packages/load-balancer/test/model.ts
@@ -40,8 +40,8 @@
     image: 'i',
     imageGb: 1,
     expectedS: 200,
-    checkpointS: 10,
-    saveS: 1,
+    checkpointIntervalS: 10,
+    checkpointDurationS: 1,
     ...rest,
   };
 }
@@ -99,7 +99,7 @@
       capacity: needs(machine.cpus),
       free: this.free(machine),
       accepting: machine.accepting ?? true,
-      fetching: machine.fetching ?? 0,
+      activeFetchCount: machine.fetching ?? 0,
       fetchGbPerS: 1,
       hasImage: (image: string) => machine.images.includes(image),
     }));
@@ -121,11 +121,11 @@
     return this.fleet.find((machine) => machine.id === id) as ModelMachine;
   }
 
-  allows(): boolean {
+  jobAllowsMachine(): boolean {
     return true;
   }
 
-  team(name: string): TeamUsage {
+  teamUsage(name: string): TeamUsage {
     return this.teams.get(name) ?? { usedCpus: 100, guaranteedCpus: 0 };
   }
 
@@ -185,7 +185,7 @@
 ): PartitionBalancer {
   return new PartitionBalancer({
     partition: 'p0',
-    priorities: 4,
+    priorityCount: 4,
     snapshot: partition,
     executor: partition,
     settings: balancerSettingsSchema.parse(change),
--- a/packages/load-balancer/test/move-planner.test.ts
+++ b/packages/load-balancer/test/move-planner.test.ts
@@ -98,8 +98,8 @@
   {
     name: 'work that would be lost counts',
     fleet: [
-      halfFull('m0', job('never', { checkpointS: 0, expectedS: 900 }), { elapsedS: 400 }),
-      halfFull('m1', job('never2', { checkpointS: 0, expectedS: 900 }), { elapsedS: 400 }),
+      halfFull('m0', job('never', { checkpointIntervalS: 0, expectedS: 900 }), { elapsedS: 400 }),
+      halfFull('m1', job('never2', { checkpointIntervalS: 0, expectedS: 900 }), { elapsedS: 400 }),
     ],
     settings: { priority_weight: 1 },
     stops: 0,
@@ -163,7 +163,7 @@
 } {
   const partition = new ModelPartition(structuredCloneFleet(fleet));
   for (const { of: spec, withinGuarantee = false, tasks = 1 } of waits)
-    partition.pending.push({ spec, tasks, pendingS: 30, withinGuarantee });
+    partition.pending.push({ spec, taskCount: tasks, pendingS: 30, withinGuarantee });
   const balancer = balancerOf(partition, settings);
   for (let i = 0; i < learned; i++) balancer.estimator.learn(idle, idle.expectedS);
   balancer.plan(0);
@@ -203,7 +203,7 @@
 
 test('planning: room that is gone at the reservation begins nothing', () => {
   const partition = new ModelPartition(structuredCloneFleet([halfFull('m0'), halfFull('m1')]));
-  partition.pending.push({ spec: urgent, tasks: 1, pendingS: 30, withinGuarantee: false });
+  partition.pending.push({ spec: urgent, taskCount: 1, pendingS: 30, withinGuarantee: false });
   partition.refuses.add('m0').add('m1');
   const balancer = balancerOf(partition);
   balancer.plan(0);
@@ -236,7 +236,11 @@
         for (const { cpus, priority, elapsedS, expectedS, checkpointS } of tasks) {
           if (cpus > left) continue;
           left -= cpus;
-          placed.push(task(job(`j${n++}`, { cpus, priority, expectedS, checkpointS }), 0, { elapsedS }));
+          placed.push(
+            task(job(`j${n++}`, { cpus, priority, expectedS, checkpointIntervalS: checkpointS }), 0, {
+              elapsedS,
+            }),
+          );
         }
         return machine(`m${i}`, placed);
       });
@@ -244,7 +248,7 @@
       waits.forEach(({ cpus, priority, tasks }, i) =>
         partition.pending.push({
           spec: job(`w${i}`, { cpus, priority }),
-          tasks,
+          taskCount: tasks,
           pendingS: 30,
           withinGuarantee: false,
         }),
@@ -275,7 +279,7 @@
   const partition = new ModelPartition([{ id: 'm0', cpus: 0, images: [], tasks: [] }]);
   partition.pending.push({
     spec: job('w', { resources: needs(0) }),
-    tasks: 1,
+    taskCount: 1,
     pendingS: 30,
     withinGuarantee: false,
   });
--- a/packages/load-balancer/test/move-tracker.test.ts
+++ b/packages/load-balancer/test/move-tracker.test.ts
@@ -3,7 +3,7 @@
 import {
   isTerminal,
   MoveTracker,
-  nextStep,
+  transition,
   taskKey,
   type MoveEvent,
   type MoveExecutor,
@@ -48,8 +48,8 @@
   if (depth === 0) return 1;
   let seen = 1;
   for (const kind of EVENTS) {
-    const step = nextStep(state, { kind });
-    const again = nextStep(step.state, { kind });
+    const step = transition(state, { kind });
+    const again = transition(step.state, { kind });
     assert.equal(again.state, step.state, `${kind} a second time changes ${step.state}`);
     const next = { ...account };
     for (const effect of step.effects) {
@@ -114,7 +114,15 @@
 
 const moved = task(job('a'), 0);
 const other = task(job('b'), 0);
-const COST = { messagesS: 2, saveS: 1, restoreS: 1, fetchS: 0, lostS: 0, queuedS: 0, crowdingS: 0 };
+const COST = {
+  commandLatencyS: 2,
+  checkpointS: 1,
+  restoreS: 1,
+  fetchS: 0,
+  lostWorkS: 0,
+  queueWaitS: 0,
+  contentionS: 0,
+};
 
 function plan(targets: (string | null)[]): MovePlan {
   const tasks = [moved, other].slice(0, targets.length);
@@ -139,7 +147,7 @@
       assert.ok(moves.begin(plan(['m1']), 0));
       assert.deepEqual(recorder.stops, ['a/0']);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
-      assert.deepEqual(moves.startsOn('m1'), [{ job: 'a', index: 0 }]);
+      assert.deepEqual(moves.tasksToStartOn('m1'), [{ job: 'a', index: 0 }]);
       recorder.releaseHeldTask(moved);
       moves.handleEvent(moved, { kind: 'start-sent' }, 2000);
       moves.handleEvent(moved, { kind: 'target-seen' }, 3000);
@@ -169,7 +177,7 @@
     (moves) => {
       moves.begin(plan(['m1']), 0);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
-      moves.targetLost('m1', 1500);
+      moves.machineUnavailable('m1', 1500);
       moves.releaseJobReservations(() => true);
     },
   ],
@@ -177,7 +185,7 @@
     'a machine that is being cleared and lost keeps no room',
     (moves) => {
       moves.begin(plan([null]), 0);
-      moves.targetLost('m0', 100);
+      moves.machineUnavailable('m0', 100);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
     },
   ],
--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -55,7 +55,7 @@
       if (tasks === 0 || pendingMs < MIN_PENDING_HEARTBEATS * core.heartbeatIntervalMs) continue;
       pending.push({
         spec: this.jobSnapshot(job.spec),
-        tasks,
+        taskCount: tasks,
         pendingS: pendingMs / 1000,
         withinGuarantee: guaranteed.has(job),
       });
@@ -92,7 +92,7 @@
         capacity: type,
         free: machine.free(type) ?? NO_RESOURCES,
         accepting: canAccept && core.isAssigned(machine.id),
-        fetching: fetching.size,
+        activeFetchCount: fetching.size,
         fetchGbPerS: type.fetchGbPerS,
         hasImage: (image) => machine.images.has(image) && !fetching.has(image),
       },
@@ -130,13 +130,13 @@
     return spec.singleZone || spec.spreadZones ? 'zone bound' : null;
   }
 
-  allows(ref: string, id: string): boolean {
+  jobAllowsMachine(ref: string, id: string): boolean {
     const job = this.core.jobs.get(ref);
     const machine = this.core.machines.get(id);
     return job !== undefined && machine !== undefined && allowsMachine(job.spec, machine.record);
   }
 
-  team(name: string): TeamUsage {
+  teamUsage(name: string): TeamUsage {
     const { quota } = this.core;
     return {
       usedCpus: quota.usageOf(name).cpus,
@@ -158,8 +158,8 @@
       image: spec.image,
       imageGb: spec.imageGb,
       expectedS: spec.expectedS,
-      checkpointS: spec.checkpointIntervalS,
-      saveS: spec.checkpointDurationS,
+      checkpointIntervalS: spec.checkpointIntervalS,
+      checkpointDurationS: spec.checkpointDurationS,
     };
     this.jobSnapshots.set(spec, snapshot);
     return snapshot;
--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -1,4 +1,9 @@
-import { evenAllowance, evenLevel, fetchSeconds, type MachineFill } from '@heathbridge/load-balancer';
+import {
+  evenCpuAllowance,
+  evenUtilization,
+  fetchSeconds,
+  type MachineCpuUsage,
+} from '@heathbridge/load-balancer';
 import { type MachineType } from '../../protocol/cloud';
 import { type JobSpec } from '../../protocol/jobs';
 import { type MachineState } from '../partition/machine';
@@ -16,21 +21,27 @@
   ) {}
 
   observe(machines: Iterable<MachineState>, pendingCpus: number): void {
-    const fills: MachineFill[] = [];
+    const fills: MachineCpuUsage[] = [];
     for (const machine of machines) {
       const cpus = this.typeOf(machine)?.cpus ?? 0;
-      fills.push({ cpus, used: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
+      fills.push({ cpus, usedCpus: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
     }
-    this.level = evenLevel(fills, pendingCpus);
+    this.level = evenUtilization(fills, pendingCpus);
   }
 
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
     const type = this.typeOf(machine);
     if (!type) return 0;
-    const withoutImage = { fetching: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
+    const withoutImage = { activeFetchCount: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
     const savedFetchS = machine.images.has(spec.image) ? fetchSeconds(spec, withoutImage) : 0;
     const expectedS = this.core.estimates.expectedSeconds(spec);
-    return evenAllowance({ capacity: type, free }, this.level, savedFetchS, expectedS, this.localityWeight);
+    return evenCpuAllowance(
+      { capacity: type, free },
+      this.level,
+      savedFetchS,
+      expectedS,
+      this.localityWeight,
+    );
   }
 
   private typeOf(machine: MachineState): MachineType | undefined {
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -43,7 +43,7 @@
     const { heartbeatIntervalMs, leaseMs } = core.options;
     this.balancer = new PartitionBalancer({
       partition: core.id,
-      priorities: PRIORITIES.length,
+      priorityCount: PRIORITIES.length,
       settings,
       timeouts: { heartbeatIntervalMs, leaseMs },
       snapshot: this.snapshot,
@@ -84,7 +84,7 @@
   }
 
   machineRemoved(id: string, now: number): void {
-    this.balancer.tracker.targetLost(id, now);
+    this.balancer.tracker.machineUnavailable(id, now);
   }
 
   /** Starts what a machine's reservations are for, before placement gives the machine anything else. */
@@ -92,7 +92,7 @@
     const { tracker } = this.balancer;
     if (tracker.isIdle) return;
     this.noteReportedTasks(machine, now);
-    for (const task of tracker.startsOn(machine.id)) this.startAtTarget(task, machine, commands, now);
+    for (const task of tracker.tasksToStartOn(machine.id)) this.startAtTarget(task, machine, commands, now);
     for (const reservation of tracker.jobReservationsOn(machine.id))
       this.startInReservation(reservation, machine, commands, now);
   }
@@ -136,7 +136,7 @@
     const { tracker } = this.balancer;
     tracker.tick(now);
     for (const move of tracker.movesInProgress)
-      if (move.target !== null && this.isTargetLost(move, now)) tracker.targetLost(move.target, now);
+      if (move.target !== null && this.isTargetLost(move, now)) tracker.machineUnavailable(move.target, now);
     // Until all machines have confirmed their tasks, too little is known for a plan.
     if (this.core.unconfirmedCount > 0 || !this.pacer.isDue(now)) return;
     this.snapshot.refresh(now);
--- a/tools/balance/planning-cost.ts
+++ b/tools/balance/planning-cost.ts
@@ -38,7 +38,7 @@
 function jobView(job: string, priority: number, cpus: number): JobSnapshot {
   return {
     ...{ job, team: 'north', workload: 'w', priority, resources: { cpus, accelerators: 0, memoryGb: 1 } },
-    ...{ image: `image-${job}`, imageGb: 1, expectedS: 200, checkpointS: 10, saveS: 1 },
+    ...{ image: `image-${job}`, imageGb: 1, expectedS: 200, checkpointIntervalS: 10, checkpointDurationS: 1 },
   };
 }
 
@@ -68,21 +68,21 @@
       capacity: { cpus: MACHINE_CPUS, accelerators: 0, memoryGb: 256 },
       free: { cpus: 2, accelerators: 0, memoryGb: 100 },
       accepting: true,
-      fetching: 0,
+      activeFetchCount: 0,
       fetchGbPerS: 1,
       hasImage: () => i % 2 === 0,
     });
   }
   const pendingJobs: PendingTasks[] = Array.from({ length: PENDING_JOB_COUNT }, (_, i) => ({
-    ...{ spec: jobView(`large-${i}`, 1, MACHINE_CPUS), tasks: 50, pendingS: 30, withinGuarantee: false },
+    ...{ spec: jobView(`large-${i}`, 1, MACHINE_CPUS), taskCount: 50, pendingS: 30, withinGuarantee: false },
   }));
   return {
     epoch: 1,
     pendingTasks: () => pendingJobs,
     machines: () => fleet,
     tasksOn: (id) => tasks.get(id) ?? [],
-    allows: () => true,
-    team: () => ({ usedCpus: 0, guaranteedCpus: 0 }),
+    jobAllowsMachine: () => true,
+    teamUsage: () => ({ usedCpus: 0, guaranteedCpus: 0 }),
   };
 }
 
@@ -102,7 +102,7 @@
   for (const machines of MACHINE_COUNTS) {
     for (const tasksPerMachine of TASKS_PER_MACHINE_COUNTS) {
       const balancer = new PartitionBalancer({
-        ...{ partition: 'p0', priorities: 4, settings: balancerSettingsSchema.parse({}) },
+        ...{ partition: 'p0', priorityCount: 4, settings: balancerSettingsSchema.parse({}) },
         ...{ snapshot: fragmentedPartition(machines, tasksPerMachine), executor: NO_MOVES },
         timeouts: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
       });
