--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -9,7 +9,7 @@
 import { listenForPeers, PeerLink } from '../../transport/peer-link';
 import { type Policy } from '../../protocol/policy';
 import { type Settings } from '../../protocol/settings';
-import { type Balancing } from '../balancing/balancing';
+import { type LoadBalancing } from '../balancing/balancing';
 import { Controller } from './controller';
 import type { ApiDependencies } from '../requests/express-app';
 import { plainRoutes } from '../requests/plain-routes';
@@ -28,7 +28,7 @@
   clock: Clock;
   log: Log;
   /** Null: load is not balanced beyond what placement and planning do. */
-  balancing: Balancing | null;
+  balancing: LoadBalancing | null;
 }
 
 /** Starts a controller and its servers, for as long as the process lives. A port that is taken is logged as an error. */
@@ -57,9 +57,9 @@
     maxBodyBytes: MAX_BODY_BYTES,
   });
   plainServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
-  const apiAddress = parseAddress(settings.listen);
+  const apiAddress = parseAddress(settings.listenAddress);
   plainServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
-  const peerAddress = parseAddress(settings.peerListen);
+  const peerAddress = parseAddress(settings.peerListenAddress);
   listenForPeers({
     ...peerAddress,
     onFrame: (bytes, answer) => controller.receiveFrame(bytes, answer),
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -16,7 +16,7 @@
 
 export interface MachineRegistryDependencies {
   settings: Settings;
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
@@ -83,7 +83,7 @@
     const ids = [...this.terminated].filter((id) => replica.machines.get(id)?.record.partition === partition);
     if (ids.length === 0) return null;
     const changes = new Map(ids.map((id) => [id, null]));
-    const edit = planFleetEdit(replica, partition, changes, '', settings.stateStore);
+    const edit = planFleetEdit(replica, partition, changes, '', settings.stateStoreLimits);
     const result = await stateStore.transact(edit.conditions, edit.writes, RequestPriority.Decision);
     log.info({ machines: edit.ids, result: result.kind }, 'machines removed');
     return result;
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -1,5 +1,5 @@
 import { pause, type Clock } from '../../transport/clock';
-import { mayBeRepeated } from '../../storage/fleet-edit';
+import { initialWriteMayBeRetried } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
 import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
@@ -19,7 +19,7 @@
 
 export interface NewMachineWriterDependencies {
   settings: Settings;
-  member: Membership;
+  membership: Membership;
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
@@ -46,11 +46,11 @@
     leaderTerm: number,
     isCurrent: () => boolean,
   ): Promise<void> {
-    const { member, stateStore } = this.deps;
+    const { membership, stateStore } = this.deps;
     const { conditions, writes } = this.newValues(machines, leaderTerm);
     let outcomeUnknown = false;
     while (isCurrent()) {
-      if (member.alive()) {
+      if (membership.alive()) {
         const result = await stateStore.transact(conditions, writes, RequestPriority.Decision);
         outcomeUnknown ||= result.kind === 'unknown';
         if (await this.replicaShows(result)) break;
@@ -74,7 +74,7 @@
     if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
     this.sweptAt = now;
     const { settings, stateStore } = this.deps;
-    const maxKeys = Math.min(MAX_VALUES_PER_SWEEP, settings.stateStore.txnOps);
+    const maxKeys = Math.min(MAX_VALUES_PER_SWEEP, settings.stateStoreLimits.txnOps);
     const removedKeys = this.removableKeys().slice(0, maxKeys);
     if (removedKeys.length === 0) return;
     this.sweeping = true;
@@ -88,7 +88,7 @@
   private removableKeys(): string[] {
     const { replica } = this.deps;
     return [...replica.emptyFleetKeys].filter(
-      (key) => this.settledKeys.has(key) || !mayBeRepeated(replica, key),
+      (key) => this.settledKeys.has(key) || !initialWriteMayBeRetried(replica, key),
     );
   }
 
--- a/src/coordination/partition/terminal-state-writer.ts
+++ b/src/coordination/partition/terminal-state-writer.ts
@@ -31,7 +31,7 @@
     const states = [...this.pending()].slice(0, Math.min(MAX_STATES_PER_WRITE, this.txnOps * 2));
     const { key, revision, value } = this.targetValue();
     // The state of a job that its user has cancelled in the meantime is not written, because the cancellation takes precedence.
-    const notCancelled = states.map(([ref]) => ({ key: keys.cancel(ref), revision: 0 }));
+    const notCancelled = states.map(([ref]) => ({ key: keys.cancellation(ref), revision: 0 }));
     const result = await this.store.transact(
       [{ key, revision }, ...notCancelled],
       [{ put: key, value: { ...value, ...Object.fromEntries(states) } }],
