--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -73,10 +73,10 @@
   }
 
   /**
-   * Whether a machine is considered the cause of task failures on it. The failures of a job count against the machine if the job
-   * has succeeded elsewhere, or if no task ever succeeded on the machine. Other jobs that have failed here count once each, so
-   * that only several of them quarantine the machine. The failures of a job that fails everywhere never count: it is faulty, and
-   * healthy machines would be deprovisioned because of it.
+   * Whether a machine is considered the cause of task failures on it. The failures of a job count against the machine if a task
+   * of the job has succeeded elsewhere, or if no task ever succeeded on the machine. Other jobs that have failed here count once
+   * each, so that only several of them quarantine the machine. The failures of a job that fails everywhere never count: it is
+   * faulty, and healthy machines would be deprovisioned because of it.
    */
   isQuarantined(machine: MachineState): boolean {
     let failures = 0;
@@ -103,7 +103,7 @@
 
   /**
    * Reserves free CPUs for a task that is to be stopped and resumed on another machine of this partition. Returns false if the task
-   * saves no checkpoints, or if the CPUs that are free beyond those that pending tasks need do not suffice.
+   * saves no checkpoints or its job is unknown, or if the CPUs that are free beyond those that pending tasks need do not suffice.
    */
   reserveSlack({ spec }: InFlightTask, now: number): boolean {
     if (!spec || spec.checkpointIntervalS <= 0) return false;
