--- a/packages/load-balancer/src/fetch-planner.ts
+++ b/packages/load-balancer/src/fetch-planner.ts
@@ -9,22 +9,22 @@
   type TaskSnapshot,
 } from './partition-snapshot';
 
-/** Machines that are planned for in one round: those that fetch most images at once. */
+/** Source machines planned for in one round: those with the most concurrent fetches. */
 const MAX_SOURCES_PER_ROUND = 16;
-/** A single fetch has the whole bandwidth: moving it gains nothing. */
+/** A single fetch has the whole bandwidth of its machine, so moving its task gains nothing. */
 const MIN_SHARED_FETCH_COUNT = 2;
 const NO_RESERVATIONS = new Map<string, never>();
 
 /**
- * Plans moves of tasks that have not started: from machines where several images share the bandwidth to machines that have
- * the task's image. No task runs yet, so nothing is preempted and no work is lost.
+ * Plans moves of tasks that are waiting for their image, from machines where several fetches share the bandwidth to machines
+ * that have the image. These tasks are not running yet, so nothing is preempted and no work is lost.
  */
 export function planFetchMoves(
   partition: PartitionSnapshot,
   context: PlanContext,
   maxMoves: number,
 ): MovePlan[] {
-  const sources = machinesFetchingMost(partition);
+  const sources = machinesWithMostFetches(partition);
   if (sources.length === 0) return [];
   const candidates = new MoveCandidates(partition);
   const plans: MovePlan[] = [];
@@ -32,7 +32,7 @@
     for (const task of partition.tasksOn(source.id)) {
       if (plans.length >= maxMoves) return plans;
       if (task.phase !== 'fetching') continue;
-      const plan = planMoveToImage(task, source, candidates, context);
+      const plan = planMoveToMachineWithImage(task, source, candidates, context);
       if (!plan) continue;
       plans.push(plan);
       for (const { target } of plan.moves)
@@ -42,7 +42,7 @@
   return plans;
 }
 
-function machinesFetchingMost(partition: PartitionSnapshot): MachineSnapshot[] {
+function machinesWithMostFetches(partition: PartitionSnapshot): MachineSnapshot[] {
   return partition
     .machines()
     .filter(({ activeFetchCount }) => activeFetchCount >= MIN_SHARED_FETCH_COUNT)
@@ -50,7 +50,7 @@
     .slice(0, MAX_SOURCES_PER_ROUND);
 }
 
-function planMoveToImage(
+function planMoveToMachineWithImage(
   task: TaskSnapshot,
   source: MachineSnapshot,
   candidates: MoveCandidates,
@@ -61,7 +61,7 @@
   const key = taskKey(task);
   const cause: MoveCause = { kind: 'fetch', job: spec.job };
   if (task.pinned !== null || context.isMoving(key) || source.hasImage(spec.image)) return null;
-  if (budget.movedFor(key, cause)) {
+  if (budget.wasMovedFor(key, cause)) {
     refusals.count('moved for this before');
     return null;
   }
@@ -79,7 +79,7 @@
   return { cause, clearedMachine: null, gainS, costS, moves };
 }
 
-/** How long the whole fetch takes where it is; the machine's count of fetches includes this one. */
+/** Duration of the whole fetch on its present machine, whose fetch count already includes this fetch. */
 function fetchSecondsAtSource({ spec }: TaskSnapshot, source: MachineSnapshot): number {
   return fetchSeconds(spec, {
     ...source,
--- a/packages/load-balancer/src/index.ts
+++ b/packages/load-balancer/src/index.ts
@@ -1,4 +1,4 @@
-/** Balances load: moves of tasks within a partition, and review of machine transfers between partitions. */
+/** Load balancing: moves of tasks within a partition, and review of machine transfers between partitions. */
 export * from './even-placement';
 export * from './load-model';
 export * from './load-summary';
--- a/packages/load-balancer/src/load-model.ts
+++ b/packages/load-balancer/src/load-model.ts
@@ -4,26 +4,26 @@
 
 const MEDIAN_PROBABILITY = 0.5;
 
-/** CPU seconds of work, by priority. */
+/** CPU seconds of work, indexed by priority. */
 export type WorkByPriority = number[];
 
-/** Outstanding work of one machine, team or partition. */
+/** The outstanding work of one machine, team or partition. */
 export interface OutstandingWork {
-  /** What its running tasks still take. */
+  /** Remaining work of running tasks. */
   running: WorkByPriority;
-  /** Of a machine: tasks that wait for images. Of a team or partition: also pending tasks. */
+  /** Work of tasks that wait for their image. For a team or partition, also the work of pending tasks. */
   queued: WorkByPriority;
 }
 
-/** How many tasks of one shape fit on the machines of a partition. */
+/** How many tasks with the same resource request (shape) fit on the machines of a partition. */
 export interface ShapeCapacity {
-  /** Tasks that fit on the machines as they are. */
+  /** Number of tasks that fit on the machines as they are. */
   taskCount: number;
-  /** Tasks that would fit if all free resources were on one machine. */
+  /** Number of tasks that would fit if all free resources were on one machine. */
   defragmentedTaskCount: number;
 }
 
-/** The outstanding work of a partition, and its CPUs. */
+/** The outstanding work of a partition and its number of CPUs. */
 export interface PartitionWorkload {
   total: OutstandingWork;
   byTeam: Map<string, OutstandingWork>;
@@ -32,7 +32,7 @@
   freeCpus: number;
 }
 
-function noWork(priorityCount: number): OutstandingWork {
+function emptyWork(priorityCount: number): OutstandingWork {
   return {
     running: new Array<number>(priorityCount).fill(0),
     queued: new Array<number>(priorityCount).fill(0),
@@ -43,50 +43,50 @@
   work[priority] = (work[priority] ?? 0) + cpuSeconds;
 }
 
-/** CPU seconds of all priorities. */
+/** CPU seconds summed over all priorities. */
 export function totalWork(work: WorkByPriority): number {
   return work.reduce((sum, cpuSeconds) => sum + cpuSeconds, 0);
 }
 
-/** Seconds that a machine's outstanding work takes on all its CPUs. */
+/** Seconds that a machine with `cpus` CPUs takes to complete its outstanding work on all of them. */
 export function outstandingS({ running, queued }: OutstandingWork, cpus: number): number {
   return (totalWork(running) + totalWork(queued)) / Math.max(1, cpus);
 }
 
-/** Computes the outstanding work of a partition, by team and machine. */
+/** Computes the outstanding work of a partition: in total, by team and by machine. */
 export function partitionWorkload(
   partition: PartitionSnapshot,
   estimator: RuntimeEstimator,
   priorityCount: number,
 ): PartitionWorkload {
   const workload: PartitionWorkload = {
-    total: noWork(priorityCount),
+    total: emptyWork(priorityCount),
     byTeam: new Map(),
     byMachine: new Map(),
     cpus: 0,
     freeCpus: 0,
   };
-  const workOfTeam = (team: string): OutstandingWork => {
-    const work = workload.byTeam.get(team) ?? noWork(priorityCount);
+  const teamWork = (team: string): OutstandingWork => {
+    const work = workload.byTeam.get(team) ?? emptyWork(priorityCount);
     workload.byTeam.set(team, work);
     return work;
   };
   for (const { id, capacity, accepting, free } of partition.machines()) {
     workload.cpus += capacity.cpus;
     workload.freeCpus += accepting ? Math.max(0, free.cpus) : 0;
-    const ofMachine = noWork(priorityCount);
-    workload.byMachine.set(id, ofMachine);
+    const machineWork = emptyWork(priorityCount);
+    workload.byMachine.set(id, machineWork);
     for (const task of partition.tasksOn(id)) {
       const { spec, phase } = task;
-      const kind = phase === 'running' ? 'running' : 'queued';
+      const workKind = phase === 'running' ? 'running' : 'queued';
       const cpuSeconds = remainingCpuSeconds(task, estimator);
-      for (const work of [ofMachine, workOfTeam(spec.team), workload.total])
-        addWork(work[kind], spec.priority, cpuSeconds);
+      for (const work of [machineWork, teamWork(spec.team), workload.total])
+        addWork(work[workKind], spec.priority, cpuSeconds);
     }
   }
   for (const { spec, taskCount } of partition.pendingTasks()) {
     const cpuSeconds = taskCount * spec.resources.cpus * estimator.estimateRuntime(spec).meanS;
-    addWork(workOfTeam(spec.team).queued, spec.priority, cpuSeconds);
+    addWork(teamWork(spec.team).queued, spec.priority, cpuSeconds);
     addWork(workload.total.queued, spec.priority, cpuSeconds);
   }
   return workload;
@@ -94,11 +94,11 @@
 
 function remainingCpuSeconds(task: TaskSnapshot, estimator: RuntimeEstimator): number {
   const { spec, phase, elapsedS } = task;
-  const runS = phase === 'running' ? elapsedS : 0;
-  return spec.resources.cpus * estimator.remainingS(spec, runS, MEDIAN_PROBABILITY);
+  const elapsedRunS = phase === 'running' ? elapsedS : 0;
+  return spec.resources.cpus * estimator.remainingS(spec, elapsedRunS, MEDIAN_PROBABILITY);
 }
 
-/** How many tasks of a shape fit, and how many more would without fragmentation. */
+/** Counts how many tasks of a shape fit on the machines, with and without fragmentation. */
 export function capacityFor(shape: Resources, machines: Iterable<MachineSnapshot>): ShapeCapacity {
   let taskCount = 0;
   const combined: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
--- a/packages/load-balancer/src/machine-clearing.ts
+++ b/packages/load-balancer/src/machine-clearing.ts
@@ -11,30 +11,30 @@
 } from './partition-snapshot';
 import { addResources, fits, NO_RESOURCES, type Resources } from './resources';
 
-/** Resources that the moves of one clearing take on their targets, by machine. */
+/** Resources that the moves of one clearing plan reserve on their targets, by machine. */
 type TargetReservations = Map<string, Resources>;
 
-const NOTHING_RESERVED: ReadonlyMap<string, Resources> = new Map();
+const NO_RESERVATIONS: ReadonlyMap<string, Resources> = new Map();
 
-/** The moves that free a machine for one task of a pending job. */
-export interface Clearing {
+/** The moves that free enough of a machine for one task of a pending job. */
+export interface ClearingPlan {
   machine: MachineSnapshot;
   moves: PlannedMove[];
   costS: number;
-  /** Seconds until the moved tasks are off the machine. */
+  /** Seconds until the moved tasks have left the machine. */
   clearedInS: number;
 }
 
-/** Finds the cheapest moves that free a machine for a pending task. */
-export class MachineClearing {
+/** Finds the cheapest moves that free enough of a machine for a pending task. */
+export class ClearingPlanner {
   constructor(
     private readonly partition: PartitionSnapshot,
     private readonly candidates: MoveCandidates,
     private readonly context: PlanContext,
   ) {}
 
-  /** The cheapest moves, at most `maxMoves`, that clear a machine for a task; null: there are none. */
-  clear(machine: MachineSnapshot, pending: PendingTasks, maxMoves: number): Clearing | null {
+  /** The cheapest moves, at most `maxMoves`, that clear a machine for a task; null if there are none. */
+  planClearing(machine: MachineSnapshot, pending: PendingTasks, maxMoves: number): ClearingPlan | null {
     const { resources } = pending.spec;
     const { moves, free } = this.chooseMoves(machine, pending);
     if (!fits(free, resources)) return null;
@@ -48,22 +48,22 @@
     };
   }
 
-  /** Moves tasks off a machine, cheapest by CPU first, until the pending task fits; `free` is what is free then. */
+  /** Chooses moves off a machine, lowest cost per CPU first, until the pending task fits; `free` is what they leave free. */
   private chooseMoves(
     machine: MachineSnapshot,
     pending: PendingTasks,
   ): { moves: PlannedMove[]; free: Resources } {
     const reserved: TargetReservations = new Map();
     const moves: PlannedMove[] = [];
-    let free = this.candidates.free(machine.id);
+    let free = this.candidates.freeResources(machine.id);
     for (const { task } of this.cheapestFirst(machine, pending)) {
       if (fits(free, pending.spec.resources)) break;
-      // Chosen anew: the cheapest target may have gone to another task of this clearing.
+      // Chosen again, because another task of this clearing may have taken the cheapest target.
       const move = this.cheapestMove(task, machine, pending, reserved);
       if (!move) continue;
       moves.push(move);
       free = addResources(free, task.spec.resources, 1);
-      if (move.target !== null) reserveOn(reserved, move.target, task.spec.resources);
+      if (move.target !== null) addReservation(reserved, move.target, task.spec.resources);
     }
     return { moves, free };
   }
@@ -71,7 +71,7 @@
   private cheapestFirst(machine: MachineSnapshot, pending: PendingTasks): PlannedMove[] {
     const moves = this.candidates
       .tasksOn(machine.id)
-      .map((task) => this.cheapestMove(task, machine, pending, NOTHING_RESERVED))
+      .map((task) => this.cheapestMove(task, machine, pending, NO_RESERVATIONS))
       .filter((move) => move !== null);
     return moves.sort((a, b) => costPerCpu(a) - costPerCpu(b));
   }
@@ -94,7 +94,7 @@
     return endsBeforeMove(task, best.cost, context.estimator) ? this.refuse('ends first') : best;
   }
 
-  /** A task of lower priority may also be put back to wait; one that runs for a guarantee may not. */
+  /** Only a task of lower priority may also be requeued. A task that is stopped for a team's guarantee needs a target. */
   private moveToQueue(
     task: TaskSnapshot,
     source: MachineSnapshot,
@@ -124,19 +124,19 @@
   return costS / task.spec.resources.cpus;
 }
 
-function reserveOn(reserved: TargetReservations, machine: string, resources: Resources): void {
+function addReservation(reserved: TargetReservations, machine: string, resources: Resources): void {
   reserved.set(machine, addResources(reserved.get(machine) ?? NO_RESOURCES, resources, 1));
 }
 
-/** Leaves out moves that are not needed once the others are made, the most expensive first. */
+/** Leaves out moves without which the pending task still fits, the most expensive first. */
 function withoutUnneededMoves(moves: PlannedMove[], free: Resources, needed: Resources): PlannedMove[] {
-  let left = free;
+  let remaining = free;
   const kept = new Set(moves);
   for (const move of [...moves].sort((a, b) => b.costS - a.costS)) {
-    const without = addResources(left, move.task.spec.resources, -1);
-    if (!fits(without, needed)) continue;
+    const freeWithoutMove = addResources(remaining, move.task.spec.resources, -1);
+    if (!fits(freeWithoutMove, needed)) continue;
     kept.delete(move);
-    left = without;
+    remaining = freeWithoutMove;
   }
   return moves.filter((move) => kept.has(move));
 }
--- a/packages/load-balancer/src/machine-transfer-guard.ts
+++ b/packages/load-balancer/src/machine-transfer-guard.ts
@@ -4,46 +4,47 @@
 import { type BalancerSettings } from './settings';
 import { type SummaryStore } from './summary-store';
 
-/** A proposal to transfer a machine to another partition. */
+/** A proposed transfer of a machine to another partition. */
 export interface MachineTransfer {
   machine: string;
   fromPartition: string;
   toPartition: string;
-  /** It is in use and would be emptied first; false: it is empty, or boots. */
+  /** Whether the machine is in use and would be drained first; false if it is empty or booting. */
   drain: boolean;
 }
 
-/** Why a transfer is allowed or refused; shown in `GET /status` and the log. */
+/** The reason for allowing or refusing a transfer, shown in `GET /status` and the log. */
 export type TransferReason =
   'allowed' | 'no fresh summary' | 'moved back too soon' | 'the difference is too small' | 'too many moves';
 
-/** What became of a proposal. */
+/** The outcome of the review of a transfer. */
 export interface MachineTransferDecision {
   allowed: boolean;
   reason: TransferReason;
-  /** Seconds in which each partition would complete its work, with its trend; null: not computed. */
+  /** Seconds in which each partition would complete its work, with its trend projected; null if not computed. */
   fromS: number | null;
   toS: number | null;
 }
 
-/** A trend is projected this far into the future. */
+/** Time over which a trend is projected into the future. */
 const TREND_PROJECTION_S = 30;
 
-/** Seconds in which a partition would complete all of its work if its trend went on for a while. */
+/** Seconds in which a partition would complete all of its work if its trend continued for TREND_PROJECTION_S. */
 export function projectedCompletionS({ cpus, running, waiting, trendPerS }: LoadSummary): number {
   const work = totalWork(running) + totalWork(waiting) + trendPerS * TREND_PROJECTION_S;
   return Math.max(0, work) / Math.max(1, cpus);
 }
 
 /**
- * Reviews transfers of machines between partitions before they are ordered: by fresh summaries only, with hysteresis, bounds
- * and a least time of residence. Proposals come from capacity planning, which knows what is pending and where it fits.
+ * Reviews transfers of machines between partitions before they are ordered. It relies on fresh summaries only, and applies
+ * hysteresis, limits on the number of moves, and a minimum residence time. The transfers are proposed by capacity planning,
+ * which knows what is pending and where it fits.
  */
 export class MachineTransferGuard {
   /** Shown in `GET /status`. */
   readonly counters = { allowed: 0, refused: 0 };
   private readonly budget: MoveBudget;
-  private readonly lastTransfers = new Map<string, { from: string; at: number }>();
+  private readonly lastTransfers = new Map<string, { from: string; transferredAt: number }>();
   private readonly refusalCounts = new Map<TransferReason, number>();
 
   constructor(
@@ -53,24 +54,24 @@
     this.budget = new MoveBudget(settings);
   }
 
-  /** Reviews one proposal in a fleet of `machines`, of which `draining` are being emptied for another partition. */
+  /** Reviews one transfer in a fleet of `machineCount` machines, `drainingCount` of them draining for another partition. */
   review(
     transfer: MachineTransfer,
     now: number,
-    machines: number,
-    draining: number,
+    machineCount: number,
+    drainingCount: number,
   ): MachineTransferDecision {
-    const verdict = this.verdict(transfer, now, machines, draining);
-    if (!verdict.allowed) {
+    const decision = this.decide(transfer, now, machineCount, drainingCount);
+    if (!decision.allowed) {
       this.counters.refused++;
-      this.refusalCounts.set(verdict.reason, (this.refusalCounts.get(verdict.reason) ?? 0) + 1);
-      return verdict;
+      this.refusalCounts.set(decision.reason, (this.refusalCounts.get(decision.reason) ?? 0) + 1);
+      return decision;
     }
     this.counters.allowed++;
     const { machine, fromPartition, toPartition, drain } = transfer;
-    this.lastTransfers.set(machine, { from: fromPartition, at: now });
-    if (drain) this.budget.begin(machine, { kind: 'make-room', job: toPartition }, now);
-    return verdict;
+    this.lastTransfers.set(machine, { from: fromPartition, transferredAt: now });
+    if (drain) this.budget.recordMove(machine, { kind: 'make-room', job: toPartition }, now);
+    return decision;
   }
 
   /** Number of refusals by reason. */
@@ -78,37 +79,37 @@
     return [...this.refusalCounts].map(([reason, count]) => ({ reason, count }));
   }
 
-  /** Forgets machines that are gone. */
+  /** Deletes the recorded transfers of machines that are not known any more. */
   pruneMachines(isKnown: (machine: string) => boolean): void {
     for (const id of this.lastTransfers.keys()) if (!isKnown(id)) this.lastTransfers.delete(id);
   }
 
-  private verdict(
+  private decide(
     transfer: MachineTransfer,
     now: number,
-    machines: number,
-    draining: number,
+    machineCount: number,
+    drainingCount: number,
   ): MachineTransferDecision {
-    if (this.wouldReturn(transfer, now)) return refused('moved back too soon');
-    // An empty machine costs nobody anything: only its going back and forth is checked.
+    if (this.returnsTooSoon(transfer, now)) return refusal('moved back too soon');
+    // Moving an empty machine costs nothing, so it is only prevented from moving back and forth.
     if (!transfer.drain) return { allowed: true, reason: 'allowed', fromS: null, toS: null };
     const from = this.summaries.fresh(transfer.fromPartition, now);
     const to = this.summaries.fresh(transfer.toPartition, now);
-    if (!from || !to) return refused('no fresh summary');
+    if (!from || !to) return refusal('no fresh summary');
     const fromS = projectedCompletionS(from);
     const toS = projectedCompletionS(to);
     if (toS <= this.settings.hysteresis * fromS + this.settings.min_gain_s)
       return { allowed: false, reason: 'the difference is too small', fromS, toS };
-    if (this.budget.remaining(now, machines, draining) === 0) return refused('too many moves');
+    if (this.budget.remainingMoves(now, machineCount, drainingCount) === 0) return refusal('too many moves');
     return { allowed: true, reason: 'allowed', fromS, toS };
   }
 
-  private wouldReturn({ machine, toPartition }: MachineTransfer, now: number): boolean {
+  private returnsTooSoon({ machine, toPartition }: MachineTransfer, now: number): boolean {
     const last = this.lastTransfers.get(machine);
-    return last?.from === toPartition && now - last.at < this.settings.min_residence_s * 1000;
+    return last?.from === toPartition && now - last.transferredAt < this.settings.min_residence_s * 1000;
   }
 }
 
-function refused(reason: TransferReason): MachineTransferDecision {
+function refusal(reason: TransferReason): MachineTransferDecision {
   return { allowed: false, reason, fromS: null, toS: null };
 }
--- a/packages/load-balancer/src/move-budget.ts
+++ b/packages/load-balancer/src/move-budget.ts
@@ -1,63 +1,66 @@
 import { causeKey, type MoveCause } from './move-plan';
 import { type BalancerSettings } from './settings';
 
-/** Lower ends of the limits, for small fleets. */
+/** Minimum of each limit, which applies to small fleets. */
 const MIN_IN_FLIGHT_LIMIT = 4;
 const MIN_PER_MINUTE_LIMIT = 8;
 const MINUTE_MS = 60_000;
-/** The causes of a subject's moves are remembered for this long after its last move. */
+/** Time after a subject's last move for which its moves and their causes are remembered. */
 const HISTORY_RETENTION_MS = 30 * MINUTE_MS;
-const SWEEP_INTERVAL_MS = MINUTE_MS;
+const PRUNE_INTERVAL_MS = MINUTE_MS;
 
 interface MoveHistory {
-  lastAt: number;
+  lastMovedAt: number;
   causes: Set<string>;
 }
 
-/** Bounds the number of moves, and remembers what was moved and why. A subject is a task or a machine, by its key. */
+/** Limits the number of moves, and records what was moved and why. A subject is a task or machine, named by its key. */
 export class MoveBudget {
-  private begun: number[] = [];
+  private recentMoveTimes: number[] = [];
   private readonly histories = new Map<string, MoveHistory>();
-  private sweptAt = Number.NEGATIVE_INFINITY;
+  private prunedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly settings: BalancerSettings) {}
 
-  /** Moves that may still begin, with this many machines and moves in progress. */
-  remaining(now: number, machines: number, inFlight: number): number {
-    this.begun = this.begun.filter((at) => now - at < MINUTE_MS);
-    const maxInFlight = Math.max(MIN_IN_FLIGHT_LIMIT, Math.floor(this.settings.in_flight_share * machines));
+  /** Number of moves that may begin now, given the number of machines and of moves in progress. */
+  remainingMoves(now: number, machineCount: number, inFlightCount: number): number {
+    this.recentMoveTimes = this.recentMoveTimes.filter((at) => now - at < MINUTE_MS);
+    const maxInFlight = Math.max(
+      MIN_IN_FLIGHT_LIMIT,
+      Math.floor(this.settings.in_flight_share * machineCount),
+    );
     const maxPerMinute = Math.max(
       MIN_PER_MINUTE_LIMIT,
-      Math.floor(this.settings.per_minute_share * machines),
+      Math.floor(this.settings.per_minute_share * machineCount),
     );
-    return Math.max(0, Math.min(maxInFlight - inFlight, maxPerMinute - this.begun.length));
+    return Math.max(0, Math.min(maxInFlight - inFlightCount, maxPerMinute - this.recentMoveTimes.length));
   }
 
-  /** Whether a subject has been moved for this cause before. */
-  movedFor(subject: string, cause: MoveCause): boolean {
+  /** Whether a subject is known to have been moved for this cause before. */
+  wasMovedFor(subject: string, cause: MoveCause): boolean {
     return this.histories.get(subject)?.causes.has(causeKey(cause)) ?? false;
   }
 
-  /** Time since a subject's last move; Infinity: none is remembered. */
-  sinceMovedMs(subject: string, now: number): number {
-    const known = this.histories.get(subject);
-    return known ? now - known.lastAt : Number.POSITIVE_INFINITY;
+  /** Milliseconds since a subject's last move; Infinity if none is remembered. */
+  msSinceLastMove(subject: string, now: number): number {
+    const history = this.histories.get(subject);
+    return history ? now - history.lastMovedAt : Number.POSITIVE_INFINITY;
   }
 
-  /** Counts a move that begins. */
-  begin(subject: string, cause: MoveCause, now: number): void {
-    this.sweep(now);
-    this.begun.push(now);
-    const known = this.histories.get(subject) ?? { lastAt: now, causes: new Set<string>() };
-    known.lastAt = now;
-    known.causes.add(causeKey(cause));
-    this.histories.set(subject, known);
+  /** Records that a move begins. */
+  recordMove(subject: string, cause: MoveCause, now: number): void {
+    this.pruneHistories(now);
+    this.recentMoveTimes.push(now);
+    const history = this.histories.get(subject) ?? { lastMovedAt: now, causes: new Set<string>() };
+    history.lastMovedAt = now;
+    history.causes.add(causeKey(cause));
+    this.histories.set(subject, history);
   }
 
-  private sweep(now: number): void {
-    if (now - this.sweptAt < SWEEP_INTERVAL_MS) return;
-    this.sweptAt = now;
-    for (const [subject, { lastAt }] of this.histories)
-      if (now - lastAt > HISTORY_RETENTION_MS) this.histories.delete(subject);
+  private pruneHistories(now: number): void {
+    if (now - this.prunedAt < PRUNE_INTERVAL_MS) return;
+    this.prunedAt = now;
+    for (const [subject, { lastMovedAt }] of this.histories)
+      if (now - lastMovedAt > HISTORY_RETENTION_MS) this.histories.delete(subject);
   }
 }
--- a/packages/load-balancer/src/move-cost.ts
+++ b/packages/load-balancer/src/move-cost.ts
@@ -4,12 +4,12 @@
 /** Image fetches take up to a third longer than stated. */
 const FETCH_TIME_RATIO = 1.33;
 
-/** A task that ends with this probability is taken to end. */
+/** A task is assumed to end within the time in which it ends with this probability. */
 const LIKELY_END_PROBABILITY = 0.5;
 
-/** What a move costs the task that is moved, in seconds by which it ends later. */
+/** The cost of a move to the moved task, in seconds by which the task ends later. */
 export interface MoveCost {
-  /** Until the source has received the stop and the target the start. */
+  /** Time until the source has received the stop command and the target the start command. */
   commandLatencyS: number;
   /** Writing a checkpoint when the task is stopped. */
   checkpointS: number;
@@ -17,26 +17,26 @@
   restoreS: number;
   /** Fetching the image at the target. */
   fetchS: number;
-  /** Work that is lost and done again. */
+  /** Work that is lost and must be done again. */
   lostWorkS: number;
-  /** Waiting for free resources, where none are reserved. */
+  /** Waiting for free resources if none are reserved. */
   queueWaitS: number;
-  /** Seconds of work that the target has beyond the mean, by the share of its CPUs that the task takes. */
+  /** Seconds of work that the target has above the mean, times the share of its CPUs that the task takes. */
   contentionS: number;
 }
 
-/** What the cost of a move depends on besides the task. */
+/** Inputs to the cost of a move, other than the task and its target. */
 export interface CostContext {
   heartbeatIntervalS: number;
   localityWeight: number;
   estimator: RuntimeEstimator;
-  /** Seconds until a task that is put back to wait is started again. */
+  /** Seconds until a requeued task of a job is started again. */
   requeueDelayS: (job: JobSnapshot) => number;
-  /** Seconds of work that a machine has beyond the mean of its partition; negative: it has less. */
+  /** Seconds of work that a machine has above the mean of its partition; negative if it has less. */
   excessWorkS: (machine: string) => number;
 }
 
-/** Seconds until a machine would have an image, its bandwidth shared with the fetches in progress; Infinity: never. */
+/** Seconds until a machine would have an image, sharing bandwidth with its fetches in progress; Infinity if never. */
 export function fetchSeconds(
   { image, imageGb }: Pick<JobSnapshot, 'image' | 'imageGb'>,
   machine: Pick<MachineSnapshot, 'activeFetchCount' | 'fetchGbPerS' | 'hasImage'>,
@@ -46,13 +46,13 @@
   return (FETCH_TIME_RATIO * imageGb * (machine.activeFetchCount + 1)) / machine.fetchGbPerS;
 }
 
-/** What it costs to move a task to a machine; null: to put it back to wait. */
+/** The cost of moving a task to `target`, or of requeueing it if `target` is null. */
 export function moveCost(task: TaskSnapshot, target: MachineSnapshot | null, context: CostContext): MoveCost {
   const { spec, phase, elapsedS } = task;
   const isRunning = phase === 'running';
   const saves = isRunning && spec.checkpointIntervalS > 0;
   return {
-    // Source and target each learn of it with their next heartbeat, after half an interval on average.
+    // Source and target each receive a command with their next heartbeat, after half an interval on average.
     commandLatencyS: context.heartbeatIntervalS,
     checkpointS: saves ? spec.checkpointDurationS : 0,
     restoreS: saves ? spec.checkpointDurationS : 0,
@@ -71,17 +71,17 @@
   return Math.max(0, context.excessWorkS(id)) * (resources.cpus / Math.max(1, capacity.cpus));
 }
 
-/** A move's cost as one number, in which the weight multiplies the time of fetching: locality against evenness. */
+/** A move's cost in seconds. `localityWeight` multiplies the fetch time, to weigh locality against evenness. */
 export function costSeconds(cost: MoveCost, localityWeight: number): number {
   const { commandLatencyS, checkpointS, restoreS, fetchS, lostWorkS, queueWaitS, contentionS } = cost;
   const delayS = commandLatencyS + checkpointS + restoreS + lostWorkS + queueWaitS + contentionS;
   return delayS + (fetchS > 0 ? localityWeight * fetchS : 0);
 }
 
-/** A task that has less left than this share of its run time is not moved. */
+/** A task that has at most this share of its run time left is not moved. */
 const NEAR_COMPLETION_RATIO = 0.1;
 
-/** Whether a task is near its end, or will probably have ended before a move would have it running again, queues aside. */
+/** Whether a running task is near its end, or will probably end before it could run again after a move without queueing. */
 export function endsBeforeMove(task: TaskSnapshot, cost: MoveCost, estimator: RuntimeEstimator): boolean {
   if (task.phase !== 'running') return false;
   const { commandLatencyS, checkpointS, restoreS, fetchS, lostWorkS } = cost;
--- a/packages/load-balancer/src/move-plan.ts
+++ b/packages/load-balancer/src/move-plan.ts
@@ -1,40 +1,40 @@
 import { type MoveCost } from './move-cost';
 import { type TaskSnapshot } from './partition-snapshot';
 
-/** Why tasks are moved. */
+/** The reason for moving tasks. */
 export type MoveCause =
   /** To free resources for pending tasks of a job that fit on no machine. */
   | { kind: 'make-room'; job: string }
   /** To start tasks of a job sooner, on a machine that has their image. */
   | { kind: 'fetch'; job: string };
 
-/** A cause as a key: nothing is moved twice for the same one. */
+/** A cause as a string key. No task or machine is moved twice for the same cause. */
 export function causeKey({ kind, job }: MoveCause): string {
   return `${kind}:${job}`;
 }
 
-/** One task to be moved. */
+/** The planned move of one task. */
 export interface PlannedMove {
   task: TaskSnapshot;
   source: string;
-  /** Where resources are reserved for it; null: it is put back to wait like any other task of its job. */
+  /** Machine on which resources are reserved for the task; null if it is requeued like any other task of its job. */
   target: string | null;
   cost: MoveCost;
   costS: number;
 }
 
-/** Moves that are worth their cost together, and not one by one. */
+/** Moves that are worth their cost together, but not one by one. */
 export interface MovePlan {
   cause: MoveCause;
-  /** The machine that is cleared for a task of the pending job; null: none is. */
+  /** The machine that is cleared for a task of the pending job; null if none is. */
   clearedMachine: string | null;
   moves: PlannedMove[];
-  /** Seconds of waiting that they save, weighted by priority. */
+  /** Seconds of waiting that the moves save, weighted by priority. */
   gainS: number;
   costS: number;
 }
 
-/** Why something was not moved; shown in `GET /status`. */
+/** Reasons for not moving something, shown in `GET /status`. */
 export const REFUSALS = [
   'costs more than it gains',
   'ends first',
@@ -46,7 +46,7 @@
   'too many moves',
 ] as const;
 
-/** One of the reasons for which nothing was moved. */
+/** A reason for not moving something. */
 export type Refusal = (typeof REFUSALS)[number];
 
 /** Counts refusals by reason. */
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -1,4 +1,4 @@
-import { MachineClearing, type Clearing } from './machine-clearing';
+import { ClearingPlanner, type ClearingPlan } from './machine-clearing';
 import { MoveCandidates } from './move-candidates';
 import { type MovePlan, type Refusal } from './move-plan';
 import { type PlanContext } from './plan-context';
@@ -10,24 +10,24 @@
 } from './partition-snapshot';
 import { addResources, fits, type Resources } from './resources';
 
-/** Machines that are looked at closely for one pending job: those with most free CPUs. */
+/** Number of machines examined for one pending job: those with the most free CPUs. */
 const MAX_MACHINES_PER_JOB = 8;
-/** Pending jobs that are planned for in one round, the most urgent first. */
+/** Number of pending jobs planned for in one round, the most urgent first. */
 const MAX_JOBS_PER_ROUND = 6;
 const MAX_CLEARED_MACHINES_PER_JOB = 4;
-/** No clearing is worth more than this, however long the wait would be. */
+/** Limit of the waiting time that a clearing counts as saving, however long the wait would be. */
 const MAX_GAIN_S = 300;
-/** Tasks are taken to end at this quantile of their remaining time: a wait that may end by itself is worth less. */
+/** Quantile of their remaining time at which tasks are assumed to end, because a wait that may end by itself is worth less. */
 const EARLY_END_PROBABILITY = 0.35;
 
 /**
- * Plans moves that free resources for pending tasks that fit on no machine, though the partition may have enough in all. All
- * plans of a round take their resources from the same candidates, so no two count on the same ones.
+ * Plans moves that free resources for pending tasks that fit on no machine, although the partition may have enough in total.
+ * All plans of a round take resources from the same candidates, so no two plans use the same resources.
  */
 export class MovePlanner {
   private readonly candidates: MoveCandidates;
-  private readonly clearing: MachineClearing;
-  private movesLeft: number;
+  private readonly clearingPlanner: ClearingPlanner;
+  private remainingMoves: number;
 
   constructor(
     private readonly partition: PartitionSnapshot,
@@ -35,22 +35,22 @@
     maxMoves: number,
   ) {
     this.candidates = new MoveCandidates(partition);
-    this.clearing = new MachineClearing(partition, this.candidates, context);
-    this.movesLeft = maxMoves;
+    this.clearingPlanner = new ClearingPlanner(partition, this.candidates, context);
+    this.remainingMoves = maxMoves;
   }
 
-  /** The plans of one round. */
+  /** Returns the plans of one round. */
   plan(): MovePlan[] {
     const plans: MovePlan[] = [];
     const pendingJobs = [...this.partition.pendingTasks()].sort((a, b) => a.spec.priority - b.spec.priority);
     for (const pending of pendingJobs.slice(0, MAX_JOBS_PER_ROUND)) {
       if (pending.taskCount === 0 || this.context.hasMovesInProgress(pending.spec.job)) continue;
-      plans.push(...this.planFor(pending));
+      plans.push(...this.planClearings(pending));
     }
     return plans;
   }
 
-  private planFor(pending: PendingTasks): MovePlan[] {
+  private planClearings(pending: PendingTasks): MovePlan[] {
     const plans: MovePlan[] = [];
     const maxPlans = Math.min(MAX_CLEARED_MACHINES_PER_JOB, pending.taskCount);
     while (plans.length < maxPlans) {
@@ -61,25 +61,25 @@
     return plans;
   }
 
-  /** Clears one machine for a task of a job; null: it is not worth it, or not needed. */
+  /** Plans to clear one machine for a task of a job; null if that is not needed, not possible or not worth its cost. */
   private planClearing(pending: PendingTasks): MovePlan | null {
     const { spec } = pending;
     const suitable = this.candidates.suitableMachines(spec);
-    if (suitable.some(({ id }) => fits(this.candidates.free(id), spec.resources))) return null;
-    if (this.movesLeft <= 0) return this.refuse('too many moves');
+    if (suitable.some(({ id }) => fits(this.candidates.freeResources(id), spec.resources))) return null;
+    if (this.remainingMoves <= 0) return this.refuse('too many moves');
     const machines = suitable
-      .sort((a, b) => this.candidates.free(b.id).cpus - this.candidates.free(a.id).cpus)
+      .sort((a, b) => this.candidates.freeResources(b.id).cpus - this.candidates.freeResources(a.id).cpus)
       .slice(0, MAX_MACHINES_PER_JOB);
-    const waits = machines.map((machine) => this.waitWithoutMoves(machine, spec.resources));
+    const waitsS = machines.map((machine) => this.waitWithoutMoves(machine, spec.resources));
     const best = this.cheapestClearing(machines, pending);
-    return best && this.accept(best, pending, Math.min(MAX_GAIN_S, ...waits));
+    return best && this.accept(best, pending, Math.min(MAX_GAIN_S, ...waitsS));
   }
 
-  private cheapestClearing(machines: readonly MachineSnapshot[], pending: PendingTasks): Clearing | null {
-    let best: Clearing | null = null;
+  private cheapestClearing(machines: readonly MachineSnapshot[], pending: PendingTasks): ClearingPlan | null {
+    let best: ClearingPlan | null = null;
     let bestS = Infinity;
     for (const machine of machines) {
-      const clearing = this.clearing.clear(machine, pending, this.movesLeft);
+      const clearing = this.clearingPlanner.planClearing(machine, pending, this.remainingMoves);
       if (!clearing || clearing.costS + clearing.clearedInS >= bestS) continue;
       best = clearing;
       bestS = clearing.costS + clearing.clearedInS;
@@ -87,7 +87,7 @@
     return best;
   }
 
-  private accept(clearing: Clearing, pending: PendingTasks, waitS: number): MovePlan | null {
+  private accept(clearing: ClearingPlan, pending: PendingTasks, waitS: number): MovePlan | null {
     const { settings } = this.context;
     const { machine, moves, costS } = clearing;
     const gainS = Math.max(0, waitS - clearing.clearedInS) * this.priorityWeight(clearing, pending);
@@ -97,22 +97,22 @@
       if (target !== null) this.candidates.reserve(target, task.spec.resources);
       this.candidates.removeTask(source, task);
     }
-    // What is cleared is for this job: no other plan of the round counts on it.
+    // The cleared resources are for this job, so no other plan of the round may use them.
     this.candidates.reserve(machine.id, pending.spec.resources);
-    this.movesLeft -= moves.length;
+    this.remainingMoves -= moves.length;
     const cause = { kind: 'make-room' as const, job: pending.spec.job };
     return { cause, clearedMachine: machine.id, moves, gainS, costS };
   }
 
-  /** A second of waiting counts more, the more urgent the pending tasks are than those that are moved. */
-  private priorityWeight({ moves }: Clearing, { spec }: PendingTasks): number {
-    const mostUrgent = Math.min(...moves.map(({ task }) => task.spec.priority));
-    return this.context.settings.priority_weight ** Math.max(0, mostUrgent - spec.priority);
+  /** Weight of a second of waiting, which grows with the urgency of the pending tasks over that of the moved ones. */
+  private priorityWeight({ moves }: ClearingPlan, { spec }: PendingTasks): number {
+    const mostUrgentPriority = Math.min(...moves.map(({ task }) => task.spec.priority));
+    return this.context.settings.priority_weight ** Math.max(0, mostUrgentPriority - spec.priority);
   }
 
-  /** Seconds until a task fits on a machine because others end; Infinity: never. */
+  /** Seconds until a task fits on a machine because other tasks end; Infinity if it never does. */
   private waitWithoutMoves(machine: MachineSnapshot, needed: Resources): number {
-    let free = this.candidates.free(machine.id);
+    let free = this.candidates.freeResources(machine.id);
     const ends = this.candidates
       .tasksOn(machine.id)
       .map((task) => ({ task, endS: this.earlyEndS(task) }))
--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -1,82 +1,82 @@
 /** The state of a move. */
 export type MoveState =
-  /** Resources are reserved at the target; the source is to be sent the stop. */
+  /** Resources are reserved at the target. The stop command has not yet been sent to the source. */
   | 'reserved'
-  /** The stop was sent; the task may be making its checkpoint, or the stop may not have arrived. */
+  /** The stop command was sent. The task may be writing its checkpoint, or the command may not have arrived. */
   | 'stopping'
-  /** The task is certainly gone from its source; the target gets it with the response to its next heartbeat. */
+  /** The task is certainly gone from its source. The response to the target's next heartbeat starts it there. */
   | 'restarting'
-  /** The start was sent to the target. */
+  /** The start command was sent to the target. */
   | 'starting'
-  /** The target has reported the task. */
+  /** The target has reported the task, or nothing is left for the move to do. */
   | 'completed'
-  /** The task is placed in the ordinary way, or is not started again. */
+  /** The task is left to ordinary placement, or is not started again. */
   | 'abandoned';
 
-/** What may happen to a move, whenever and in whatever order. */
+/** An event in the course of a move. Events may occur at any time and in any order. */
 export type MoveEvent =
   | { kind: 'stop-sent' }
-  /** The task is certainly not on its source any more. */
+  /** The task is certainly no longer on its source. */
   | { kind: 'source-gone' }
-  /** The same, of a task that is put back to wait. */
+  /** The same as `source-gone`, for a task that is requeued. */
   | { kind: 'put-back' }
   /** The task completed before it was stopped. */
   | { kind: 'finished' }
-  /** The task failed on its source; whether it is retried does not concern the move. */
+  /** The task failed on its source. Whether it is retried does not concern the move. */
   | { kind: 'source-failed' }
   /** The job is done, cancelled or failed. */
   | { kind: 'job-closed' }
   | { kind: 'start-sent' }
   /** The target has reported the task. */
   | { kind: 'target-seen' }
-  /** The task is certainly not on the target where it was started. */
+  /** The task is certainly not on the target on which it was started. */
   | { kind: 'target-gone' }
-  /** The target accepts no tasks any more: it is gone, draining, about to be preempted, or quarantined. */
+  /** The target no longer accepts tasks: it is gone, draining, about to be preempted, or quarantined. */
   | { kind: 'target-lost' }
   /** The target's resources are not free when the task is to be started. */
   | { kind: 'target-full' }
   | { kind: 'timeout' };
 
-/** What the executor must do on a change of state. */
+/** An action that the executor must take when the state of a move changes. */
 export type MoveEffect = 'stop-source' | 'hold-task' | 'free-task' | 'release-room';
 
-/** A change of state, and its effects in their order. */
+/** The state of a move after an event, and the effects to carry out in this order. */
 export interface MoveTransition {
   state: MoveState;
   effects: MoveEffect[];
-  /** Why the move is abandoned. */
+  /** The reason for abandoning the move; undefined in other cases. */
   reason?: string;
 }
 
-/** Whether a move has ended. */
+/** Whether a move in this state has ended. */
 export function isTerminal(state: MoveState): state is 'completed' | 'abandoned' {
   return state === 'completed' || state === 'abandoned';
 }
 
 /**
- * The protocol of a move, one event at a time. An event that does not fit the state changes nothing, so events may be repeated
- * and reordered. The reservation at the target is released by every end of a move, and a task that is held for its target is
- * released by every end that does not start it there.
+ * Returns the state and the effects that an event leads to, by the protocol of a move. An event that does not fit the state
+ * changes nothing, so events may be repeated and reordered. Every end of a move releases the reservation at the target. Every
+ * end that does not start a held task at its target releases the task.
  */
 export function transition(state: MoveState, event: MoveEvent): MoveTransition {
-  const stays: MoveTransition = { state, effects: [] };
-  if (isTerminal(state)) return stays;
+  const unchanged: MoveTransition = { state, effects: [] };
+  if (isTerminal(state)) return unchanged;
   switch (event.kind) {
     case 'stop-sent':
-      return state === 'reserved' ? { state: 'stopping', effects: ['stop-source'] } : stays;
+      return state === 'reserved' ? { state: 'stopping', effects: ['stop-source'] } : unchanged;
     case 'source-gone':
       return state === 'reserved' || state === 'stopping'
         ? { state: 'restarting', effects: ['hold-task'] }
-        : stays;
+        : unchanged;
     case 'put-back':
-      return state === 'stopping' ? { state: 'completed', effects: ['release-room'] } : stays;
+      return state === 'stopping' ? { state: 'completed', effects: ['release-room'] } : unchanged;
     case 'start-sent':
-      // The start itself uses the resources now.
-      return state === 'restarting' ? { state: 'starting', effects: ['release-room'] } : stays;
+      // From now on the started task itself uses the resources.
+      return state === 'restarting' ? { state: 'starting', effects: ['release-room'] } : unchanged;
     case 'target-seen':
-      return state === 'starting' ? { state: 'completed', effects: [] } : stays;
+      return state === 'starting' ? { state: 'completed', effects: [] } : unchanged;
     case 'target-gone':
-      return state === 'starting' ? abandon(state, 'the target did not keep it') : stays;
+      return state === 'starting' ? abandon(state, 'the target did not keep it') : unchanged;
     case 'finished':
     case 'source-failed':
     case 'job-closed':
@@ -98,10 +98,10 @@
   timeout: 'it took too long',
 };
 
-function abandonFor(state: MoveState, ending: AbandonCause): MoveTransition {
-  // Once the start was sent, the task is an ordinary task of the target, and the move has done its work.
-  if (state === 'starting' && ending !== 'timeout') return { state: 'completed', effects: [] };
-  return abandon(state, ABANDON_REASONS[ending]);
+function abandonFor(state: MoveState, cause: AbandonCause): MoveTransition {
+  // After the start was sent, the task is an ordinary task of the target, and the move has nothing left to do.
+  if (state === 'starting' && cause !== 'timeout') return { state: 'completed', effects: [] };
+  return abandon(state, ABANDON_REASONS[cause]);
 }
 
 function abandon(state: MoveState, reason: string): MoveTransition {
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -3,51 +3,51 @@
 import { isTerminal, transition, type MoveEffect, type MoveEvent, type MoveState } from './move-state';
 import { taskKey, type TaskId } from './partition-snapshot';
 
-/** Resources that are being freed on a machine for a pending job. */
+/** A reservation of resources that are being freed on a machine for a pending job. */
 export interface JobReservation {
   readonly machine: string;
   readonly job: string;
-  /** When it is given up. */
+  /** When the reservation is given up, in milliseconds of the steady clock. */
   readonly expiresAt: number;
 }
 
-/** A move that was begun. */
+/** A move that has begun. */
 export interface Move {
   readonly id: string;
   readonly task: TaskId;
   readonly source: string;
-  /** Null: the task is put back to wait. */
+  /** Null if the task is requeued. */
   readonly target: string | null;
   readonly cause: MoveCause;
   readonly gainS: number;
   readonly costS: number;
   state: MoveState;
-  /** When it is abandoned unless its state changes. */
+  /** When the move is abandoned unless its state changes, in milliseconds of the steady clock. */
   timeoutAt: number;
-  /** Why it was abandoned; null: it was not. */
+  /** The reason for abandoning the move; null if it was not abandoned. */
   reason: string | null;
 }
 
-/** What was decided of a move, for the log. */
+/** The begin or the end of a move, for the log. */
 export interface MoveDecision {
   move: Readonly<Move>;
   event: 'begun' | 'completed' | 'abandoned';
 }
 
-/** What the timeouts of moves are computed from. */
+/** The durations from which the timeouts of moves are computed. */
 export interface MoveTimeouts {
   heartbeatIntervalMs: number;
   leaseMs: number;
 }
 
-/** Heartbeats within which a step that depends on one must be done. */
+/** Number of heartbeat intervals within which a step that depends on a heartbeat must be done. */
 const MAX_PENDING_HEARTBEATS = 4;
-/** Decisions that are kept until they are taken; later ones are dropped. */
+/** Number of decisions that are buffered until they are taken. Further decisions are dropped. */
 const MAX_BUFFERED_DECISIONS = 200;
 
 /**
- * The moves of one partition under one owner. They end with the owner's epoch, and none is kept anywhere else: the tasks of a
- * move that is forgotten are placed in the ordinary way.
+ * Tracks the moves of one partition under one owner. Moves end with the owner's epoch and are stored nowhere else. The task of
+ * a move that is lost is left to ordinary placement.
  */
 export class MoveTracker {
   /** Number of moves by outcome; shown in `GET /status`. */
@@ -75,12 +75,12 @@
     return [...this.moves.values()];
   }
 
-  /** Whether a task is being moved, by its key. */
+  /** Whether the task with this key is being moved. */
   isMoving(task: string): boolean {
     return this.moves.has(task);
   }
 
-  /** Whether moves for this job are in progress, or what they freed waits for a task of it. */
+  /** Whether moves for this job are in progress, or resources are still reserved for it on a cleared machine. */
   hasMovesFor(job: string): boolean {
     return (
       this.jobReservations.some((reservation) => reservation.job === job) ||
@@ -88,11 +88,14 @@
     );
   }
 
-  /** Reserves the targets of a plan and has its tasks stopped; false: a target is no longer free, and nothing was begun. */
+  /**
+   * Reserves resources on the targets of a plan and has its tasks stopped. Returns false, with nothing begun, if a target is no
+   * longer free or a task is being moved already.
+   */
   begin(plan: MovePlan, now: number): boolean {
     if (!this.reserveTargets(plan.moves)) return false;
     if (plan.clearedMachine !== null) this.reserveForJob(plan.clearedMachine, plan, now);
-    for (const planned of plan.moves) this.track(planned, plan, now);
+    for (const planned of plan.moves) this.startMove(planned, plan, now);
     return true;
   }
 
@@ -123,7 +126,7 @@
     this.executor.reserveForJob(machine, cause.job);
   }
 
-  private track({ task, source, target, costS }: PlannedMove, plan: MovePlan, now: number): void {
+  private startMove({ task, source, target, costS }: PlannedMove, plan: MovePlan, now: number): void {
     const { job, index, spec } = task;
     const move: Move = {
       id: `${this.epoch}-${++this.counters.begun}`,
@@ -147,29 +150,29 @@
     return this.jobReservations.filter((reservation) => reservation.machine === machine);
   }
 
-  /** Ends the reservations for which `isOver` holds: they were used, or are not needed any more. */
-  releaseJobReservations(isOver: (reservation: JobReservation) => boolean): void {
-    const over = this.jobReservations.filter(isOver);
-    this.jobReservations = this.jobReservations.filter((reservation) => !over.includes(reservation));
-    for (const { machine, job } of over) this.executor.releaseJobReservation(machine, job);
+  /** Releases the job reservations for which `hasEnded` holds: they were used, or are no longer needed. */
+  releaseJobReservations(hasEnded: (reservation: JobReservation) => boolean): void {
+    const ended = this.jobReservations.filter(hasEnded);
+    this.jobReservations = this.jobReservations.filter((reservation) => !ended.includes(reservation));
+    for (const { machine, job } of ended) this.executor.releaseJobReservation(machine, job);
   }
 
-  /** Takes what happened to a task; nothing follows if it is not being moved. */
+  /** Applies an event to the move of a task. Has no effect if the task is not being moved. */
   handleEvent(task: TaskId, event: MoveEvent, now: number): void {
     const move = this.moves.get(taskKey(task));
     if (!move) return;
-    const isPutBack = move.target === null && event.kind === 'source-gone';
-    this.apply(move, isPutBack ? { kind: 'put-back' } : event, now);
+    const isRequeued = move.target === null && event.kind === 'source-gone';
+    this.apply(move, isRequeued ? { kind: 'put-back' } : event, now);
   }
 
-  /** A machine accepts no tasks any more. */
+  /** Releases the job reservations on a machine that no longer accepts tasks, and ends the moves to it. */
   machineUnavailable(machine: string, now: number): void {
     this.releaseJobReservations((reservation) => reservation.machine === machine);
     for (const { target, task } of this.movesInProgress)
       if (target === machine) this.handleEvent(task, { kind: 'target-lost' }, now);
   }
 
-  /** A job is closed, and its tasks are not started again. */
+  /** Releases the reservations for a closed job and ends the moves of its tasks, which are not started again. */
   jobClosed(job: string, now: number): void {
     this.releaseJobReservations((reservation) => reservation.job === job);
     for (const { task } of this.movesInProgress)
@@ -184,14 +187,14 @@
     return due;
   }
 
-  /** Abandons what is due. */
+  /** Releases the job reservations and ends the moves whose time is up. */
   tick(now: number): void {
     this.releaseJobReservations(({ expiresAt }) => now >= expiresAt);
     for (const { timeoutAt, task } of this.movesInProgress)
       if (now >= timeoutAt) this.handleEvent(task, { kind: 'timeout' }, now);
   }
 
-  /** Decisions since the last call, at most MAX_BUFFERED_DECISIONS. */
+  /** Returns and removes the decisions since the last call, at most MAX_BUFFERED_DECISIONS. */
   takeDecisions(): MoveDecision[] {
     return this.decisions.splice(0);
   }
@@ -202,11 +205,11 @@
     move.state = state;
     move.timeoutAt = now + this.timeoutMs(state, checkpointS);
     move.reason = reason ?? null;
-    for (const effect of effects) this.carryOut(effect, move);
-    if (isTerminal(state)) this.end(move, state);
+    for (const effect of effects) this.executeEffect(effect, move);
+    if (isTerminal(state)) this.finish(move, state);
   }
 
-  private end(move: Move, outcome: 'completed' | 'abandoned'): void {
+  private finish(move: Move, outcome: 'completed' | 'abandoned'): void {
     this.moves.delete(taskKey(move.task));
     this.counters[outcome]++;
     this.recordDecision(move, outcome);
@@ -214,13 +217,13 @@
 
   private timeoutMs(state: MoveState, checkpointS: number): number {
     const { heartbeatIntervalMs, leaseMs } = this.timeouts;
-    const heartbeatsMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
-    // A source that falls silent is certainly without its tasks only once their lease has expired.
-    if (state === 'stopping') return leaseMs + checkpointS * 1000 + heartbeatsMs;
-    return state === 'starting' ? leaseMs : heartbeatsMs;
+    const heartbeatTimeoutMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    // The tasks of a source that stops sending heartbeats are certainly gone only after their lease has expired.
+    if (state === 'stopping') return leaseMs + checkpointS * 1000 + heartbeatTimeoutMs;
+    return state === 'starting' ? leaseMs : heartbeatTimeoutMs;
   }
 
-  private carryOut(effect: MoveEffect, move: Move): void {
+  private executeEffect(effect: MoveEffect, move: Move): void {
     const { executor } = this;
     switch (effect) {
       case 'stop-source':
--- a/packages/load-balancer/src/partition-balancer.ts
+++ b/packages/load-balancer/src/partition-balancer.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Balances the load of one partition, for its owner. It has no clock, no timers and no input or output of its own: time comes
- * in as an argument, the partition through the snapshot, and moves go out through the executor.
+ * Balances the load of one partition for its owner. It has no clock, timers, input or output of its own: the caller passes the
+ * time, the snapshot gives the state of the partition, and the executor carries out the moves.
  */
 export class PartitionBalancer {
   readonly estimator = new RuntimeEstimator();
@@ -42,16 +42,16 @@
     this.budget = new MoveBudget(settings);
   }
 
-  /** Plans and begins the moves of one round. The caller decides how often that is due. */
+  /** Plans and begins the moves of one round. The caller decides how often a round is due. */
   plan(now: number): void {
     const { snapshot, settings } = this.options;
     if (!settings.task_moves) return;
     const machines = snapshot.machines().length;
-    const context = this.context(now);
-    const maxMoves = this.budget.remaining(now, machines, this.tracker.inFlight);
+    const context = this.planContext(now);
+    const maxMoves = this.budget.remainingMoves(now, machines, this.tracker.inFlight);
     this.beginMoves(new MovePlanner(snapshot, context, maxMoves).plan(), now);
-    // Planned from the snapshot as the moves above have left it, with their reservations.
-    const maxFetchMoves = this.budget.remaining(now, machines, this.tracker.inFlight);
+    // The snapshot now includes the reservations of the moves above.
+    const maxFetchMoves = this.budget.remainingMoves(now, machines, this.tracker.inFlight);
     if (maxFetchMoves > 0) this.beginMoves(planFetchMoves(snapshot, context, maxFetchMoves), now);
   }
 
@@ -62,11 +62,11 @@
         this.refusals.count('no room elsewhere');
         continue;
       }
-      for (const { task } of plan.moves) this.budget.begin(taskKey(task), plan.cause, now);
+      for (const { task } of plan.moves) this.budget.recordMove(taskKey(task), plan.cause, now);
     }
   }
 
-  private context(now: number): PlanContext {
+  private planContext(now: number): PlanContext {
     const { settings, timeouts } = this.options;
     let excessWork: Map<string, number> | null = null;
     return {
@@ -79,17 +79,17 @@
       localityWeight: settings.locality_weight,
       isMoving: (task) => this.tracker.isMoving(task),
       hasMovesInProgress: (job) => this.tracker.hasMovesFor(job),
-      requeueDelayS: this.requeueSeconds(),
-      // Computed for all machines at once, and only in a round that weighs targets.
+      requeueDelayS: this.requeueDelayEstimator(),
+      // Computed for all machines at once, and only in a round that compares targets.
       excessWorkS: (machine) => (excessWork ??= this.excessWorkByMachine()).get(machine) ?? 0,
     };
   }
 
   /**
-   * Estimates in how many seconds a task that is put back to wait starts again: once the pending work of its priority and of
-   * higher ones, and the task's own, has been completed on all CPUs.
+   * Returns a function that estimates the seconds until a requeued task starts again: the time in which all CPUs complete the
+   * pending work of its priority and of higher ones, and the task's own work.
    */
-  private requeueSeconds(): (job: JobSnapshot) => number {
+  private requeueDelayEstimator(): (job: JobSnapshot) => number {
     const { snapshot } = this.options;
     const pendingJobs = snapshot.pendingTasks();
     const cpus = snapshot.machines().reduce((sum, { capacity }) => sum + capacity.cpus, 0);
@@ -107,9 +107,13 @@
   private excessWorkByMachine(): Map<string, number> {
     const { byMachine } = this.workload();
     const cpus = new Map(this.options.snapshot.machines().map(({ id, capacity }) => [id, capacity.cpus]));
-    const seconds = new Map([...byMachine].map(([id, work]) => [id, outstandingS(work, cpus.get(id) ?? 1)]));
-    const mean = [...seconds.values()].reduce((sum, s) => sum + s, 0) / Math.max(1, seconds.size);
-    return new Map([...seconds].map(([id, s]) => [id, s - mean]));
+    const outstandingSecondsById = new Map(
+      [...byMachine].map(([id, work]) => [id, outstandingS(work, cpus.get(id) ?? 1)]),
+    );
+    const meanS =
+      [...outstandingSecondsById.values()].reduce((sum, s) => sum + s, 0) /
+      Math.max(1, outstandingSecondsById.size);
+    return new Map([...outstandingSecondsById].map(([id, s]) => [id, s - meanS]));
   }
 
   /** The outstanding work of the partition, by machine and team. */
@@ -117,7 +121,7 @@
     return partitionWorkload(this.options.snapshot, this.estimator, this.options.priorityCount);
   }
 
-  /** The load as it is sent to the leader; each call gets the next sequence number. */
+  /** The load summary to send to the leader. Each call uses the next sequence number. */
   summary(now: number): LoadSummary {
     const { partition, snapshot } = this.options;
     const { total, cpus, freeCpus, byTeam } = this.workload();
--- a/packages/load-balancer/src/partition-snapshot.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -6,80 +6,80 @@
   index: number;
 }
 
-/** A task's id as a key of maps and logs. */
+/** A task's id as a string key, for maps and logs. */
 export function taskKey({ job, index }: TaskId): string {
   return `${job}/${index}`;
 }
 
-/** What the balancer must know of a job. */
+/** The data of a job that the balancer needs. */
 export interface JobSnapshot {
   job: string;
   team: string;
-  /** Class of jobs whose run times resemble each other. */
+  /** Class of jobs with similar run times. */
   workload: string;
   /** 0 is the most urgent. */
   priority: number;
-  /** What one task uses. */
+  /** Resources that one task uses. */
   resources: Resources;
   image: string;
   imageGb: number;
   /** The submitter's estimate of a task's run time. */
   expectedS: number;
-  /** Interval of its checkpoints, 0: it makes none. */
+  /** Interval between checkpoints; 0 if the job makes none. */
   checkpointIntervalS: number;
-  /** Time that a checkpoint takes when the task is stopped. */
+  /** Duration of the checkpoint that a task writes when it is stopped. */
   checkpointDurationS: number;
 }
 
-/** A task that is on a machine, or on its way there. */
+/** A task that is on a machine, or for which a start command was sent to it. */
 export interface TaskSnapshot extends TaskId {
   spec: JobSnapshot;
   phase: 'fetching' | 'running';
-  /** Time in this phase. */
+  /** Time that the task has spent in this phase. */
   elapsedS: number;
-  /** Why it must stay where it is, whatever that costs; null: it may be moved. */
+  /** The reason that forbids moving the task, whatever that costs; null if it may be moved. */
   pinned: 'starting' | 'stopping' | 'run once' | 'zone bound' | 'job over' | null;
 }
 
-/** A machine of the partition. Planning reads all of them, so this is cheap to make. */
+/** A machine of the partition. Planning reads all machines, so a snapshot must be cheap to make. */
 export interface MachineSnapshot {
   id: string;
   capacity: Resources;
   /** Resources that are neither used nor reserved. */
   free: Resources;
-  /** New tasks may be placed on it: it sent a heartbeat lately, receives its owner's responses, stays and is healthy. */
+  /** Whether it may get new tasks: it sent a heartbeat recently, receives its owner's responses, stays, and is healthy. */
   accepting: boolean;
-  /** Number of images that it is fetching. */
+  /** Number of images that the machine is fetching. */
   activeFetchCount: number;
   fetchGbPerS: number;
   hasImage(image: string): boolean;
 }
 
-/** Tasks of a job that are pending. */
+/** The pending tasks of one job. */
 export interface PendingTasks {
   spec: JobSnapshot;
-  /** How many could start now if there were a machine, within their team's limit. */
+  /** Number of tasks that could start now within their team's limit if a machine were free. */
   taskCount: number;
   pendingS: number;
-  /** The job is within its team's guarantee. */
+  /** Whether the job is within its team's guarantee. */
   withinGuarantee: boolean;
 }
 
-/** What a team uses, and what it is guaranteed. */
+/** CPUs that a team uses and CPUs that it is guaranteed. */
 export interface TeamUsage {
   usedCpus: number;
   guaranteedCpus: number;
 }
 
-/** What the service tells the balancer of a partition that it owns, as of one moment. */
+/** The state of an owned partition at one moment, which the service provides to the balancer. */
 export interface PartitionSnapshot {
-  /** Fences earlier owners: it grows with each change of the owner. */
+  /** Fences off earlier owners: it increases with each change of the owner. */
   readonly epoch: number;
   pendingTasks(): readonly PendingTasks[];
   machines(): readonly MachineSnapshot[];
-  /** Tasks of a machine; empty for an unknown one. */
+  /** Tasks on a machine; empty if the machine is unknown. */
   tasksOn(machine: string): readonly TaskSnapshot[];
-  /** Whether a job allows a machine: its type, zone and way of buying. */
+  /** Whether a job allows a machine, by its type, zone and purchase option (spot or not). */
   jobAllowsMachine(job: string, machine: string): boolean;
   teamUsage(name: string): TeamUsage;
 }
--- a/packages/load-balancer/src/plan-context.ts
+++ b/packages/load-balancer/src/plan-context.ts
@@ -3,15 +3,15 @@
 import { type RefusalCounter } from './move-plan';
 import { type BalancerSettings } from './settings';
 
-/** What a round of planning depends on besides the partition. */
+/** Inputs to a planning round, other than the partition. */
 export interface PlanContext extends CostContext {
-  /** Milliseconds of the steady clock. */
+  /** Time of the round, in milliseconds of the steady clock. */
   now: number;
   settings: BalancerSettings;
   budget: MoveBudget;
   refusals: RefusalCounter;
-  /** Whether a task is being moved, by its key. */
+  /** Whether the task with this key is being moved. */
   isMoving: (task: string) => boolean;
-  /** Whether moves for a job are in progress. */
+  /** Whether moves for a job are in progress, or resources are still reserved for it on a cleared machine. */
   hasMovesInProgress: (job: string) => boolean;
 }
--- a/packages/load-balancer/src/resources.ts
+++ b/packages/load-balancer/src/resources.ts
@@ -1,4 +1,4 @@
-/** What a task uses of a machine, or what a machine has. */
+/** Resources that a task uses on a machine, or that a machine has. */
 export interface Resources {
   cpus: number;
   accelerators: number;
@@ -8,7 +8,7 @@
 /** No resources at all. */
 export const NO_RESOURCES: Readonly<Resources> = { cpus: 0, accelerators: 0, memoryGb: 0 };
 
-/** Sums of fractions of CPUs are off by less than this. */
+/** Tolerance for rounding errors: sums of fractional CPUs are off by less than this. */
 const EPSILON = 1e-9;
 
 /** Whether `requested` fits into `free`. */
@@ -20,7 +20,7 @@
   );
 }
 
-/** How many times `requested` fits into `free`; Infinity if nothing is requested. */
+/** Number of times that `requested` fits into `free`; Infinity if nothing is requested. */
 export function countFitting(free: Resources, requested: Resources): number {
   const ratios = [
     requested.cpus > 0 ? free.cpus / requested.cpus : Infinity,
--- a/packages/load-balancer/src/settings.ts
+++ b/packages/load-balancer/src/settings.ts
@@ -1,11 +1,11 @@
 import { z } from 'zod';
 
-/** How new work is laid on machines that have room: onto the fullest, or so that all are about equally full. */
+/** Placement of new tasks on machines with free resources: on the fullest ones, or so that all are about equally full. */
 export const PLACEMENTS = ['pack', 'even'] as const;
 
 /**
- * The operators' settings of the balancer. Shares are of the number of machines, so that no bound has to be changed when a
- * fleet grows.
+ * The operators' settings of the balancer. Limits are given as shares of the number of machines, so that they need not be
+ * changed when a fleet grows.
  */
 export const balancerSettingsSchema = z
   .strictObject({
@@ -74,19 +74,19 @@
       .meta({ description: 'A load summary that is older decides nothing.' }),
   })
   .superRefine((settings, context) => {
-    const contradicts = (field: keyof typeof settings, message: string): void =>
+    const reject = (field: keyof typeof settings, message: string): void =>
       context.addIssue({ code: 'custom', path: [field], message });
     if (settings.in_flight_share > settings.per_minute_share)
-      contradicts('in_flight_share', 'must not be larger than per_minute_share');
+      reject('in_flight_share', 'must not be larger than per_minute_share');
     if (settings.summary_max_age_s < settings.plan_interval_s)
-      contradicts('summary_max_age_s', 'must not be shorter than plan_interval_s');
-    const idle = !settings.task_moves && !settings.machine_moves && settings.placement === 'pack';
-    if (settings.enabled && idle)
-      contradicts('enabled', 'is true while task_moves, machine_moves and placement leave nothing to do');
+      reject('summary_max_age_s', 'must not be shorter than plan_interval_s');
+    const hasNoEffect = !settings.task_moves && !settings.machine_moves && settings.placement === 'pack';
+    if (settings.enabled && hasNoEffect)
+      reject('enabled', 'must be false if task_moves and machine_moves are false and placement is pack');
   });
 
-/** Checked settings of the balancer. */
+/** Validated settings of the balancer. */
 export type BalancerSettings = z.infer<typeof balancerSettingsSchema>;
 
-/** The settings that hold where a file says nothing else. */
+/** The settings that apply where the features file sets none. */
 export const DEFAULT_BALANCER_SETTINGS: BalancerSettings = balancerSettingsSchema.parse({});
--- a/packages/load-balancer/src/summary-store.ts
+++ b/packages/load-balancer/src/summary-store.ts
@@ -2,31 +2,31 @@
 
 interface ReceivedSummary {
   summary: LoadSummary;
-  /** The moment that its figures describe, or an earlier one, in milliseconds of the receiver's steady clock. */
+  /** Time that the figures describe, or an earlier one, in milliseconds of the receiver's steady clock. */
   asOf: number;
 }
 
-/** The latest summary of each partition. A summary that cannot be relied on is counted by its fault and dropped. */
+/** Stores the latest summary of each partition. A faulty or outdated summary is dropped and counted by its fault. */
 export class SummaryStore {
   private readonly byPartition = new Map<string, ReceivedSummary>();
   private readonly faultCounts = new Map<SummaryFault, number>();
 
   constructor(private readonly maxAgeMs: number) {}
 
-  /** Takes a summary that arrived at `now`; returns its fault, null: it was taken. */
+  /** Stores a summary received at `now`. Returns the fault for which it was dropped, or null if it was stored. */
   record(summary: LoadSummary, now: number): SummaryFault | null {
     const fault = summaryFault(summary) ?? this.outdatedFault(summary);
     if (fault === null) this.byPartition.set(summary.partition, { summary, asOf: now - summary.ageMs });
-    else this.count(fault);
+    else this.countFault(fault);
     return fault;
   }
 
-  /** Counts a frame that could not be decoded. */
+  /** Counts a frame that could not be decoded as malformed. */
   countMalformed(): void {
-    this.count('malformed');
+    this.countFault('malformed');
   }
 
-  private count(fault: SummaryFault): void {
+  private countFault(fault: SummaryFault): void {
     this.faultCounts.set(fault, (this.faultCounts.get(fault) ?? 0) + 1);
   }
 
@@ -37,13 +37,13 @@
     return sequence <= latest.sequence ? 'repeated' : null;
   }
 
-  /** A partition's summary; null if there is none recent enough to decide by. */
+  /** The latest summary of a partition; null if there is none or it is older than the maximum age. */
   fresh(partition: string, now: number): LoadSummary | null {
     const received = this.byPartition.get(partition);
     return received && now - received.asOf <= this.maxAgeMs ? received.summary : null;
   }
 
-  /** All summaries with their ages, for operators. */
+  /** All summaries with their ages in milliseconds, for operators. */
   all(now: number): { summary: LoadSummary; ageMs: number }[] {
     return [...this.byPartition.values()].map(({ summary, asOf }) => ({ summary, ageMs: now - asOf }));
   }
