--- a/packages/load-balancer/test/machine-transfer-guard.test.ts
+++ b/packages/load-balancer/test/machine-transfer-guard.test.ts
@@ -3,64 +3,64 @@
 import { balancerSettingsSchema, MachineTransferGuard, SummaryStore } from '../src/index';
 import { summary } from './model';
 
-const move = { machine: 'm', fromPartition: 'p0', toPartition: 'p1', drain: true };
+const transfer = { machine: 'm', fromPartition: 'p0', toPartition: 'p1', drain: true };
 const busy = summary({ partition: 'p1', waiting: [0, 0, 0, 5000] });
-const guards: [string, (guard: MachineTransferGuard, summaries: SummaryStore) => void][] = [
+const cases: [string, (guard: MachineTransferGuard, summaries: SummaryStore) => void][] = [
   [
-    'a machine goes where work would take much longer, and not back at once',
+    'a machine moves to the partition whose work would take much longer, and returns only after the residence time',
     (guard, summaries) => {
       summaries.record(summary(), 0);
       summaries.record(busy, 0);
-      assert.equal(guard.review(move, 0, 100, 0).allowed, true);
-      const back = { ...move, fromPartition: 'p1', toPartition: 'p0', drain: false };
+      assert.equal(guard.review(transfer, 0, 100, 0).allowed, true);
+      const back = { ...transfer, fromPartition: 'p1', toPartition: 'p0', drain: false };
       assert.equal(guard.review(back, 10_000, 100, 0).reason, 'moved back too soon');
       assert.equal(guard.review(back, 31_000, 100, 0).allowed, true);
     },
   ],
   [
-    'a small difference moves nothing',
+    'a transfer is refused if the difference is small',
     (guard, summaries) => {
       summaries.record(summary(), 0);
       summaries.record(summary({ partition: 'p1', waiting: [0, 0, 0, 300] }), 0);
-      assert.equal(guard.review(move, 0, 100, 0).reason, 'the difference is too small');
+      assert.equal(guard.review(transfer, 0, 100, 0).reason, 'the difference is too small');
     },
   ],
   [
-    'a donor whose load grows keeps its machines',
+    'a transfer from a partition whose load grows is refused',
     (guard, summaries) => {
       summaries.record(summary({ trendPerS: 200 }), 0);
       summaries.record(busy, 0);
-      assert.equal(guard.review(move, 0, 100, 0).allowed, false);
+      assert.equal(guard.review(transfer, 0, 100, 0).allowed, false);
     },
   ],
   [
-    'without a fresh summary of both nothing is emptied',
+    'a drain is refused without fresh summaries of both partitions',
     (guard, summaries) => {
       summaries.record(summary(), 0);
-      assert.equal(guard.review(move, 0, 100, 0).reason, 'no fresh summary');
+      assert.equal(guard.review(transfer, 0, 100, 0).reason, 'no fresh summary');
       summaries.record(busy, 0);
-      assert.equal(guard.review(move, 7000, 100, 0).reason, 'no fresh summary');
+      assert.equal(guard.review(transfer, 7000, 100, 0).reason, 'no fresh summary');
     },
   ],
   [
-    'no more are emptied at once, and in a minute, than the settings allow',
+    'drains are limited at once and per minute by the settings',
     (guard, summaries) => {
-      const at = (now: number, i: number, draining: number): boolean => {
+      const reviewDrain = (now: number, i: number, draining: number): boolean => {
         summaries.record(summary({ sequence: 10 + now + i }), now);
         summaries.record(summary({ partition: 'p1', waiting: [0, 0, 0, 5000], sequence: 10 + now + i }), now);
-        return guard.review({ ...move, machine: `m${now}-${i}` }, now, 20, draining).allowed;
+        return guard.review({ ...transfer, machine: `m${now}-${i}` }, now, 20, draining).allowed;
       };
-      assert.equal(at(0, 0, 4), false, 'four are under way');
-      const allowed = Array.from({ length: 20 }, (_, i) => at(1, i, 0)).filter(Boolean).length;
+      assert.equal(reviewDrain(0, 0, 4), false, 'four drains are in progress');
+      const allowed = Array.from({ length: 20 }, (_, i) => reviewDrain(1, i, 0)).filter(Boolean).length;
       assert.equal(allowed, 8);
-      assert.equal(at(62_000, 0, 0), true, 'a minute later');
+      assert.equal(reviewDrain(62_000, 0, 0), true, 'a drain is allowed again a minute later');
     },
   ],
 ];
 
-for (const [name, act] of guards)
-  test(`machine moves: ${name}`, () => {
+for (const [name, run] of cases)
+  test(`machine transfers: ${name}`, () => {
     const settings = balancerSettingsSchema.parse({});
     const summaries = new SummaryStore(settings.summary_max_age_s * 1000);
-    act(new MachineTransferGuard(settings, summaries), summaries);
+    run(new MachineTransferGuard(settings, summaries), summaries);
   });
--- a/packages/load-balancer/test/model.ts
+++ b/packages/load-balancer/test/model.ts
@@ -15,48 +15,48 @@
   type PendingTasks,
 } from '../src/index';
 
-/** A machine of the model, with what is on it. */
+/** A machine of the model partition, with its images and tasks. */
 export interface ModelMachine {
   id: string;
   cpus: number;
   images: string[];
   accepting?: boolean;
-  fetching?: number;
+  activeFetchCount?: number;
   tasks: TaskSnapshot[];
 }
 
 const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
 
-/** A job with everything that a test does not care about. */
-export function job(name: string, change: Partial<JobSnapshot> & { cpus?: number } = {}): JobSnapshot {
-  const { cpus = 1, ...rest } = change;
+/** A job with default values for the fields that a test does not set. */
+export function job(name: string, overrides: Partial<JobSnapshot> & { cpus?: number } = {}): JobSnapshot {
+  const { cpus = 1, ...fields } = overrides;
   return {
     job: name,
     team: 'north',
     workload: 'w',
     priority: 3,
-    resources: needs(cpus),
+    resources: resourcesFor(cpus),
     image: 'i',
     imageGb: 1,
     expectedS: 200,
     checkpointIntervalS: 10,
     checkpointDurationS: 1,
-    ...rest,
+    ...fields,
   };
 }
 
-export function needs(cpus: number): Resources {
+export function resourcesFor(cpus: number): Resources {
   return { cpus, accelerators: 0, memoryGb: cpus };
 }
 
-/** A task that has run for a minute unless said otherwise. */
-export function task(spec: JobSnapshot, index: number, change: Partial<TaskSnapshot> = {}): TaskSnapshot {
-  return { job: spec.job, index, spec, phase: 'running', elapsedS: 60, pinned: null, ...change };
+/** A task that has run for a minute, unless overridden. */
+export function task(spec: JobSnapshot, index: number, overrides: Partial<TaskSnapshot> = {}): TaskSnapshot {
+  return { job: spec.job, index, spec, phase: 'running', elapsedS: 60, pinned: null, ...overrides };
 }
 
-/** The summary of a partition with light load. */
-export function summary(change: Partial<LoadSummary> = {}): LoadSummary {
+/** The summary of a partition with a light load, unless overridden. */
+export function summary(overrides: Partial<LoadSummary> = {}): LoadSummary {
   return {
     partition: 'p0',
     epoch: 5,
@@ -71,21 +71,21 @@
     teams: [],
     moves: { planned: 0, begun: 0, completed: 0, abandoned: 0, inFlight: 0 },
     refusals: [],
-    ...change,
+    ...overrides,
   };
 }
 
-/** A partition whose machines can be set up by hand, and which carries moves out at once or step by step. */
+/** A partition whose machines a test sets up, and which carries out the steps of moves at once. */
 export class ModelPartition implements PartitionSnapshot, MoveExecutor {
   readonly epoch = 7;
   readonly pending: PendingTasks[] = [];
-  readonly teams = new Map<string, TeamUsage>();
-  readonly reserved = new Map<string, Resources>();
-  readonly held = new Set<string>();
+  readonly usageByTeam = new Map<string, TeamUsage>();
+  readonly reservations = new Map<string, Resources>();
+  readonly heldTasks = new Set<string>();
   readonly jobReservations = new Set<string>();
-  readonly stopped: string[] = [];
-  /** Machines whose reservations are refused although they looked free. */
-  refuses = new Set<string>();
+  readonly stoppedTasks: string[] = [];
+  /** Machines that refuse reservations although their snapshots show free resources. */
+  refusingMachines = new Set<string>();
 
   constructor(readonly fleet: ModelMachine[]) {}
 
@@ -96,21 +96,21 @@
   machines(): MachineSnapshot[] {
     return this.fleet.map((machine) => ({
       id: machine.id,
-      capacity: needs(machine.cpus),
-      free: this.free(machine),
+      capacity: resourcesFor(machine.cpus),
+      free: this.freeResources(machine),
       accepting: machine.accepting ?? true,
-      activeFetchCount: machine.fetching ?? 0,
+      activeFetchCount: machine.activeFetchCount ?? 0,
       fetchGbPerS: 1,
       hasImage: (image: string) => machine.images.includes(image),
     }));
   }
 
-  private free(machine: ModelMachine): Resources {
+  private freeResources(machine: ModelMachine): Resources {
     let cpus = machine.cpus;
     for (const { spec } of machine.tasks) cpus -= spec.resources.cpus;
-    for (const [key, resources] of this.reserved)
+    for (const [key, resources] of this.reservations)
       if (key.startsWith(`${machine.id}:`)) cpus -= resources.cpus;
-    return needs(cpus);
+    return resourcesFor(cpus);
   }
 
   tasksOn(id: string): TaskSnapshot[] {
@@ -126,69 +126,69 @@
   }
 
   teamUsage(name: string): TeamUsage {
-    return this.teams.get(name) ?? { usedCpus: 100, guaranteedCpus: 0 };
+    return this.usageByTeam.get(name) ?? { usedCpus: 100, guaranteedCpus: 0 };
   }
 
-  private find(id: TaskId): TaskSnapshot | undefined {
+  private findTask(id: TaskId): TaskSnapshot | undefined {
     return this.fleet.flatMap(({ tasks }) => tasks).find((t) => taskKey(t) === taskKey(id));
   }
 
   reserve(machine: string, id: TaskId): boolean {
-    const moved = this.find(id);
-    if (!moved || this.refuses.has(machine)) return false;
-    this.reserved.set(`${machine}:${taskKey(id)}`, moved.spec.resources);
+    const task = this.findTask(id);
+    if (!task || this.refusingMachines.has(machine)) return false;
+    this.reservations.set(`${machine}:${taskKey(id)}`, task.spec.resources);
     return true;
   }
 
   release(machine: string, id: TaskId): void {
-    this.reserved.delete(`${machine}:${taskKey(id)}`);
+    this.reservations.delete(`${machine}:${taskKey(id)}`);
   }
 
   stop(machine: string, id: TaskId): void {
-    this.stopped.push(taskKey(id));
+    this.stoppedTasks.push(taskKey(id));
     this.machine(machine).tasks = this.machine(machine).tasks.map((t) =>
       taskKey(t) === taskKey(id) ? { ...t, pinned: 'stopping' } : t,
     );
   }
 
   holdTask(id: TaskId): void {
-    this.held.add(taskKey(id));
+    this.heldTasks.add(taskKey(id));
   }
 
   releaseHeldTask(id: TaskId): void {
-    this.held.delete(taskKey(id));
+    this.heldTasks.delete(taskKey(id));
   }
 
   reserveForJob(machine: string, name: string): void {
     const pending = this.pending.find(({ spec }) => spec.job === name);
     this.jobReservations.add(`${machine}:${name}`);
-    if (pending) this.reserved.set(`${machine}:${name}/next`, pending.spec.resources);
+    if (pending) this.reservations.set(`${machine}:${name}/next`, pending.spec.resources);
   }
 
   releaseJobReservation(machine: string, name: string): void {
     this.jobReservations.delete(`${machine}:${name}`);
-    this.reserved.delete(`${machine}:${name}/next`);
+    this.reservations.delete(`${machine}:${name}/next`);
   }
 
-  /** Takes a task off its machine. */
-  drop(id: TaskId): TaskSnapshot | undefined {
-    const found = this.find(id);
+  /** Removes a task from its machine and returns it. */
+  removeTask(id: TaskId): TaskSnapshot | undefined {
+    const found = this.findTask(id);
     for (const machine of this.fleet) machine.tasks = machine.tasks.filter((t) => taskKey(t) !== taskKey(id));
     return found;
   }
 }
 
-/** The balancer of a model partition, with settings that differ from the defaults. */
-export function balancerOf(
+/** Creates the balancer of a model partition; `overrides` replace default settings. */
+export function createBalancer(
   partition: ModelPartition,
-  change: Partial<BalancerSettings> = {},
+  overrides: Partial<BalancerSettings> = {},
 ): PartitionBalancer {
   return new PartitionBalancer({
     partition: 'p0',
     priorityCount: 4,
     snapshot: partition,
     executor: partition,
-    settings: balancerSettingsSchema.parse(change),
+    settings: balancerSettingsSchema.parse(overrides),
     timeouts: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
   });
 }
--- a/packages/load-balancer/test/move-planner.test.ts
+++ b/packages/load-balancer/test/move-planner.test.ts
@@ -2,195 +2,205 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { type BalancerSettings, type JobSnapshot, type TaskSnapshot } from '../src/index';
-import { balancerOf, job, ModelPartition, needs, task, type ModelMachine } from './model';
+import { createBalancer, job, ModelPartition, resourcesFor, task, type ModelMachine } from './model';
 
 const idle = job('idle', { priority: 3 });
 const urgent = job('urgent', { priority: 1, cpus: 4, team: 'west', workload: 'u', expectedS: 20 });
 
-/** Four CPUs, of which as many are taken by long tasks as are named here. */
+/** A machine with four CPUs that runs these tasks. */
 function machine(id: string, tasks: TaskSnapshot[], images = ['i']): ModelMachine {
   return { id, cpus: 4, images, tasks };
 }
 
-function halfFull(id: string, of: JobSnapshot = idle, change: Partial<TaskSnapshot> = {}): ModelMachine {
+function halfFull(id: string, spec: JobSnapshot = idle, overrides: Partial<TaskSnapshot> = {}): ModelMachine {
   const index = Number(id.slice(1)) * 2;
-  return machine(id, [task(of, index, change), task(of, index + 1, change)]);
+  return machine(id, [task(spec, index, overrides), task(spec, index + 1, overrides)]);
 }
 
-interface Row {
+interface PlanningCase {
   name: string;
   fleet: ModelMachine[];
-  waits?: { of: JobSnapshot; withinGuarantee?: boolean; tasks?: number }[];
+  pending?: { spec: JobSnapshot; withinGuarantee?: boolean; taskCount?: number }[];
   settings?: Partial<BalancerSettings>;
-  /** So many tasks of the first machine's job were seen to take what was expected. */
-  learned?: number;
-  /** Tasks that are stopped, of how many machines room is kept, and how much is reserved elsewhere. */
-  stops: number;
+  /** Number of completed tasks of the job `idle` whose run time was as expected. */
+  observedTaskCount?: number;
+  /** Number of tasks that are stopped. */
+  stopCount: number;
+  /** Number of CPUs that are reserved on the targets. */
   reservedCpus?: number;
-  refused?: string;
+  /** A reason that must be among the counted refusals. */
+  refusal?: string;
 }
 
-const rows: Row[] = [
+const cases: PlanningCase[] = [
   {
-    name: 'room that lies in pieces is put together for a task that fits nowhere',
+    name: 'tasks are moved to free fragmented resources for a task that fits on no machine',
     fleet: [halfFull('m0'), halfFull('m1'), halfFull('m2')],
-    stops: 2,
+    stopCount: 2,
     reservedCpus: 2,
   },
-  { name: 'nothing moves where the task fits', fleet: [halfFull('m0'), machine('m1', [])], stops: 0 },
   {
-    name: 'a task near its finish stays',
+    name: 'nothing moves if the task fits on a machine',
+    fleet: [halfFull('m0'), machine('m1', [])],
+    stopCount: 0,
+  },
+  {
+    name: 'a task near its end is not moved',
     fleet: [halfFull('m0', idle, { elapsedS: 199 }), halfFull('m1', idle, { elapsedS: 199 })],
-    learned: 40,
+    observedTaskCount: 40,
     settings: { hysteresis: 1, min_gain_s: 0 },
-    stops: 0,
-    refused: 'ends first',
+    stopCount: 0,
+    refusal: 'ends first',
   },
   {
-    name: 'work of equal priority is not stopped',
+    name: 'a task of equal priority is not stopped',
     fleet: [halfFull('m0', job('peer', { priority: 1 })), halfFull('m1', job('peer', { priority: 1 }))],
-    stops: 0,
-    refused: 'not allowed to stop it',
+    stopCount: 0,
+    refusal: 'not allowed to stop it',
   },
   {
-    name: 'work beyond its guarantee makes room for a guarantee',
+    name: 'tasks beyond the guarantee of their team are moved for a task within a guarantee',
     fleet: [halfFull('m0', job('peer', { priority: 1 })), halfFull('m1', job('peer', { priority: 1 }))],
-    waits: [{ of: urgent, withinGuarantee: true }],
-    stops: 2,
+    pending: [{ spec: urgent, withinGuarantee: true }],
+    stopCount: 2,
     reservedCpus: 2,
   },
   {
-    name: 'what has not begun may move whatever its priority',
+    name: 'a task that is not running yet is moved whatever its priority',
     fleet: [
       halfFull('m0', job('peer', { priority: 1 }), { phase: 'fetching', elapsedS: 1 }),
       halfFull('m1', job('peer', { priority: 1 })),
     ],
-    stops: 2,
+    stopCount: 2,
     reservedCpus: 2,
   },
   {
-    name: 'where there is no room at all lower priority is put back to wait',
+    name: 'tasks of lower priority are requeued if no machine has free resources',
     fleet: [
       machine(
         'm0',
         [0, 1, 2, 3].map((i) => task(idle, i)),
       ),
     ],
-    stops: 4,
+    stopCount: 4,
     reservedCpus: 0,
   },
   {
-    name: 'a task that runs for a moment only is left alone',
+    name: 'a task that has run only briefly is not moved',
     fleet: [halfFull('m0', idle, { elapsedS: 20 }), halfFull('m1', idle, { elapsedS: 20 })],
-    stops: 0,
-    refused: 'too short on its machine',
+    stopCount: 0,
+    refusal: 'too short on its machine',
   },
   {
-    name: 'fetching elsewhere for longer than the wait is worth is not done',
+    name: 'nothing moves if fetching the image elsewhere costs more than the wait is worth',
     fleet: [
       machine('m0', halfFull('m0', job('big', { priority: 1, image: 'big', imageGb: 500 })).tasks, ['big']),
       machine('m1', halfFull('m1', job('other', { priority: 0, image: 'o', imageGb: 500 })).tasks, ['o']),
     ],
-    waits: [{ of: urgent, withinGuarantee: true }],
+    pending: [{ spec: urgent, withinGuarantee: true }],
     settings: { priority_weight: 1 },
-    stops: 0,
+    stopCount: 0,
   },
   {
-    name: 'work that would be lost counts',
+    name: 'work that a move would lose counts as its cost',
     fleet: [
       halfFull('m0', job('never', { checkpointIntervalS: 0, expectedS: 900 }), { elapsedS: 400 }),
       halfFull('m1', job('never2', { checkpointIntervalS: 0, expectedS: 900 }), { elapsedS: 400 }),
     ],
     settings: { priority_weight: 1 },
-    stops: 0,
-    refused: 'costs more than it gains',
+    stopCount: 0,
+    refusal: 'costs more than it gains',
   },
   {
-    name: 'moves are bounded',
+    name: 'a clearing that needs more moves than the limit is refused',
     fleet: [
       machine(
         'm0',
         Array.from({ length: 16 }, (_, i) => task(job('i', { cpus: 0.25 }), i)),
       ),
     ],
-    stops: 0,
-    refused: 'too many moves',
+    stopCount: 0,
+    refusal: 'too many moves',
   },
   {
-    name: 'machines that take nothing are neither cleared nor filled',
+    name: 'machines that accept no tasks are neither cleared nor used as targets',
     fleet: [{ ...halfFull('m0'), accepting: false }, halfFull('m1')],
     settings: { priority_weight: 1 },
-    stops: 0,
+    stopCount: 0,
   },
   {
-    name: 'one of thousands of one shape and a large one: the large one gets room',
+    name: 'a large task gets resources while thousands of small tasks of one shape are pending',
     fleet: [halfFull('m0'), halfFull('m1'), halfFull('m2')],
-    waits: [{ of: job('many', { priority: 3, cpus: 1 }), tasks: 5000 }, { of: urgent }],
-    stops: 2,
+    pending: [{ spec: job('many', { priority: 3, cpus: 1 }), taskCount: 5000 }, { spec: urgent }],
+    stopCount: 2,
   },
   {
-    name: 'a fetch that shares its link goes where the image is',
+    name: 'a task whose fetch shares the bandwidth is moved to a machine with the image',
     fleet: [
       {
         ...machine('m0', [
           task(job('f', { image: 'far', imageGb: 40 }), 0, { phase: 'fetching', elapsedS: 1 }),
         ]),
-        fetching: 3,
+        activeFetchCount: 3,
       },
       machine('m1', [], ['far']),
     ],
-    waits: [],
-    stops: 1,
+    pending: [],
+    stopCount: 1,
     reservedCpus: 1,
   },
   {
-    name: 'a fetch alone on its link stays',
+    name: 'a task whose fetch has the whole bandwidth is not moved',
     fleet: [
       {
         ...machine('m0', [task(job('f', { image: 'far' }), 0, { phase: 'fetching', elapsedS: 1 })]),
-        fetching: 1,
+        activeFetchCount: 1,
       },
       machine('m1', [], ['far']),
     ],
-    waits: [],
-    stops: 0,
+    pending: [],
+    stopCount: 0,
   },
 ];
 
-function play({ fleet, waits = [{ of: urgent }], settings, learned = 0 }: Row): {
+function runRound({ fleet, pending = [{ spec: urgent }], settings, observedTaskCount = 0 }: PlanningCase): {
   partition: ModelPartition;
-  balancer: ReturnType<typeof balancerOf>;
+  balancer: ReturnType<typeof createBalancer>;
 } {
-  const partition = new ModelPartition(structuredCloneFleet(fleet));
-  for (const { of: spec, withinGuarantee = false, tasks = 1 } of waits)
-    partition.pending.push({ spec, taskCount: tasks, pendingS: 30, withinGuarantee });
-  const balancer = balancerOf(partition, settings);
-  for (let i = 0; i < learned; i++) balancer.estimator.learn(idle, idle.expectedS);
+  const partition = new ModelPartition(cloneFleet(fleet));
+  for (const { spec, withinGuarantee = false, taskCount = 1 } of pending)
+    partition.pending.push({ spec, taskCount, pendingS: 30, withinGuarantee });
+  const balancer = createBalancer(partition, settings);
+  for (let i = 0; i < observedTaskCount; i++) balancer.estimator.learn(idle, idle.expectedS);
   balancer.plan(0);
   return { partition, balancer };
 }
 
-/** Rows share machines; what a plan does to them must not reach the next row. */
-function structuredCloneFleet(fleet: readonly ModelMachine[]): ModelMachine[] {
+/** Copies machines, because cases share them and a plan changes them. */
+function cloneFleet(fleet: readonly ModelMachine[]): ModelMachine[] {
   return fleet.map((m) => ({ ...m, tasks: [...m.tasks] }));
 }
 
-for (const row of rows)
+for (const row of cases)
   test(`planning: ${row.name}`, () => {
-    const { partition, balancer } = play(row);
-    assert.equal(partition.stopped.length, row.stops);
-    const elsewhere = [...partition.reserved].filter(([key]) => !key.endsWith('/next'));
-    const cpus = elsewhere.reduce((sum, [, room]) => sum + room.cpus, 0);
+    const { partition, balancer } = runRound(row);
+    assert.equal(partition.stoppedTasks.length, row.stopCount);
+    const targetReservations = [...partition.reservations].filter(([key]) => !key.endsWith('/next'));
+    const cpus = targetReservations.reduce((sum, [, resources]) => sum + resources.cpus, 0);
     if (row.reservedCpus !== undefined) assert.equal(cpus, row.reservedCpus);
     const reasons = balancer.summary(0).refusals.map(({ reason }) => reason);
-    if (row.refused !== undefined) assert.ok(reasons.includes(row.refused), reasons.join(', '));
+    if (row.refusal !== undefined) assert.ok(reasons.includes(row.refusal), reasons.join(', '));
     balancer.plan(2000);
-    assert.equal(partition.stopped.length, row.stops, 'unchanged load plans nothing more');
+    assert.equal(
+      partition.stoppedTasks.length,
+      row.stopCount,
+      'no further moves are planned for unchanged load',
+    );
   });
 
-test('planning: for one cause a task moves once, whatever became of the move', () => {
-  const { partition, balancer } = play(rows[0] as Row);
-  const stopped = [...partition.stopped];
+test('planning: a task is moved once for one cause, whatever the outcome of the move', () => {
+  const { partition, balancer } = runRound(cases[0] as PlanningCase);
+  const stopped = [...partition.stoppedTasks];
   balancer.tracker.tick(1_000_000);
   assert.equal(balancer.tracker.inFlight, 0);
   for (const m of partition.fleet) m.tasks = m.tasks.map((t) => ({ ...t, pinned: null }));
@@ -198,38 +208,38 @@
     balancer.plan(now);
     balancer.tracker.tick(now + 9000);
   }
-  for (const name of stopped) assert.equal(partition.stopped.filter((s) => s === name).length, 1);
+  for (const name of stopped) assert.equal(partition.stoppedTasks.filter((s) => s === name).length, 1);
 });
 
-test('planning: room that is gone at the reservation begins nothing', () => {
-  const partition = new ModelPartition(structuredCloneFleet([halfFull('m0'), halfFull('m1')]));
+test('planning: a plan whose reservation is refused begins no moves', () => {
+  const partition = new ModelPartition(cloneFleet([halfFull('m0'), halfFull('m1')]));
   partition.pending.push({ spec: urgent, taskCount: 1, pendingS: 30, withinGuarantee: false });
-  partition.refuses.add('m0').add('m1');
-  const balancer = balancerOf(partition);
+  partition.refusingMachines.add('m0').add('m1');
+  const balancer = createBalancer(partition);
   balancer.plan(0);
   assert.deepEqual(
-    [partition.stopped, [...partition.reserved], [...partition.jobReservations]],
+    [partition.stoppedTasks, [...partition.reservations], [...partition.jobReservations]],
     [[], [], []],
   );
 });
 
-const someTask = fc.record({
+const taskArbitrary = fc.record({
   cpus: fc.constantFrom(1, 2),
   priority: fc.integer({ min: 0, max: 3 }),
   elapsedS: fc.integer({ min: 0, max: 300 }),
   expectedS: fc.integer({ min: 10, max: 600 }),
   checkpointS: fc.constantFrom(0, 10),
 });
-const someFleet = fc.array(fc.array(someTask, { maxLength: 4 }), { minLength: 1, maxLength: 12 });
-const someWaits = fc.array(
+const fleetArbitrary = fc.array(fc.array(taskArbitrary, { maxLength: 4 }), { minLength: 1, maxLength: 12 });
+const pendingArbitrary = fc.array(
   fc.record({ cpus: fc.constantFrom(1, 2, 4), priority: fc.integer({ min: 0, max: 3 }), tasks: fc.nat(3) }),
   { maxLength: 4 },
 );
 
-test('planning: rooms, bounds and costs hold for any load, and planning ends', () => {
+test('planning: free resources, limits and costs are respected for any load, and planning ends', () => {
   fc.assert(
-    fc.property(someFleet, someWaits, (fleet, waits) => {
-      let n = 0;
+    fc.property(fleetArbitrary, pendingArbitrary, (fleet, pendingJobs) => {
+      let jobCount = 0;
       const machines = fleet.map((tasks, i): ModelMachine => {
         const placed: TaskSnapshot[] = [];
         let left = 4;
@@ -237,7 +247,7 @@
           if (cpus > left) continue;
           left -= cpus;
           placed.push(
-            task(job(`j${n++}`, { cpus, priority, expectedS, checkpointIntervalS: checkpointS }), 0, {
+            task(job(`j${jobCount++}`, { cpus, priority, expectedS, checkpointIntervalS: checkpointS }), 0, {
               elapsedS,
             }),
           );
@@ -245,7 +255,7 @@
         return machine(`m${i}`, placed);
       });
       const partition = new ModelPartition(machines);
-      waits.forEach(({ cpus, priority, tasks }, i) =>
+      pendingJobs.forEach(({ cpus, priority, tasks }, i) =>
         partition.pending.push({
           spec: job(`w${i}`, { cpus, priority }),
           taskCount: tasks,
@@ -253,36 +263,42 @@
           withinGuarantee: false,
         }),
       );
-      const balancer = balancerOf(partition);
+      const balancer = createBalancer(partition);
       let rounds = 0;
-      for (let now = 0, before = -1; partition.stopped.length !== before; now += 2000) {
-        before = partition.stopped.length;
+      for (let now = 0, before = -1; partition.stoppedTasks.length !== before; now += 2000) {
+        before = partition.stoppedTasks.length;
         balancer.plan(now);
         for (const move of balancer.tracker.movesInProgress)
           assert.ok(move.gainS > move.costS - 1e-9 || move.costS === 0);
-        for (const view of partition.machines()) {
-          const kept = [...partition.jobReservations].filter((key) => key.startsWith(`${view.id}:`));
-          if (kept.length === 0) assert.ok(view.free.cpus >= 0, 'a target is not filled beyond what it has');
-          const leaving = partition.tasksOn(view.id).filter((t) => t.pinned === 'stopping');
-          const cleared = leaving.reduce((sum, t) => sum + t.spec.resources.cpus, view.free.cpus);
-          assert.ok(cleared >= -1e-9, 'what is kept fits once all that was told to has left');
+        for (const machineSnapshot of partition.machines()) {
+          const jobReservations = [...partition.jobReservations].filter((key) =>
+            key.startsWith(`${machineSnapshot.id}:`),
+          );
+          if (jobReservations.length === 0)
+            assert.ok(machineSnapshot.free.cpus >= 0, 'a target is not given more than its free resources');
+          const leaving = partition.tasksOn(machineSnapshot.id).filter((t) => t.pinned === 'stopping');
+          const freeAfterStops = leaving.reduce(
+            (sum, t) => sum + t.spec.resources.cpus,
+            machineSnapshot.free.cpus,
+          );
+          assert.ok(freeAfterStops >= -1e-9, 'the job reservations fit once all stopped tasks have left');
         }
-        assert.ok(balancer.tracker.inFlight <= 4, 'no more at once than the settings allow');
-        assert.ok(rounds++ < 12, 'planning on unchanged load comes to an end');
+        assert.ok(balancer.tracker.inFlight <= 4, 'no more moves are in progress than the settings allow');
+        assert.ok(rounds++ < 12, 'planning for unchanged load ends');
       }
     }),
     { numRuns: 300 },
   );
 });
 
-test('planning: needs of nothing and machines of nothing plan nothing', () => {
+test('planning: a task without resource requests and a machine without resources lead to no moves', () => {
   const partition = new ModelPartition([{ id: 'm0', cpus: 0, images: [], tasks: [] }]);
   partition.pending.push({
-    spec: job('w', { resources: needs(0) }),
+    spec: job('w', { resources: resourcesFor(0) }),
     taskCount: 1,
     pendingS: 30,
     withinGuarantee: false,
   });
-  balancerOf(partition).plan(0);
-  assert.deepEqual(partition.stopped, []);
+  createBalancer(partition).plan(0);
+  assert.deepEqual(partition.stoppedTasks, []);
 });
--- a/packages/load-balancer/test/move-tracker.test.ts
+++ b/packages/load-balancer/test/move-tracker.test.ts
@@ -29,86 +29,94 @@
 ];
 const MAX_EXPLORED_EVENT_COUNT = 5;
 
-/** What a move has taken and not given back. */
-interface Account {
-  room: number;
-  held: number;
+/** Counts of what a move has reserved, held and stopped, less what it has released. */
+interface HeldResources {
+  reservations: number;
+  holds: number;
   stops: number;
 }
 
-/** Walks through every order of up to so many events from a state and checks the account in each; returns how many it saw. */
-function explore(state: MoveState, account: Account, depth: number, path: string[]): number {
-  const { room, held, stops } = account;
-  const at = path.join(' > ');
-  assert.ok(room === 0 || room === 1, `room held ${room} times after ${at}`);
-  assert.ok(held === 0 || held === 1, `task held ${held} times after ${at}`);
-  assert.ok(stops <= 1, `told to stop ${stops} times after ${at}`);
+/**
+ * Explores every sequence of up to `depth` events from a state and checks the counts after each event. Returns the number of
+ * states visited.
+ */
+function explore(state: MoveState, resources: HeldResources, depth: number, path: string[]): number {
+  const { reservations, holds, stops } = resources;
+  const history = path.join(' > ');
+  assert.ok(reservations === 0 || reservations === 1, `${reservations} reservations after ${history}`);
+  assert.ok(holds === 0 || holds === 1, `task held ${holds} times after ${history}`);
+  assert.ok(stops <= 1, `task stopped ${stops} times after ${history}`);
   if (isTerminal(state))
-    assert.deepEqual({ room, held }, { room: 0, held: 0 }, `something is left after ${at}`);
+    assert.deepEqual({ reservations, holds }, { reservations: 0, holds: 0 }, `not released after ${history}`);
   if (depth === 0) return 1;
-  let seen = 1;
+  let stateCount = 1;
   for (const kind of EVENTS) {
-    const step = transition(state, { kind });
-    const again = transition(step.state, { kind });
-    assert.equal(again.state, step.state, `${kind} a second time changes ${step.state}`);
-    const next = { ...account };
-    for (const effect of step.effects) {
-      if (effect === 'release-room') next.room--;
+    const result = transition(state, { kind });
+    const repeated = transition(result.state, { kind });
+    assert.equal(repeated.state, result.state, `repeating ${kind} changes ${result.state}`);
+    const next = { ...resources };
+    for (const effect of result.effects) {
+      if (effect === 'release-room') next.reservations--;
       if (effect === 'stop-source') next.stops++;
-      if (effect === 'hold-task') next.held++;
-      // What was held is given up by the start itself, too.
-      if (effect === 'free-task') next.held--;
+      if (effect === 'hold-task') next.holds++;
+      if (effect === 'free-task') next.holds--;
     }
-    if (kind === 'start-sent' && step.state === 'starting' && state !== 'starting') next.held--;
-    seen += explore(step.state, next, depth - 1, [...path, kind]);
+    // The start of the task also releases its hold.
+    if (kind === 'start-sent' && result.state === 'starting' && state !== 'starting') next.holds--;
+    stateCount += explore(result.state, next, depth - 1, [...path, kind]);
   }
-  return seen;
+  return stateCount;
 }
 
-test('moves: no order of events leaks room or a task, and each event counts once', () => {
-  const seen = explore('reserved', { room: 1, held: 0, stops: 0 }, MAX_EXPLORED_EVENT_COUNT, []);
-  assert.ok(seen > 200_000, `${seen} states were seen`);
+test('moves: no order of events leaks a reservation or a held task, and a repeated event changes nothing', () => {
+  const stateCount = explore(
+    'reserved',
+    { reservations: 1, holds: 0, stops: 0 },
+    MAX_EXPLORED_EVENT_COUNT,
+    [],
+  );
+  assert.ok(stateCount > 200_000, `only ${stateCount} states were visited`);
 });
 
-class Recorder implements MoveExecutor {
-  readonly rooms = new Set<string>();
-  readonly held = new Set<string>();
-  readonly kept = new Set<string>();
-  readonly stops: string[] = [];
-  readonly full = new Set<string>();
+class RecordingExecutor implements MoveExecutor {
+  readonly reservations = new Set<string>();
+  readonly heldTasks = new Set<string>();
+  readonly jobReservations = new Set<string>();
+  readonly stoppedTasks: string[] = [];
+  readonly fullMachines = new Set<string>();
 
   reserve(machine: string, id: TaskId): boolean {
-    if (this.full.has(machine)) return false;
-    this.rooms.add(`${machine} ${taskKey(id)}`);
+    if (this.fullMachines.has(machine)) return false;
+    this.reservations.add(`${machine} ${taskKey(id)}`);
     return true;
   }
 
   release(machine: string, id: TaskId): void {
-    this.rooms.delete(`${machine} ${taskKey(id)}`);
+    this.reservations.delete(`${machine} ${taskKey(id)}`);
   }
 
   stop(_: string, id: TaskId): void {
-    this.stops.push(taskKey(id));
+    this.stoppedTasks.push(taskKey(id));
   }
 
   holdTask(id: TaskId): void {
-    this.held.add(taskKey(id));
+    this.heldTasks.add(taskKey(id));
   }
 
   releaseHeldTask(id: TaskId): void {
-    this.held.delete(taskKey(id));
+    this.heldTasks.delete(taskKey(id));
   }
 
   reserveForJob(machine: string, ref: string): void {
-    this.kept.add(`${machine} ${ref}`);
+    this.jobReservations.add(`${machine} ${ref}`);
   }
 
   releaseJobReservation(machine: string, ref: string): void {
-    this.kept.delete(`${machine} ${ref}`);
+    this.jobReservations.delete(`${machine} ${ref}`);
   }
 
-  get leftovers(): number {
-    return this.rooms.size + this.held.size + this.kept.size;
+  get unreleasedCount(): number {
+    return this.reservations.size + this.heldTasks.size + this.jobReservations.size;
   }
 }
 
@@ -135,17 +143,17 @@
   };
 }
 
-function tracker(): { moves: MoveTracker; recorder: Recorder } {
-  const recorder = new Recorder();
+function createTracker(): { moves: MoveTracker; recorder: RecordingExecutor } {
+  const recorder = new RecordingExecutor();
   return { recorder, moves: new MoveTracker(7, recorder, { heartbeatIntervalMs: 2000, leaseMs: 12_000 }) };
 }
 
-const rows: [string, (moves: MoveTracker, recorder: Recorder) => void][] = [
+const cases: [string, (moves: MoveTracker, recorder: RecordingExecutor) => void][] = [
   [
-    'a move goes through its steps and leaves nothing behind',
+    'a move passes through its states and releases everything',
     (moves, recorder) => {
       assert.ok(moves.begin(plan(['m1']), 0));
-      assert.deepEqual(recorder.stops, ['a/0']);
+      assert.deepEqual(recorder.stoppedTasks, ['a/0']);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
       assert.deepEqual(moves.tasksToStartOn('m1'), [{ job: 'a', index: 0 }]);
       recorder.releaseHeldTask(moved);
@@ -156,24 +164,24 @@
     },
   ],
   [
-    'one room that is gone takes back the whole plan',
+    'a plan with one refused reservation begins no moves',
     (moves, recorder) => {
-      recorder.full.add('m2');
+      recorder.fullMachines.add('m2');
       assert.equal(moves.begin(plan(['m1', 'm2']), 0), false);
-      assert.deepEqual(recorder.stops, []);
+      assert.deepEqual(recorder.stoppedTasks, []);
     },
   ],
   [
-    'a source that stays silent longer than its lease ends the move',
+    'a move ends if its source sends no heartbeat for longer than its lease',
     (moves) => {
       moves.begin(plan(['m1']), 0);
       moves.tick(12_000);
-      assert.equal(moves.inFlight, 1, 'until its lease is over nothing is known');
+      assert.equal(moves.inFlight, 1, 'the task may be on its source until the lease has expired');
       moves.tick(40_000);
     },
   ],
   [
-    'a target that is lost frees the task',
+    'a held task is released if its target is lost',
     (moves) => {
       moves.begin(plan(['m1']), 0);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
@@ -182,7 +190,7 @@
     },
   ],
   [
-    'a machine that is being cleared and lost keeps no room',
+    'a job reservation is released if the cleared machine is lost',
     (moves) => {
       moves.begin(plan([null]), 0);
       moves.machineUnavailable('m0', 100);
@@ -190,7 +198,7 @@
     },
   ],
   [
-    'a job that is over takes its moves along, and room that was made for it',
+    'closing a job ends the moves of its tasks and releases its job reservation',
     (moves) => {
       moves.begin(plan(['m1', 'm2']), 0);
       moves.jobClosed('a', 500);
@@ -199,17 +207,17 @@
     },
   ],
   [
-    'what is put back is no more held than any waiting task',
+    'a requeued task is not held',
     (moves, recorder) => {
       moves.begin(plan([null]), 0);
       moves.handleEvent(moved, { kind: 'source-gone' }, 1000);
-      assert.equal(recorder.held.size, 0);
+      assert.equal(recorder.heldTasks.size, 0);
       moves.releaseJobReservations(() => true);
       assert.equal(moves.counters.completed, 1);
     },
   ],
   [
-    'the same task is not moved twice at once',
+    'a task that is being moved is not moved again',
     (moves) => {
       assert.ok(moves.begin(plan(['m1']), 0));
       assert.equal(moves.begin(plan(['m2']), 100), false);
@@ -218,10 +226,14 @@
   ],
 ];
 
-for (const [name, act] of rows)
+for (const [name, run] of cases)
   test(`moves: ${name}`, () => {
-    const { moves, recorder } = tracker();
-    act(moves, recorder);
+    const { moves, recorder } = createTracker();
+    run(moves, recorder);
     assert.equal(moves.inFlight, 0);
-    assert.equal(recorder.leftovers, 0, [...recorder.rooms, ...recorder.held, ...recorder.kept].join(', '));
+    assert.equal(
+      recorder.unreleasedCount,
+      0,
+      [...recorder.reservations, ...recorder.heldTasks, ...recorder.jobReservations].join(', '),
+    );
   });
--- a/packages/load-balancer/test/summary-store.test.ts
+++ b/packages/load-balancer/test/summary-store.test.ts
@@ -3,33 +3,37 @@
 import { SummaryStore, type LoadSummary, type SummaryFault } from '../src/index';
 import { summary } from './model';
 
-const faults: [string, Partial<LoadSummary>, SummaryFault | null][] = [
-  ['a newer one is taken', { sequence: 11 }, null],
-  ['a repeated one is dropped', { sequence: 10 }, 'repeated'],
-  ['an older one of the same owner is dropped', { sequence: 9 }, 'repeated'],
-  ['one of an earlier owner is dropped', { epoch: 4, sequence: 99 }, 'old epoch'],
-  ['a later owner begins anew', { epoch: 6, sequence: 1 }, null],
-  ['negative work', { sequence: 11, running: [-1] }, 'absurd'],
-  ['more free than there is', { sequence: 11, freeCpus: 101 }, 'absurd'],
-  ['absurd work', { sequence: 11, waiting: [1e30] }, 'absurd'],
-  ['a negative age', { sequence: 11, ageMs: -1 }, 'absurd'],
-  ['no number', { sequence: 11, trendPerS: Number.NaN }, 'malformed'],
-  ['no partition', { sequence: 11, partition: '' }, 'malformed'],
-  ['a broken sequence', { sequence: 11.5 }, 'malformed'],
+const cases: [string, Partial<LoadSummary>, SummaryFault | null][] = [
+  ['a newer summary is stored', { sequence: 11 }, null],
+  ['a repeated summary is dropped', { sequence: 10 }, 'repeated'],
+  ['an older summary of the same owner is dropped', { sequence: 9 }, 'repeated'],
+  ['a summary of an earlier owner is dropped', { epoch: 4, sequence: 99 }, 'old epoch'],
+  ['a later owner may restart the sequence', { epoch: 6, sequence: 1 }, null],
+  ['negative work is dropped', { sequence: 11, running: [-1] }, 'absurd'],
+  ['more free CPUs than CPUs are dropped', { sequence: 11, freeCpus: 101 }, 'absurd'],
+  ['an implausible amount of work is dropped', { sequence: 11, waiting: [1e30] }, 'absurd'],
+  ['a negative age is dropped', { sequence: 11, ageMs: -1 }, 'absurd'],
+  ['a trend that is not a number is dropped', { sequence: 11, trendPerS: Number.NaN }, 'malformed'],
+  ['an empty partition name is dropped', { sequence: 11, partition: '' }, 'malformed'],
+  ['a fractional sequence number is dropped', { sequence: 11.5 }, 'malformed'],
 ];
 
-for (const [name, change, fault] of faults)
+for (const [name, overrides, fault] of cases)
   test(`summaries: ${name}`, () => {
     const summaries = new SummaryStore(6000);
     assert.equal(summaries.record(summary(), 0), null);
-    assert.equal(summaries.record(summary(change), 1000), fault);
-    const counted = summaries.droppedByFault().map((d) => [d.fault, d.count]);
-    assert.deepEqual(counted, fault === null ? [] : [[fault, 1]]);
+    assert.equal(summaries.record(summary(overrides), 1000), fault);
+    const dropped = summaries.droppedByFault().map((d) => [d.fault, d.count]);
+    assert.deepEqual(dropped, fault === null ? [] : [[fault, 1]]);
     if (fault !== null)
-      assert.equal(summaries.fresh('p0', 1000)?.sequence, 10, 'what is wrong changes nothing');
+      assert.equal(
+        summaries.fresh('p0', 1000)?.sequence,
+        10,
+        'a dropped summary leaves the stored one unchanged',
+      );
   });
 
-test('summaries: one past its age decides nothing, its own age included', () => {
+test('summaries: a summary is not fresh past the maximum age, which includes its age when sent', () => {
   const summaries = new SummaryStore(6000);
   summaries.record(summary({ ageMs: 2000 }), 0);
   assert.ok(summaries.fresh('p0', 4000));
--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -17,8 +17,8 @@
 const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
 const FIRST_EPOCH = 100;
-const MACHINES = 4;
-const LIMIT = 16;
+const MACHINE_COUNT = 4;
+const TEAM_CPU_LIMIT = 16;
 
 function spec(ref: string, change: Partial<JobSpec>): JobSpec {
   return {
@@ -43,9 +43,9 @@
   };
 }
 
-/** Idle tasks lie in pieces on all machines; a large urgent one fits nowhere. */
-const IDLE = spec('job-1', {});
-const URGENT = spec('job-2', {
+/** Small tasks fragment the free resources of all machines, so that a large urgent task fits on none. */
+const SMALL_TASKS_JOB = spec('job-1', {});
+const LARGE_TASK_JOB = spec('job-2', {
   priority: 1,
   cpus: 4,
   tasks: 1,
@@ -53,13 +53,13 @@
   expectedS: 20,
   checkpointIntervalS: 0,
 });
-const RUN_MS: Record<string, number> = { 'job-1': 150_000, 'job-2': 20_000 };
-/** All machines have been heard by then, so the tasks are spread evenly. */
-const IDLE_SUBMITTED_MS = 10_000;
-const SUBMITTED_MS = 60_000;
-const MOVES_START_MS = SUBMITTED_MS + 4000;
+const RUN_MS_BY_JOB: Record<string, number> = { 'job-1': 150_000, 'job-2': 20_000 };
+/** By then all machines have sent a heartbeat, so the tasks are spread evenly. */
+const SMALL_TASKS_SUBMITTED_MS = 10_000;
+const LARGE_TASK_SUBMITTED_MS = 60_000;
+const MOVES_START_MS = LARGE_TASK_SUBMITTED_MS + 4000;
 
-/** A partition with four workers, played in steps, and its rules checked after each. */
+/** Simulates a partition with four workers in steps, and checks its invariants after each step. */
 class PartitionSimulation {
   now = 0;
   core: PartitionCore;
@@ -67,24 +67,24 @@
   readonly workers: SimulatedWorker[] = [];
   readonly recordedHeartbeats: { core: PartitionCore; report: Heartbeat }[] = [];
   readonly closed = new Set<string>();
-  private readonly saved = new Map<string, number>();
-  private readonly assigned = new Set<string>();
-  private version = FIRST_EPOCH;
-  urgentStartedAt: number | null = null;
+  private readonly checkpointedMs = new Map<string, number>();
+  private readonly assignedMachines = new Set<string>();
+  private revision = FIRST_EPOCH;
+  largeTaskStartedAt: number | null = null;
 
   constructor(private readonly settings: BalancerSettings | null) {
-    this.core = this.newOwner();
-    for (let i = 0; i < MACHINES; i++) this.addMachine(`m${i}`, this.version + 1);
+    this.core = this.createCore();
+    for (let i = 0; i < MACHINE_COUNT; i++) this.addMachine(`m${i}`, this.revision + 1);
   }
 
-  private newOwner(): PartitionCore {
+  private createCore(): PartitionCore {
     const team = (name: string, limit: number): object => ({
       ...{ name, guaranteed: { cpus: 0, accelerators: 0 }, limit: { cpus: limit, accelerators: 0 } },
     });
     const core = new PartitionCore({
       id: 'p0',
-      epoch: this.version,
-      teams: [team('t', LIMIT), team('u', 4)] as never,
+      epoch: this.revision,
+      teams: [team('t', TEAM_CPU_LIMIT), team('u', 4)] as never,
       types: () => new Map([['small', type]]),
       specOfClosedJob: () => undefined,
       options: {
@@ -93,18 +93,18 @@
         valueBytes: 4096,
         objectives: [],
       },
-      assignedMachines: new Set(this.assigned),
+      assignedMachines: new Set(this.assignedMachines),
     });
     if (this.settings) core.observer = this.moves = new TaskMoves(core, this.settings, () => this.now);
     return core;
   }
 
-  private addMachine(id: string, version: number): void {
+  private addMachine(id: string, revision: number): void {
     const runMs = (ref: string, index: number): number =>
-      (RUN_MS[ref] ?? 0) - (this.saved.get(`${ref}/${index}`) ?? 0);
+      (RUN_MS_BY_JOB[ref] ?? 0) - (this.checkpointedMs.get(`${ref}/${index}`) ?? 0);
     const checkpointed = (ref: string, index: number, ranMs: number): void => {
       const key = `${ref}/${index}`;
-      this.saved.set(key, (this.saved.get(key) ?? 0) + ranMs);
+      this.checkpointedMs.set(key, (this.checkpointedMs.get(key) ?? 0) + ranMs);
     };
     this.workers.push(
       new SimulatedWorker(
@@ -113,19 +113,19 @@
         this.now,
       ),
     );
-    this.assigned.add(id);
-    this.putMachine(id, version);
+    this.assignedMachines.add(id);
+    this.upsertMachine(id, revision);
   }
 
-  private putMachine(id: string, version: number): void {
+  private upsertMachine(id: string, revision: number): void {
     const record: MachineRecord = { partition: 'p0', phase: 'active', type: 'small', zone: 'a', spot: true };
-    this.core.upsertMachine(id, record, version, this.now);
+    this.core.upsertMachine(id, record, revision, this.now);
     this.core.markAssigned([id]);
   }
 
-  submit(job: JobSpec, version: number): void {
+  submit(job: JobSpec, revision: number): void {
     const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: job.tasks };
-    this.core.openJob({ spec: job, acceptedAt: this.now, revision: version, progress }, this.now);
+    this.core.openJob({ spec: job, acceptedAt: this.now, revision, progress }, this.now);
   }
 
   cancel(ref: string): void {
@@ -133,18 +133,19 @@
     this.core.closeJob(ref, 'cancelled', this.now);
   }
 
-  /** Another controller owns the partition from now on: it knows what the store says, and nothing of any move. */
+  /** Gives the partition to another controller, which knows what the store holds but none of the moves. */
   takeOver(): void {
-    const version = this.version;
-    this.version += 1000;
-    this.core = this.newOwner();
-    for (const { id, terminated } of this.workers) if (!terminated) this.putMachine(id, version);
-    for (const job of [IDLE, URGENT])
-      if (!this.closed.has(job.ref) && (job === IDLE || this.now >= SUBMITTED_MS)) this.submit(job, version);
+    const revision = this.revision;
+    this.revision += 1000;
+    this.core = this.createCore();
+    for (const { id, terminated } of this.workers) if (!terminated) this.upsertMachine(id, revision);
+    for (const job of [SMALL_TASKS_JOB, LARGE_TASK_JOB])
+      if (!this.closed.has(job.ref) && (job === SMALL_TASKS_JOB || this.now >= LARGE_TASK_SUBMITTED_MS))
+        this.submit(job, revision);
   }
 
   loseMachine(id: string): void {
-    const worker = this.workers.find((simulation) => simulation.id === id);
+    const worker = this.workers.find((candidate) => candidate.id === id);
     if (!worker) return;
     worker.terminated = true;
     this.core.removeMachine(id, this.now);
@@ -152,44 +153,47 @@
 
   step(): void {
     this.now += STEP_MS;
-    if (this.now === IDLE_SUBMITTED_MS) this.submit(IDLE, this.version + 1);
-    if (this.now === SUBMITTED_MS) this.submit(URGENT, this.version + 1);
+    if (this.now === SMALL_TASKS_SUBMITTED_MS) this.submit(SMALL_TASKS_JOB, this.revision + 1);
+    if (this.now === LARGE_TASK_SUBMITTED_MS) this.submit(LARGE_TASK_JOB, this.revision + 1);
     this.core.tick(this.now, this.now);
     this.workers.forEach((worker, i) => {
       worker.advance(this.now);
       if ((this.now / STEP_MS + i) % (HEARTBEAT_INTERVAL_MS / STEP_MS) === 0)
         worker.sendHeartbeat(this.core, this.now);
     });
-    this.check();
+    this.checkInvariants();
   }
 
-  private check(): void {
-    const places = new Map<string, string>();
+  private checkInvariants(): void {
+    const machineByTask = new Map<string, string>();
     for (const worker of this.workers) {
       let cpus = 0;
       for (const key of worker.occupyingTasks()) {
-        assert.ok(!places.has(key), `${key} is on ${places.get(key)} and ${worker.id} at ${this.now}`);
-        places.set(key, worker.id);
-        cpus += key.startsWith('job-2') ? URGENT.cpus : IDLE.cpus;
-        if (key.startsWith('job-2')) this.urgentStartedAt ??= this.now;
+        assert.ok(
+          !machineByTask.has(key),
+          `${key} is on ${machineByTask.get(key)} and ${worker.id} at ${this.now}`,
+        );
+        machineByTask.set(key, worker.id);
+        cpus += key.startsWith('job-2') ? LARGE_TASK_JOB.cpus : SMALL_TASKS_JOB.cpus;
+        if (key.startsWith('job-2')) this.largeTaskStartedAt ??= this.now;
       }
-      assert.ok(cpus <= type.cpus, `${worker.id} is overfull at ${this.now}`);
+      assert.ok(cpus <= type.cpus, `the tasks on ${worker.id} exceed its CPUs at ${this.now}`);
     }
   }
 
-  /** What moves have taken and not given back. */
+  /** Reservations, quota and moves that have not been released. */
   leakedResources(): string[] {
-    const found: string[] = [];
+    const leaks: string[] = [];
     for (const machine of this.core.machines.values())
-      if (machine.hasReservations) found.push(`room on ${machine.id}`);
+      if (machine.hasReservations) leaks.push(`reservation on ${machine.id}`);
     for (const team of ['t', 'u']) {
       let used = 0;
       for (const machine of this.core.machines.values())
         for (const task of machine.tasks.values()) if (task.spec?.team === team) used += task.spec.cpus;
-      if (Math.abs(this.core.quota.usageOf(team).cpus - used) > 1e-9) found.push(`quota of ${team}`);
+      if (Math.abs(this.core.quota.usageOf(team).cpus - used) > 1e-9) leaks.push(`quota of ${team}`);
     }
-    if (this.moves && this.moves.balancer.tracker.inFlight > 0) found.push('a move');
-    return found;
+    if (this.moves && this.moves.balancer.tracker.inFlight > 0) leaks.push('a move');
+    return leaks;
   }
 
   get finished(): boolean {
@@ -201,27 +205,27 @@
   }
 }
 
-const ON = balancerSettingsSchema.parse({ placement: 'even' });
-const OFF = null;
+const BALANCER_ON = balancerSettingsSchema.parse({ placement: 'even' });
+const BALANCER_OFF = null;
 const END_MS = 420_000;
 
-test('a large urgent task gets room in seconds instead of after the longest of many small ones', () => {
-  const waits = [ON, OFF].map((settings) => {
+test('a large urgent task starts within seconds with moves, and without them after the longest of many small tasks', () => {
+  const waitsMs = [BALANCER_ON, BALANCER_OFF].map((settings) => {
     const simulation = new PartitionSimulation(settings);
     if (!settings)
       simulation.core.observer = new TaskMoves(
         simulation.core,
-        { ...ON, task_moves: false },
+        { ...BALANCER_ON, task_moves: false },
         () => simulation.now,
       );
     simulation.runUntil(END_MS);
     assert.ok(simulation.finished);
     assert.deepEqual(simulation.leakedResources(), []);
-    return (simulation.urgentStartedAt ?? Infinity) - SUBMITTED_MS;
+    return (simulation.largeTaskStartedAt ?? Infinity) - LARGE_TASK_SUBMITTED_MS;
   });
-  const [on = 0, off = 0] = waits;
-  assert.ok(on <= 15_000, `${on} ms with moves`);
-  assert.ok(off >= 90_000, `${off} ms without`);
+  const [withMoves = 0, withoutMoves = 0] = waitsMs;
+  assert.ok(withMoves <= 15_000, `${withMoves} ms with moves`);
+  assert.ok(withoutMoves >= 90_000, `${withoutMoves} ms without moves`);
 });
 
 type Fault = (simulation: PartitionSimulation) => void;
@@ -231,15 +235,15 @@
 const targetOfMove = (simulation: PartitionSimulation): string =>
   simulation.moves?.balancer.tracker.movesInProgress.find((move) => move.target !== null)?.target ?? 'm1';
 const worker = (simulation: PartitionSimulation, id: string): SimulatedWorker =>
-  simulation.workers.find((simulation) => simulation.id === id) as SimulatedWorker;
-const scheduledActions = new WeakMap<PartitionSimulation, { at: number; act: () => void }[]>();
+  simulation.workers.find((candidate) => candidate.id === id) as SimulatedWorker;
+const scheduledActions = new WeakMap<PartitionSimulation, { at: number; action: () => void }[]>();
 
-function scheduleAfter(simulation: PartitionSimulation, ms: number, act: () => void): void {
-  const acts = scheduledActions.get(simulation) ?? [];
-  scheduledActions.set(simulation, [...acts, { at: simulation.now + ms, act }]);
+function scheduleAfter(simulation: PartitionSimulation, ms: number, action: () => void): void {
+  const actions = scheduledActions.get(simulation) ?? [];
+  scheduledActions.set(simulation, [...actions, { at: simulation.now + ms, action }]);
 }
 
-function setForDuration(
+function setFlagForDuration(
   simulation: PartitionSimulation,
   ms: number,
   id: string,
@@ -250,35 +254,35 @@
 }
 
 const faults: Record<string, Fault> = {
-  'the source ends': (simulation) => simulation.loseMachine(sourceOfMove(simulation)),
-  'the target ends': (simulation) => simulation.loseMachine(targetOfMove(simulation)),
-  'the source is silent for longer than its lease': (simulation) =>
-    setForDuration(simulation, 15_000, sourceOfMove(simulation), 'heartbeatsLost'),
-  'the target is silent for longer than its lease': (simulation) =>
-    setForDuration(simulation, 15_000, targetOfMove(simulation), 'heartbeatsLost'),
-  'the source is silent for a moment': (simulation) =>
-    setForDuration(simulation, 3000, sourceOfMove(simulation), 'heartbeatsLost'),
-  'the source hears nothing': (simulation) =>
-    setForDuration(simulation, 15_000, sourceOfMove(simulation), 'responsesLost'),
-  'the target hears nothing': (simulation) =>
-    setForDuration(simulation, 15_000, targetOfMove(simulation), 'responsesLost'),
-  'the target is about to be taken away': (simulation) =>
+  'the source terminates': (simulation) => simulation.loseMachine(sourceOfMove(simulation)),
+  'the target terminates': (simulation) => simulation.loseMachine(targetOfMove(simulation)),
+  'the heartbeats of the source are lost for longer than its lease': (simulation) =>
+    setFlagForDuration(simulation, 15_000, sourceOfMove(simulation), 'heartbeatsLost'),
+  'the heartbeats of the target are lost for longer than its lease': (simulation) =>
+    setFlagForDuration(simulation, 15_000, targetOfMove(simulation), 'heartbeatsLost'),
+  'the heartbeats of the source are lost for 3 seconds': (simulation) =>
+    setFlagForDuration(simulation, 3000, sourceOfMove(simulation), 'heartbeatsLost'),
+  'the responses to the source are lost': (simulation) =>
+    setFlagForDuration(simulation, 15_000, sourceOfMove(simulation), 'responsesLost'),
+  'the responses to the target are lost': (simulation) =>
+    setFlagForDuration(simulation, 15_000, targetOfMove(simulation), 'responsesLost'),
+  'the target gets a preemption notice': (simulation) =>
     (worker(simulation, targetOfMove(simulation)).preemptionNoticeS = 30),
-  'the source is about to be taken away': (simulation) =>
+  'the source gets a preemption notice': (simulation) =>
     (worker(simulation, sourceOfMove(simulation)).preemptionNoticeS = 30),
-  'the target is to leave the partition': (simulation) =>
+  'the target is drained for another partition': (simulation) =>
     simulation.core.drainForTransfer(targetOfMove(simulation), 'p1', simulation.now),
-  'the moved job is cancelled': (simulation) => simulation.cancel(IDLE.ref),
-  'the waiting job is cancelled': (simulation) => simulation.cancel(URGENT.ref),
-  'the partition changes hands': (simulation) => simulation.takeOver(),
-  'the partition changes hands twice': (simulation) => {
+  'the moved job is cancelled': (simulation) => simulation.cancel(SMALL_TASKS_JOB.ref),
+  'the pending job is cancelled': (simulation) => simulation.cancel(LARGE_TASK_JOB.ref),
+  'another controller takes the partition over': (simulation) => simulation.takeOver(),
+  'the partition is taken over twice': (simulation) => {
     simulation.takeOver();
     scheduleAfter(simulation, 3000, () => simulation.takeOver());
   },
-  'no report is answered for longer than a lease': (simulation) => {
-    for (const { id } of simulation.workers) setForDuration(simulation, 15_000, id, 'heartbeatsLost');
+  'the heartbeats of all machines are lost for longer than a lease': (simulation) => {
+    for (const { id } of simulation.workers) setFlagForDuration(simulation, 15_000, id, 'heartbeatsLost');
   },
-  'old reports come again': (simulation) => {
+  'old heartbeats are repeated': (simulation) => {
     for (const { lastHeartbeat } of simulation.workers) {
       if (!lastHeartbeat) continue;
       simulation.core.handleHeartbeat(lastHeartbeat, simulation.now);
@@ -289,37 +293,39 @@
       );
     }
   },
-  'the target fills with something else': (simulation) => {
+  'the target is cordoned for 10 seconds': (simulation) => {
     const machine = simulation.core.machines.get(targetOfMove(simulation));
     if (machine) machine.cordoned = true;
     scheduleAfter(simulation, 10_000, () => simulation.core.uncordon(targetOfMove(simulation)));
   },
 };
 
-/** Every quarter of a second from before the first move until well after the last. */
-const INJECTED_AT = Array.from({ length: 60 }, (_, i) => MOVES_START_MS + i * STEP_MS);
+/** Faults are injected every 250 ms, from before the first move until well after the last. */
+const INJECTION_TIMES = Array.from({ length: 60 }, (_, i) => MOVES_START_MS + i * STEP_MS);
 
 for (const [name, fault] of Object.entries(faults))
-  test(`at any step of a move: ${name}`, () => {
-    let begun = 0;
-    for (const at of INJECTED_AT) {
-      const simulation = new PartitionSimulation(ON);
+  test(`fault at any step of a move: ${name}`, () => {
+    let begunCount = 0;
+    for (const at of INJECTION_TIMES) {
+      const simulation = new PartitionSimulation(BALANCER_ON);
       simulation.runUntil(at);
       const firstOwner = simulation.moves;
       fault(simulation);
       while (simulation.now < END_MS && !(simulation.finished && simulation.now > at + 40_000)) {
         simulation.step();
-        for (const due of scheduledActions.get(simulation) ?? []) if (due.at === simulation.now) due.act();
+        for (const due of scheduledActions.get(simulation) ?? []) if (due.at === simulation.now) due.action();
       }
-      begun += firstOwner?.balancer.tracker.counters.begun ?? 0;
-      assert.ok(simulation.finished, `not all done, fault at ${at}`);
-      assert.deepEqual(simulation.leakedResources(), [], `left behind, fault at ${at}`);
-      const moved = new Map<string, number>();
+      begunCount += firstOwner?.balancer.tracker.counters.begun ?? 0;
+      assert.ok(simulation.finished, `jobs not finished, fault at ${at}`);
+      assert.deepEqual(simulation.leakedResources(), [], `resources not released, fault at ${at}`);
+      const moveCounts = new Map<string, number>();
       for (const decision of simulation.moves?.takeDecisions() ?? []) {
         const { event, task, cause } = decision as { event: string; task: string; cause: string };
-        if (event === 'begun') moved.set(`${task} ${cause}`, (moved.get(`${task} ${cause}`) ?? 0) + 1);
+        if (event === 'begun')
+          moveCounts.set(`${task} ${cause}`, (moveCounts.get(`${task} ${cause}`) ?? 0) + 1);
       }
-      for (const [what, times] of moved) assert.equal(times, 1, `${what} moved ${times} times for one cause`);
+      for (const [taskAndCause, count] of moveCounts)
+        assert.equal(count, 1, `${taskAndCause} moved ${count} times for one cause`);
     }
-    assert.ok(begun > 0, 'the faults met moves');
+    assert.ok(begunCount > 0, 'no run began a move');
   });
