--- a/packages/load-balancer/src/move-cost.ts
+++ b/packages/load-balancer/src/move-cost.ts
@@ -50,20 +50,20 @@
 export function moveCost(task: TaskSnapshot, target: MachineSnapshot | null, context: CostContext): MoveCost {
   const { spec, phase, elapsedS } = task;
   const isRunning = phase === 'running';
-  const saves = isRunning && spec.checkpointIntervalS > 0;
+  const writesCheckpoint = isRunning && spec.checkpointIntervalS > 0;
   return {
     // Source and target each receive a command with their next heartbeat, after half an interval on average.
     commandLatencyS: context.heartbeatIntervalS,
-    checkpointS: saves ? spec.checkpointDurationS : 0,
-    restoreS: saves ? spec.checkpointDurationS : 0,
+    checkpointS: writesCheckpoint ? spec.checkpointDurationS : 0,
+    restoreS: writesCheckpoint ? spec.checkpointDurationS : 0,
     fetchS: target ? fetchSeconds(spec, target) : 0,
-    lostWorkS: isRunning && !saves ? elapsedS : 0,
+    lostWorkS: isRunning && !writesCheckpoint ? elapsedS : 0,
     queueWaitS: target ? 0 : context.requeueDelayS(spec),
-    contentionS: target ? crowdingSeconds(spec, target, context) : 0,
+    contentionS: target ? contentionSeconds(spec, target, context) : 0,
   };
 }
 
-function crowdingSeconds(
+function contentionSeconds(
   { resources }: JobSnapshot,
   { id, capacity }: MachineSnapshot,
   context: CostContext,
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -15,7 +15,7 @@
 /** Number of pending jobs planned for in one round, the most urgent first. */
 const MAX_JOBS_PER_ROUND = 6;
 const MAX_CLEARED_MACHINES_PER_JOB = 4;
-/** Limit of the waiting time that a clearing counts as saving, however long the wait would be. */
+/** Maximum waiting time that a clearing is taken to save, however long the wait would be. */
 const MAX_GAIN_S = 300;
 /** Quantile of their remaining time at which tasks are assumed to end, because a wait that may end by itself is worth less. */
 const EARLY_END_PROBABILITY = 0.35;
--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -37,7 +37,7 @@
   | { kind: 'target-full' }
   | { kind: 'timeout' };
 
-/** An action that the executor must take when the state of a move changes. */
+/** An action that the executor must take: `free-task` releases a held task, `release-room` the target's reservation. */
 export type MoveEffect = 'stop-source' | 'hold-task' | 'free-task' | 'release-room';
 
 /** The state of a move after an event, and the effects to carry out in this order. */
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -28,7 +28,7 @@
   reason: string | null;
 }
 
-/** The begin or the end of a move, for the log. */
+/** The beginning or end of a move, for the log. */
 export interface MoveDecision {
   move: Readonly<Move>;
   event: 'begun' | 'completed' | 'abandoned';
@@ -46,8 +46,8 @@
 const MAX_BUFFERED_DECISIONS = 200;
 
 /**
- * Tracks the moves of one partition under one owner. Moves end with the owner's epoch and are stored nowhere else. The task of
- * a move that is lost is left to ordinary placement.
+ * Tracks the moves of one partition under one owner. Moves end with the owner's epoch and are stored nowhere else. If a move is
+ * lost, its task is left to ordinary placement.
  */
 export class MoveTracker {
   /** Number of moves by outcome; shown in `GET /status`. */
--- a/packages/load-balancer/src/partition-snapshot.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -31,7 +31,7 @@
   checkpointDurationS: number;
 }
 
-/** A task that is on a machine, or for which a start command was sent to it. */
+/** A task that is on a machine or is being sent to one. */
 export interface TaskSnapshot extends TaskId {
   spec: JobSnapshot;
   phase: 'fetching' | 'running';
@@ -47,7 +47,7 @@
   capacity: Resources;
   /** Resources that are neither used nor reserved. */
   free: Resources;
-  /** Whether it may get new tasks: it sent a heartbeat recently, receives its owner's responses, stays, and is healthy. */
+  /** Whether it may get new tasks: it sent a heartbeat recently, receives its owner's responses, is not leaving, and is healthy. */
   accepting: boolean;
   /** Number of images that the machine is fetching. */
   activeFetchCount: number;
--- a/packages/load-balancer/src/statistics.ts
+++ b/packages/load-balancer/src/statistics.ts
@@ -1,4 +1,4 @@
-/** Age at which an observation counts half. */
+/** Age at which an observation has half of its weight. */
 const TREND_HALF_LIFE_MS = 20_000;
 
 /** The slope of a quantity over time, exponentially smoothed. */
--- a/packages/load-balancer/src/summary-store.ts
+++ b/packages/load-balancer/src/summary-store.ts
@@ -2,7 +2,7 @@
 
 interface ReceivedSummary {
   summary: LoadSummary;
-  /** Time that the figures describe, or an earlier one, in milliseconds of the receiver's steady clock. */
+  /** The time that the figures describe, or an earlier one, in milliseconds of the receiver's steady clock. */
   asOf: number;
 }
 
--- a/packages/load-balancer/test/summary-store.test.ts
+++ b/packages/load-balancer/test/summary-store.test.ts
@@ -9,13 +9,13 @@
   ['an older summary of the same owner is dropped', { sequence: 9 }, 'repeated'],
   ['a summary of an earlier owner is dropped', { epoch: 4, sequence: 99 }, 'old epoch'],
   ['a later owner may restart the sequence', { epoch: 6, sequence: 1 }, null],
-  ['negative work is dropped', { sequence: 11, running: [-1] }, 'absurd'],
-  ['more free CPUs than CPUs are dropped', { sequence: 11, freeCpus: 101 }, 'absurd'],
-  ['an implausible amount of work is dropped', { sequence: 11, waiting: [1e30] }, 'absurd'],
-  ['a negative age is dropped', { sequence: 11, ageMs: -1 }, 'absurd'],
-  ['a trend that is not a number is dropped', { sequence: 11, trendPerS: Number.NaN }, 'malformed'],
-  ['an empty partition name is dropped', { sequence: 11, partition: '' }, 'malformed'],
-  ['a fractional sequence number is dropped', { sequence: 11.5 }, 'malformed'],
+  ['a summary with negative work is dropped', { sequence: 11, running: [-1] }, 'absurd'],
+  ['a summary with more free CPUs than CPUs is dropped', { sequence: 11, freeCpus: 101 }, 'absurd'],
+  ['a summary with an implausible amount of work is dropped', { sequence: 11, waiting: [1e30] }, 'absurd'],
+  ['a summary with a negative age is dropped', { sequence: 11, ageMs: -1 }, 'absurd'],
+  ['a summary whose trend is not a number is dropped', { sequence: 11, trendPerS: Number.NaN }, 'malformed'],
+  ['a summary with an empty partition name is dropped', { sequence: 11, partition: '' }, 'malformed'],
+  ['a summary with a fractional sequence number is dropped', { sequence: 11.5 }, 'malformed'],
 ];
 
 for (const [name, overrides, fault] of cases)
