--- a/packages/load-balancer/src/move-eligibility.ts
+++ b/packages/load-balancer/src/move-eligibility.ts
@@ -2,7 +2,7 @@
 import { type PlanContext } from './plan-context';
 import { taskKey, type PartitionSnapshot, type PendingTasks, type TaskSnapshot } from './partition-snapshot';
 
-/** The reason that forbids moving a task for a job's pending tasks, whatever the cost; null if it may be moved. */
+/** The reason that forbids moving a task for pending tasks of another job, whatever the cost; null if it may be moved. */
 export function moveRefusal(
   task: TaskSnapshot,
   pending: PendingTasks,
--- a/packages/load-balancer/src/partition-snapshot.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -47,7 +47,7 @@
   capacity: Resources;
   /** Resources that are neither used nor reserved. */
   free: Resources;
-  /** Whether it may get new tasks: it sent a heartbeat recently, receives its owner's responses, is not leaving, and is healthy. */
+  /** Whether new tasks may be placed on it: it sent a heartbeat recently, gets its owner's responses, stays, and is healthy. */
   accepting: boolean;
   /** Number of images that the machine is fetching. */
   activeFetchCount: number;
