--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -20,7 +20,7 @@
     private readonly localityWeight: number,
   ) {}
 
-  observe(machines: Iterable<MachineState>, pendingCpus: number): void {
+  updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void {
     const fills: MachineCpuUsage[] = [];
     for (const machine of machines) {
       const cpus = this.typeOf(machine)?.cpus ?? 0;
@@ -45,6 +45,6 @@
   }
 
   private typeOf(machine: MachineState): MachineType | undefined {
-    return this.core.types().get(machine.record.type);
+    return this.core.machineTypes().get(machine.record.type);
   }
 }
