--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -36,9 +36,9 @@
 
 /** The machine types of the cloud's catalog. */
 export function parseCatalog(body: unknown): MachineType[] | null {
-  const read = z.object({ models: z.array(machineTypeSchema) }).safeParse(body);
-  if (!read.success) return null;
-  return read.data.models.map((m) => ({
+  const parsed = z.object({ models: z.array(machineTypeSchema) }).safeParse(body);
+  if (!parsed.success) return null;
+  return parsed.data.models.map((m) => ({
     name: m.label,
     cpus: m.cpus,
     accelerators: m.accelerators,
@@ -80,10 +80,10 @@
 
 /** One page of the cloud's list; `more`: machines follow the last one. */
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
-  const read = machineListSchema.safeParse(body);
-  if (!read.success) return null;
+  const parsed = machineListSchema.safeParse(body);
+  if (!parsed.success) return null;
   return {
-    machines: read.data.velodromes.map((m) => ({
+    machines: parsed.data.velodromes.map((m) => ({
       name: m.ref,
       type: m.model,
       zone: m.yard,
@@ -91,7 +91,7 @@
       status: m.status,
       ageS: m.age_s,
     })),
-    more: read.data.truncated ?? false,
+    more: parsed.data.truncated ?? false,
   };
 }
 
@@ -126,8 +126,8 @@
 
 /** The ids of machines that were provisioned. */
 export function parseProvisioned(body: unknown): string[] | null {
-  const read = z.object({ velodromes: z.array(z.string()) }).safeParse(body);
-  return read.success ? read.data.velodromes : null;
+  const parsed = z.object({ velodromes: z.array(z.string()) }).safeParse(body);
+  return parsed.success ? parsed.data.velodromes : null;
 }
 
 /** The body of a request that gives machines back. */
--- a/src/protocol/features.ts
+++ b/src/protocol/features.ts
@@ -49,10 +49,10 @@
   const result = featuresSchema.safeParse(content);
   if (result.success) return result.data;
   const issue = result.error.issues[0];
-  throw new FeaturesError(`${path}: ${issue ? describe(issue) : 'not valid'}`, result.error);
+  throw new FeaturesError(`${path}: ${issue ? describeIssue(issue) : 'not valid'}`, result.error);
 }
 
-function describe(issue: z.core.$ZodIssue): string {
+function describeIssue(issue: z.core.$ZodIssue): string {
   const path = issue.path.map(String);
   if (issue.code === 'unrecognized_keys') return `${[...path, issue.keys[0]].join('.')}: unknown field`;
   return `${path.join('.')}: ${issue.message}`;
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -100,12 +100,12 @@
   if (typeof body !== 'object' || body === null || Array.isArray(body)) {
     return { ok: false, reason: 'not a JSON object' };
   }
-  const read = submissionSchema.safeParse(body);
-  if (!read.success) {
-    const issue = read.error.issues[0];
+  const parsed = submissionSchema.safeParse(body);
+  if (!parsed.success) {
+    const issue = parsed.error.issues[0];
     return { ok: false, reason: `${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'invalid'}` };
   }
-  return { ok: true, spec: toJobSpec(read.data) };
+  return { ok: true, spec: toJobSpec(parsed.data) };
 }
 
 function toJobSpec(submission: z.infer<typeof submissionSchema>): JobSpec {
@@ -129,11 +129,11 @@
     checkpointIntervalS: submission.snapshot_every_s,
     checkpointDurationS: submission.snapshot_s,
     deadlineS: submission.due_s ?? null,
-    pipeline: submission.pipeline ? toPipelineLink(submission.pipeline) : null,
+    pipeline: submission.pipeline ? toPipelineMembership(submission.pipeline) : null,
   };
 }
 
-function toPipelineLink(link: z.infer<typeof pipelineSchema>): PipelineMembership {
+function toPipelineMembership(link: z.infer<typeof pipelineSchema>): PipelineMembership {
   return {
     ref: link.ref,
     after: (link.after ?? []).map(({ job, type }) => ({ job, kind: type })),
--- a/src/protocol/policy-script.ts
+++ b/src/protocol/policy-script.ts
@@ -45,14 +45,14 @@
 export function runPolicyScript(path: string, text: string): ScriptOutcome {
   // Loaded only if there is a policy, as loading it would delay every start.
   // eslint-disable-next-line @typescript-eslint/no-require-imports
-  const machine = new LuaMachine(require('fengari') as Fengari);
-  machine.openLibraries();
-  machine.limitResources();
-  return machine.run(path, text);
+  const runtime = new LuaRuntime(require('fengari') as Fengari);
+  runtime.openLibraries();
+  runtime.limitResources();
+  return runtime.run(path, text);
 }
 
 /** A Lua state and its stack; indices are those of the Lua C API, -1 the top of the stack. */
-class LuaMachine {
+class LuaRuntime {
   private readonly state: unknown;
 
   constructor(private readonly fengari: Fengari) {
--- a/src/protocol/policy.ts
+++ b/src/protocol/policy.ts
@@ -58,18 +58,18 @@
 export function parsePolicy(path: string, text: string): Policy {
   const outcome = runPolicyScript(path, text);
   if (!outcome.ok) throw new PolicyError(outcome.message);
-  const read = policySchema.safeParse(outcome.value);
-  if (!read.success) {
-    const issue = read.error.issues[0];
+  const parsed = policySchema.safeParse(outcome.value);
+  if (!parsed.success) {
+    const issue = parsed.error.issues[0];
     const unknown = issue?.code === 'unrecognized_keys' ? issue.keys : [];
     const field = [...(issue?.path.map(String) ?? []), ...unknown];
     const problem = unknown.length > 0 ? 'no such knob' : (issue?.message ?? 'invalid');
     throw new PolicyError(
       `${path}:${lineOf(text, field)}: ${field.join('.') || 'policy'}: ${problem}`,
-      read.error,
+      parsed.error,
     );
   }
-  const { progress_interval_s, headroom, classes } = read.data;
+  const { progress_interval_s, headroom, classes } = parsed.data;
   return { progressIntervalS: progress_interval_s, headroom, classes };
 }
 
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -163,25 +163,25 @@
 }
 
 export function decodeBatch(value: unknown): AcceptedJob[] | null {
-  const read = batchSchema.safeParse(value);
-  if (!read.success) return null;
-  return read.data.map(([ref, stored, acceptedAt]) => ({ acceptedAt, spec: decodeSpec(ref, stored) }));
+  const parsed = batchSchema.safeParse(value);
+  if (!parsed.success) return null;
+  return parsed.data.map(([ref, stored, acceptedAt]) => ({ acceptedAt, spec: decodeSpec(ref, stored) }));
 }
 
 const terminalStatesSchema = z.record(z.string(), z.enum(TERMINAL_STATES));
 
 /** Terminal states by the ref of the job; stored as they are. */
 export function decodeTerminalStates(value: unknown): Record<string, TerminalState> | null {
-  const read = terminalStatesSchema.safeParse(value);
-  return read.success ? read.data : null;
+  const parsed = terminalStatesSchema.safeParse(value);
+  return parsed.success ? parsed.data : null;
 }
 
 const assignedMachinesSchema = z.array(z.string());
 
 /** Ids of machines; stored as they are. */
 export function decodeAssignedMachines(value: unknown): string[] | null {
-  const read = assignedMachinesSchema.safeParse(value);
-  return read.success ? read.data : null;
+  const parsed = assignedMachinesSchema.safeParse(value);
+  return parsed.success ? parsed.data : null;
 }
 
 const progressSchema = z.record(z.string(), z.tuple([z.string(), z.number(), z.number(), z.number()]));
@@ -194,10 +194,10 @@
 }
 
 export function decodeProgress(value: unknown): Map<string, JobProgress> | null {
-  const read = progressSchema.safeParse(value);
-  if (!read.success) return null;
+  const parsed = progressSchema.safeParse(value);
+  if (!parsed.success) return null;
   return new Map(
-    Object.entries(read.data).map(([ref, [doneRanges, doneCount, runningCount, startWatermark]]) => [
+    Object.entries(parsed.data).map(([ref, [doneRanges, doneCount, runningCount, startWatermark]]) => [
       ref,
       { doneRanges, doneCount, runningCount, startWatermark },
     ]),
@@ -260,10 +260,10 @@
   value: unknown,
   revision: number,
 ): Map<string, FleetEntry> | null {
-  const read = fleetSchema.safeParse(value);
-  if (!read.success) return null;
+  const parsed = fleetSchema.safeParse(value);
+  if (!parsed.success) return null;
   const machines = new Map<string, FleetEntry>();
-  for (const { since, type, zone, spot, phase, why, ids } of read.data) {
+  for (const { since, type, zone, spot, phase, why, ids } of parsed.data) {
     const record: MachineRecord = {
       partition,
       phase: phase === STORED_PHASES.active ? 'active' : 'deprovisioning',
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -126,35 +126,35 @@
   } catch (error) {
     throw new SettingsError(`not JSON: ${(error as Error).message}`, error);
   }
-  const read = settingsSchema.safeParse(json);
-  if (!read.success) {
-    const issue = read.error.issues[0];
+  const parsed = settingsSchema.safeParse(json);
+  if (!parsed.success) {
+    const issue = parsed.error.issues[0];
     throw new SettingsError(
       `${issue?.path.join('.') || 'settings'}: ${issue?.message ?? 'invalid'}`,
-      read.error,
+      parsed.error,
     );
   }
-  const s = read.data;
+  const raw = parsed.data;
   return {
-    member: s.member,
-    listenAddress: s.serve_on,
-    peerListenAddress: s.cluster_listen,
-    peers: s.peers.map((p) => ({ member: p.member, address: p.addr })),
-    cloudAddress: s.external.cloud,
-    stateStoreAddress: s.external.state,
-    teams: s.facts.teams.map(toTeam),
-    objectives: s.facts.objectives.flatMap(toObjectives),
-    heartbeatIntervalMs: s.facts.workers.report_s * 1000,
-    workerLeaseMs: s.facts.workers.lease_s * 1000,
-    cancellationDeadlineMs: s.facts.workers.cancel_s * 1000,
+    member: raw.member,
+    listenAddress: raw.serve_on,
+    peerListenAddress: raw.cluster_listen,
+    peers: raw.peers.map((p) => ({ member: p.member, address: p.addr })),
+    cloudAddress: raw.external.cloud,
+    stateStoreAddress: raw.external.state,
+    teams: raw.facts.teams.map(toTeam),
+    objectives: raw.facts.objectives.flatMap(toObjectives),
+    heartbeatIntervalMs: raw.facts.workers.report_s * 1000,
+    workerLeaseMs: raw.facts.workers.lease_s * 1000,
+    cancellationDeadlineMs: raw.facts.workers.cancel_s * 1000,
     stateStoreLimits: {
-      requestRate: s.facts.state.rps,
-      writeRate: s.facts.state.write_rps,
-      valueBytes: s.facts.state.value_kb * 1024 - VALUE_MARGIN_BYTES,
-      txnOps: s.facts.state.txn_ops,
+      requestRate: raw.facts.state.rps,
+      writeRate: raw.facts.state.write_rps,
+      valueBytes: raw.facts.state.value_kb * 1024 - VALUE_MARGIN_BYTES,
+      txnOps: raw.facts.state.txn_ops,
     },
-    cloudRequestRate: s.facts.cloud.rps,
-    cloudListLagMs: s.facts.cloud.list_lag_s * 1000,
+    cloudRequestRate: raw.facts.cloud.rps,
+    cloudListLagMs: raw.facts.cloud.list_lag_s * 1000,
   };
 }
 
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -76,59 +76,59 @@
 }
 
 export function parseEntry(body: unknown): Entry | null {
-  const read = entrySchema.safeParse(body);
-  return read.success ? toEntry(read.data) : null;
+  const parsed = entrySchema.safeParse(body);
+  return parsed.success ? toEntry(parsed.data) : null;
 }
 
 export function parseScan(body: unknown): ScanPage | null {
-  const read = scanSchema.safeParse(body);
-  if (!read.success) return null;
+  const parsed = scanSchema.safeParse(body);
+  if (!parsed.success) return null;
   return {
-    entries: read.data.pairs.map(toEntry),
-    more: read.data.truncated ?? false,
-    revision: read.data.ledger_rev,
+    entries: parsed.data.pairs.map(toEntry),
+    more: parsed.data.truncated ?? false,
+    revision: parsed.data.ledger_rev,
   };
 }
 
 export function parseWatch(body: unknown): WatchResult | null {
-  const read = watchSchema.safeParse(body);
-  if (!read.success) return null;
+  const parsed = watchSchema.safeParse(body);
+  if (!parsed.success) return null;
   const changes: Change[] = [];
-  for (const reported of read.data.news) {
+  for (const reported of parsed.data.news) {
     const change = toChange(reported);
     if (change === null) return null;
     changes.push(change);
   }
-  return { changes, revision: read.data.ledger_rev };
+  return { changes, revision: parsed.data.ledger_rev };
 }
 
 /** The store's revision, which most bodies hold, also that of a read of a key that is not there. */
 export function parseRevision(body: unknown): number | null {
-  const read = revisionSchema.safeParse(body);
-  return read.success ? read.data.ledger_rev : null;
+  const parsed = revisionSchema.safeParse(body);
+  return parsed.success ? parsed.data.ledger_rev : null;
 }
 
 /** The keys whose conditions did not hold. */
 export function parseFailedKeys(body: unknown): string[] | null {
-  const read = failedSchema.safeParse(body);
-  return read.success ? read.data.failed : null;
+  const parsed = failedSchema.safeParse(body);
+  return parsed.success ? parsed.data.failed : null;
 }
 
 /** The id of a new lease. */
 export function parseLease(body: unknown): number | null {
-  const read = leaseSchema.safeParse(body);
-  return read.success ? read.data.permit : null;
+  const parsed = leaseSchema.safeParse(body);
+  return parsed.success ? parsed.data.permit : null;
 }
 
 /** The body of a transaction. */
 export function transactionBody(conditions: Condition[], writes: Write[]): object {
   return {
     if: conditions.map(({ key, revision }) => ({ path: key, stamp: revision })),
-    apply: writes.map(wireWrite),
+    apply: writes.map(toWireWrite),
   };
 }
 
-function wireWrite(write: Write): object {
+function toWireWrite(write: Write): object {
   if ('remove' in write) return { delete: write.remove };
   const { put, value, leaseId } = write;
   return { set: put, v: value, ...(leaseId === undefined ? {} : { permit: leaseId }) };
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -172,10 +172,10 @@
 
 /** The body of the response to an accepted heartbeat. */
 export function heartbeatResponse(token: number, commands: Command[]): object {
-  return { baton: token, orders: commands.map(wireOrder) };
+  return { baton: token, orders: commands.map(toWireOrder) };
 }
 
-function wireOrder(command: Command): object {
+function toWireOrder(command: Command): object {
   const order = {
     order: WIRE_ORDERS[command.op],
     piece: `${command.ref}/${command.index}`,
--- a/src/storage/fleet-edit.ts
+++ b/src/storage/fleet-edit.ts
@@ -20,7 +20,7 @@
 /** The new record of each machine; null: the machine no longer exists. */
 export type FleetChanges = ReadonlyMap<string, MachineRecord | null>;
 
-type Machines = [string, FleetWrite][];
+type MachineWrites = [string, FleetWrite][];
 
 /** The part of a value that the machines of one edit may take. */
 const MAX_EDIT_SIZE_RATIO = 0.4;
@@ -41,12 +41,12 @@
 ): FleetEdit {
   const { ids, touchedKeys, transfers } = chooseMachines(replica, partition, changes, limits);
   const changed = new Set(ids);
-  const rest = touchedKeys.map((key) => ({
+  const remaining = touchedKeys.map((key) => ({
     key,
     machines: remainingMachines(replica.fleetInKey(key), partition, changes, changed),
   }));
   const conditions = touchedKeys.map((key) => ({ key, revision: replica.storeReplica.revisionOf(key) }));
-  const writes = rewriteValues(replica, rest, limits);
+  const writes = rewriteValues(replica, remaining, limits);
   for (const [target, machines] of transfers) {
     const key = keys.fleet(target, name);
     conditions.push({ key, revision: 0 });
@@ -71,10 +71,10 @@
   partition: string,
   changes: FleetChanges,
   limits: FleetLimits,
-): { ids: string[]; touchedKeys: string[]; transfers: ReadonlyMap<string, Machines> } {
+): { ids: string[]; touchedKeys: string[]; transfers: ReadonlyMap<string, MachineWrites> } {
   const ids: string[] = [];
   const touchedKeys = new Set<string>();
-  const transfers = new Map<string, Machines>();
+  const transfers = new Map<string, MachineWrites>();
   let freeBytes = limits.valueBytes * MAX_EDIT_SIZE_RATIO;
   for (const [id, change] of changes) {
     const machine = replica.machines.get(id);
@@ -97,7 +97,7 @@
 /** Writes what remains in each value; values that fit into one become one, so that later edits touch fewer. */
 function rewriteValues(
   replica: ReplicaView,
-  values: readonly { key: string; machines: Machines }[],
+  values: readonly { key: string; machines: MachineWrites }[],
   limits: FleetLimits,
 ): Write[] {
   const merged = encodeFleet(values.flatMap(({ machines }) => machines));
@@ -115,8 +115,8 @@
   partition: string,
   changes: FleetChanges,
   changed: ReadonlySet<string>,
-): Machines {
-  const remaining: Machines = [];
+): MachineWrites {
+  const remaining: MachineWrites = [];
   for (const [id, entry] of fleet) {
     const change = changed.has(id) ? changes.get(id) : undefined;
     if (change === undefined) remaining.push([id, entry]);
--- a/src/storage/fleet-index.ts
+++ b/src/storage/fleet-index.ts
@@ -13,34 +13,35 @@
   readonly machines = new Map<string, StoredMachine>();
   /** Keys of fleet values that hold no machine any more. */
   readonly emptyKeys = new Set<string>();
-  private readonly fleets = new Map<string, ReadonlyMap<string, FleetEntry>>();
+  private readonly fleetValues = new Map<string, ReadonlyMap<string, FleetEntry>>();
   /** Machines that left the value that held them, until the replica is a snapshot again. */
-  private readonly unplaced = new Map<string, { key: string; partition: string }>();
+  private readonly removalCandidates = new Map<string, { key: string; partition: string }>();
 
   constructor(private readonly events: Subject<ReplicaEvent>) {}
 
   /** The machines of one fleet value. */
   fleetInKey(key: string): ReadonlyMap<string, FleetEntry> {
-    return this.fleets.get(key) ?? new Map<string, FleetEntry>();
+    return this.fleetValues.get(key) ?? new Map<string, FleetEntry>();
   }
 
   /** The fleet values of a partition that hold machines, by key. */
   fleetValuesOf(partition: string): [string, ReadonlyMap<string, FleetEntry>][] {
-    return [...this.fleets].filter(([key]) => partitionOfKey(key) === partition);
+    return [...this.fleetValues].filter(([key]) => partitionOfKey(key) === partition);
   }
 
   /** The value of a key changed to these machines; null: it was removed. */
-  setFleet(key: string, machines: ReadonlyMap<string, FleetEntry> | null): void {
-    const before = this.fleets.get(key);
+  setFleetValue(key: string, machines: ReadonlyMap<string, FleetEntry> | null): void {
+    const before = this.fleetValues.get(key);
     const after = machines ?? new Map<string, FleetEntry>();
-    if (after.size > 0) this.fleets.set(key, after);
-    else this.fleets.delete(key);
+    if (after.size > 0) this.fleetValues.set(key, after);
+    else this.fleetValues.delete(key);
     if (machines !== null && after.size === 0) this.emptyKeys.add(key);
     else this.emptyKeys.delete(key);
-    for (const [id, entry] of after) this.place(id, entry, key);
+    for (const [id, entry] of after) this.setMachine(id, entry, key);
     const partition = partitionOfKey(key);
     for (const id of before?.keys() ?? []) {
-      if (!after.has(id) && this.machines.get(id)?.key === key) this.unplaced.set(id, { key, partition });
+      if (!after.has(id) && this.machines.get(id)?.key === key)
+        this.removalCandidates.set(id, { key, partition });
     }
   }
 
@@ -50,15 +51,15 @@
    * to another value must not be taken for removed, or its tasks would be started a second time.
    */
   publishRemovals(): void {
-    for (const [id, { key, partition }] of this.unplaced) {
-      if (this.machines.get(id)?.key !== key || this.fleets.get(key)?.has(id)) continue;
+    for (const [id, { key, partition }] of this.removalCandidates) {
+      if (this.machines.get(id)?.key !== key || this.fleetValues.get(key)?.has(id)) continue;
       this.machines.delete(id);
       this.events.next({ kind: 'machine-removed', id, partition });
     }
-    this.unplaced.clear();
+    this.removalCandidates.clear();
   }
 
-  private place(id: string, entry: FleetEntry, key: string): void {
+  private setMachine(id: string, entry: FleetEntry, key: string): void {
     const known = this.machines.get(id);
     if (known && known.revision > entry.revision) return;
     this.machines.set(id, { ...entry, key });
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -48,10 +48,10 @@
   }
 
   /** Notes that a job is cancelled; a second cancellation changes nothing. */
-  cancel(ref: string, revision: number): void {
+  recordCancellation(ref: string, revision: number): void {
     if (this.cancelled.has(ref)) return;
     this.cancelled.set(ref, revision);
-    this.close(ref, 'cancelled');
+    this.setTerminalState(ref, 'cancelled');
   }
 
   /** The cancellations after a revision, as far as they are known here. */
@@ -64,7 +64,7 @@
   }
 
   /** Notes how a job ended; `done` and `cancelled` are final. */
-  close(ref: string, state: JobState): void {
+  setTerminalState(ref: string, state: JobState): void {
     const before = this.terminalStates.get(ref);
     // A job that failed because of its pipeline may still be cancelled by its user, and then stays cancelled.
     if (before === state || before === 'done' || before === 'cancelled') return;
--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -4,7 +4,12 @@
 import { pause, type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
 import { RequestPriority, type RequestQueue } from './request-queue';
-import { logIfMalformed, responseWith, type StoreConnection, type StoreTransport } from './store-connection';
+import {
+  logIfMalformed,
+  responseWithStatus,
+  type StoreConnection,
+  type StoreTransport,
+} from './store-connection';
 import { type StoreReplica } from './store-replica';
 
 /** What a replica feed works with. */
@@ -76,18 +81,18 @@
     // Watches count as requests and wait for their turn like the others.
     const maySend = await queue.awaitTurn(RequestPriority.Decision, 0, Number.POSITIVE_INFINITY);
     if (!maySend) return;
-    const askedAt = clock.steady();
+    const requestedAt = clock.steady();
     const response = await watchTransport.call('GET', path, undefined, watchHoldMs + WATCH_TIMEOUT_MARGIN_MS);
-    const watched =
+    const watchResult =
       response?.status === STATUS_OK ? logIfMalformed(log, parseWatch(response.body), 'watch') : null;
-    if (watched === null) {
+    if (watchResult === null) {
       if (response?.status === STATUS_COMPACTED) this.filled = replica.synced = false;
       return pause(clock, WATCH_RETRY_MS);
     }
     const respondedAt = clock.steady();
-    connection.noteResponse();
-    for (const change of watched.changes) replica.apply(change);
-    replica.advance(watched.revision, askedAt);
+    connection.recordResponse();
+    for (const change of watchResult.changes) replica.apply(change);
+    replica.advance(watchResult.revision, requestedAt);
     this.publishIfComplete();
     const now = clock.steady();
     const pauseMs = clamp((now - respondedAt) / MAX_WATCH_COST_RATIO, MIN_WATCH_PAUSE_MS, MAX_WATCH_PAUSE_MS);
@@ -100,7 +105,7 @@
     const entries = new Map<string, Entry>();
     let after = '';
     let firstRevision: number | null = null;
-    const askedAt = clock.steady();
+    const requestedAt = clock.steady();
     for (;;) {
       const outcome = await connection.send({
         method: 'GET',
@@ -108,7 +113,7 @@
         priority: RequestPriority.Decision,
         withinMs: FILL_TIMEOUT_MS,
       });
-      const page = parseScan(responseWith(STATUS_OK, outcome)?.body);
+      const page = parseScan(responseWithStatus(STATUS_OK, outcome)?.body);
       if (!page) return false;
       // Later pages may be newer than the first; watching from the first page's revision repeats what differs.
       firstRevision ??= page.revision;
@@ -119,7 +124,7 @@
       after = last.key;
     }
     replica.replaceAll(entries);
-    replica.advance(firstRevision, askedAt);
+    replica.advance(firstRevision, requestedAt);
     this.filled = true;
     this.publishIfComplete();
     return true;
@@ -139,10 +144,10 @@
   private pauseBetweenWatches(ms: number): Promise<void> {
     const { clock, replica } = this.deps;
     return new Promise((resolve) => {
-      let over = false;
+      let ended = false;
       const end = (): void => {
-        if (over) return;
-        over = true;
+        if (ended) return;
+        ended = true;
         this.expediteWatch = null;
         resolve();
       };
--- a/src/storage/replica-view.ts
+++ b/src/storage/replica-view.ts
@@ -102,7 +102,7 @@
    * write says so, or another controller.
    */
   recordCancellation(ref: string, revision: number): void {
-    this.jobIndex.cancel(ref, revision);
+    this.jobIndex.recordCancellation(ref, revision);
   }
 
   /** The cancellations after a revision, as far as they are known here. */
@@ -150,7 +150,7 @@
   private applyTerminalStates(key: string, value: unknown): void {
     const states = value === null ? {} : decodeTerminalStates(value);
     if (!states) return this.logMalformed(key);
-    for (const [ref, state] of Object.entries(states)) this.jobIndex.close(ref, state);
+    for (const [ref, state] of Object.entries(states)) this.jobIndex.setTerminalState(ref, state);
   }
 
   private applyProgress(key: string, value: unknown): void {
@@ -167,10 +167,10 @@
   }
 
   private applyFleet(key: string, value: unknown, revision: number): void {
-    if (value === null) return this.fleetIndex.setFleet(key, null);
+    if (value === null) return this.fleetIndex.setFleetValue(key, null);
     const machines = decodeFleet(partitionOfKey(key), value, revision);
     if (!machines) return this.logMalformed(key);
-    this.fleetIndex.setFleet(key, machines);
+    this.fleetIndex.setFleetValue(key, machines);
   }
 
   private applyPartition(key: string, value: unknown, epoch: number): void {
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -20,7 +20,7 @@
 import { RequestPriority, RequestQueue, type RequestLimits } from './request-queue';
 import {
   logIfMalformed,
-  responseWith,
+  responseWithStatus,
   StoreConnection,
   type RequestCounters,
   type StoreTransport,
@@ -148,8 +148,8 @@
       priority: RequestPriority.Read,
       withinMs,
     });
-    if (responseWith(STATUS.notFound, outcome)) return { kind: 'absent' };
-    const response = responseWith(STATUS.ok, outcome);
+    if (responseWithStatus(STATUS.notFound, outcome)) return { kind: 'absent' };
+    const response = responseWithStatus(STATUS.ok, outcome);
     const entry = response && logIfMalformed(this.log, parseEntry(response.body), key);
     return entry ? { kind: 'entry', entry } : { kind: 'failed' };
   }
@@ -181,7 +181,7 @@
       priority: RequestPriority.Lease,
       withinMs: OPEN_LEASE_TIMEOUT_MS,
     });
-    return parseLease(responseWith(STATUS.ok, outcome)?.body);
+    return parseLease(responseWithStatus(STATUS.ok, outcome)?.body);
   }
 
   /** Starts the lease's time anew. */
@@ -193,8 +193,8 @@
       priority: RequestPriority.Lease,
       withinMs: LEASE_TIMEOUT_MS,
     });
-    if (responseWith(STATUS.ok, outcome)) return 'renewed';
-    return responseWith(STATUS.notFound, outcome) ? 'ended' : 'failed';
+    if (responseWithStatus(STATUS.ok, outcome)) return 'renewed';
+    return responseWithStatus(STATUS.notFound, outcome) ? 'ended' : 'failed';
   }
 
   /** Ends a lease and removes its keys; true once the store has certainly done so. */
@@ -205,7 +205,9 @@
       priority: RequestPriority.Lease,
       withinMs: LEASE_TIMEOUT_MS,
     });
-    return responseWith(STATUS.ok, outcome) !== null || responseWith(STATUS.notFound, outcome) !== null;
+    return (
+      responseWithStatus(STATUS.ok, outcome) !== null || responseWithStatus(STATUS.notFound, outcome) !== null
+    );
   }
 
   private transactionResult(response: HttpResponse, writes: Write[]): TransactionResult {
--- a/src/storage/store-connection.ts
+++ b/src/storage/store-connection.ts
@@ -36,8 +36,8 @@
 const CALL_TIMEOUT_MS = 1500;
 const MIN_CALL_TIMEOUT_MS = 50;
 /** A throttled request is repeated after this pause, unless it would expire within `MIN_REPEAT_MS`. */
-const THROTTLED_PAUSE_MS = 60;
-const MIN_REPEAT_MS = 100;
+const THROTTLED_RETRY_DELAY_MS = 60;
+const MIN_RETRY_BUDGET_MS = 100;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_UNAVAILABLE = 503;
 
@@ -60,7 +60,7 @@
   }
 
   /** Notes a response that came another way, such as that of a watch. */
-  noteResponse(): void {
+  recordResponse(): void {
     this.lastOkAt = this.clock.steady();
   }
 
@@ -81,17 +81,17 @@
         return 'unanswered';
       }
       if (response.status !== STATUS_TOO_MANY_REQUESTS) {
-        this.noteStatus(response.status, now);
+        this.recordStatus(response.status, now);
         return response;
       }
       this.counters.throttled++;
       this.queue.backOff(writes);
-      if (now + MIN_REPEAT_MS >= deadline) return 'expired';
-      await pause(this.clock, THROTTLED_PAUSE_MS);
+      if (now + MIN_RETRY_BUDGET_MS >= deadline) return 'expired';
+      await pause(this.clock, THROTTLED_RETRY_DELAY_MS);
     }
   }
 
-  private noteStatus(status: number, now: number): void {
+  private recordStatus(status: number, now: number): void {
     if (status === STATUS_UNAVAILABLE) {
       this.counters.refused++;
       this.lastRefusedAt = now;
@@ -102,7 +102,7 @@
 }
 
 /** The response if the store sent one with this status, else null. */
-export function responseWith(status: number, outcome: StoreOutcome): HttpResponse | null {
+export function responseWithStatus(status: number, outcome: StoreOutcome): HttpResponse | null {
   return typeof outcome === 'object' && outcome.status === status ? outcome : null;
 }
 
