--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -164,6 +164,6 @@
   running: number,
   pipeline?: { ref: string } & PipelineJobStatus,
 ): object {
-  const shown = status === 'cancelled' ? 'aborted' : status;
-  return { ref, status: shown, done, running, ...(pipeline ? { pipeline } : {}) };
+  const shownStatus = status === 'cancelled' ? 'aborted' : status;
+  return { ref, status: shownStatus, done, running, ...(pipeline ? { pipeline } : {}) };
 }
--- a/src/protocol/policy-script.ts
+++ b/src/protocol/policy-script.ts
@@ -59,7 +59,7 @@
   private readonly state: unknown;
 
   constructor(private readonly fengari: Fengari) {
-    this.state = this.auxiliary('luaL_newstate');
+    this.state = this.callAuxiliary('luaL_newstate');
   }
 
   /** Opens the base and math libraries and removes the forbidden globals. */
@@ -69,7 +69,7 @@
     this.openLibrary('math', lualib['luaopen_math']);
     for (const name of FORBIDDEN_GLOBALS) {
       this.call('lua_pushnil');
-      this.call('lua_setglobal', this.text(name));
+      this.call('lua_setglobal', this.toLuaString(name));
     }
   }
 
@@ -81,8 +81,8 @@
     const checkLimits = (): void => {
       steps += LIMIT_CHECK_INTERVAL_STEPS;
       if (steps <= MAX_SCRIPT_STEPS && memoryUsedBytes() - bytesBefore < MAX_SCRIPT_BYTES) return;
-      this.auxiliary('luaL_where', this.state, 0);
-      this.call('lua_pushstring', this.text('the script takes too long or too much memory'));
+      this.callAuxiliary('luaL_where', this.state, 0);
+      this.call('lua_pushstring', this.toLuaString('the script takes too long or too much memory'));
       this.call('lua_concat', 2);
       this.call('lua_error');
     };
@@ -91,12 +91,15 @@
 
   run(path: string, text: string): ScriptOutcome {
     const ok = this.fengari.lua['LUA_OK'];
-    const source = this.text(text);
-    const chunkName = this.text(`@${path}`);
-    const loaded = this.auxiliary('luaL_loadbuffer', this.state, source, source.length, chunkName) === ok;
+    const source = this.toLuaString(text);
+    const chunkName = this.toLuaString(`@${path}`);
+    const loaded = this.callAuxiliary('luaL_loadbuffer', this.state, source, source.length, chunkName) === ok;
     if (loaded && this.call('lua_pcall', 0, 1, 0) === ok) return { ok: true, value: this.valueAt(-1) };
     const message = this.call('lua_tostring', -1) as Uint8Array | null;
-    return { ok: false, message: message ? this.fengari.to_jsstring(message) : `${path}: the script failed without a message` };
+    return {
+      ok: false,
+      message: message ? this.fengari.to_jsstring(message) : `${path}: the script failed without a message`,
+    };
   }
 
   /** The JavaScript value at a stack index; null for types that a policy has no use for, such as functions. */
@@ -137,11 +140,11 @@
   }
 
   private openLibrary(name: string, opener: unknown): void {
-    this.auxiliary('luaL_requiref', this.state, this.text(name), opener, 1);
+    this.callAuxiliary('luaL_requiref', this.state, this.toLuaString(name), opener, 1);
     this.call('lua_settop', 0);
   }
 
-  private text(text: string): Uint8Array {
+  private toLuaString(text: string): Uint8Array {
     return this.fengari.to_luastring(text);
   }
 
@@ -150,7 +153,7 @@
     return (this.fengari.lua[name] as LuaFunction)(this.state, ...args);
   }
 
-  private auxiliary(name: string, ...args: unknown[]): unknown {
+  private callAuxiliary(name: string, ...args: unknown[]): unknown {
     return this.fengari.lauxlib[name]?.(...args);
   }
 }
--- a/src/storage/state-store-client.ts
+++ b/src/storage/state-store-client.ts
@@ -128,7 +128,7 @@
     priority: RequestPriority,
     withinMs = TRANSACTION_TIMEOUT_MS,
   ): Promise<TransactionResult> {
-    this.countChanges(writes);
+    this.countRequestedWrites(writes);
     const outcome = await this.connection.send({
       method: 'POST',
       path: storePaths.transaction,
@@ -238,7 +238,7 @@
     this.log.error({ response: response.body, values }, 'state store rejected a transaction as malformed');
   }
 
-  private countChanges(writes: Write[]): void {
+  private countRequestedWrites(writes: Write[]): void {
     for (const write of writes) {
       const kind = keyKind('put' in write ? write.put : write.remove);
       this.requestedWritesByKind[kind] = (this.requestedWritesByKind[kind] ?? 0) + 1;
--- a/test/protocol/config-errors.test.ts
+++ b/test/protocol/config-errors.test.ts
@@ -5,7 +5,7 @@
 import { loadPolicy, parsePolicy } from '../../src/protocol/policy';
 import { parseSettings } from '../../src/protocol/settings';
 
-test('errors in configuration files have a code and, where something failed, its cause', async (t) => {
+test('errors in configuration files have a code and, if another error led to it, that error as its cause', async (t) => {
   const cases: {
     name: string;
     read: () => unknown;
@@ -28,7 +28,7 @@
       cause: true,
     },
     {
-      name: 'a policy that is not there',
+      name: 'a policy file that does not exist',
       read: () => loadPolicy('/nowhere/p.lua'),
       code: 'ERR_INVALID_POLICY',
       message: /^\/nowhere\/p\.lua: ENOENT/,
@@ -56,7 +56,7 @@
       cause: true,
     },
     {
-      name: 'a feature that is unknown',
+      name: 'an unknown feature',
       read: () => parseFeatures('f.toml', '[other]'),
       code: 'ERR_INVALID_FEATURES',
       message: /^f\.toml: other: unknown field$/,
--- a/test/protocol/features.test.ts
+++ b/test/protocol/features.test.ts
@@ -10,11 +10,11 @@
 
 const published = readFileSync(join(root, 'deploy', 'features.schema.json'), 'utf8');
 
-test('the published schema is the one that files are checked against', () => {
+test('the published schema equals the one that files are validated with', () => {
   assert.deepEqual(JSON.parse(published), JSON.parse(JSON.stringify(featuresJsonSchema())));
 });
 
-/** The file, what is named as wrong with it, and whether the schema alone cannot see that. */
+/** The content of a file, the field that its error names, and whether the published schema alone does not detect the error. */
 const files: [string, string | null, boolean?][] = [
   ['', null],
   ['[load_balancer]', null],
@@ -30,10 +30,10 @@
   ['[load_balancer]\ntask_moves = false\nmachine_moves = false', 'load_balancer.enabled', true],
 ];
 
-for (const [text, field, contradiction = false] of files)
-  test(`features: ${JSON.stringify(text)} ${field === null ? 'is fine' : `is refused for ${field}`}`, () => {
+for (const [text, field, undetectedBySchema = false] of files)
+  test(`features: ${JSON.stringify(text)} ${field === null ? 'is accepted' : `is rejected for ${field}`}`, () => {
     const validate = new Ajv2020().compile(JSON.parse(published) as object);
-    assert.equal(validate(parse(text)), field === null || contradiction);
+    assert.equal(validate(parse(text)), field === null || undetectedBySchema);
     if (field === null) return void parseFeatures('f.toml', text);
     assert.throws(
       () => parseFeatures('f.toml', text),
--- a/test/protocol/jobs.test.ts
+++ b/test/protocol/jobs.test.ts
@@ -25,33 +25,33 @@
   due_s: 900,
 };
 
-test('submissions', async (t) => {
+test('submissions are validated, and the reason names the first invalid field', async (t) => {
   const cases: [string, unknown, RegExp | null][] = [
-    ['a full one', submission, null],
+    ['a complete submission', submission, null],
     ['unknown fields are ignored', { ...submission, extra: [1] }, null],
-    ['what may be null may be left out', { ...submission, models: undefined, due_s: undefined }, null],
-    ['not an object', [submission], /not a JSON object/],
-    ['nothing', undefined, /not a JSON object/],
+    ['nullable fields may be omitted', { ...submission, models: undefined, due_s: undefined }, null],
+    ['an array instead of an object', [submission], /not a JSON object/],
+    ['no body', undefined, /not a JSON object/],
     ['a string', 'job-000412', /not a JSON object/],
     ['a missing field', { ...submission, cpus: undefined }, /^cpus: /],
     ['a negative amount', { ...submission, memory_gb: -1 }, /^memory_gb: /],
     ['a non-finite amount', { ...submission, cpus: Number.POSITIVE_INFINITY }, /^cpus: /],
     ['no tasks', { ...submission, pieces: 0 }, /^pieces: /],
     ['too many tasks', { ...submission, pieces: 100_001 }, /^pieces: /],
-    ['half a task', { ...submission, pieces: 1.5 }, /^pieces: /],
-    ['an id of another form', { ...submission, ref: 'task-1' }, /^ref: /],
-    ['an id with a slash', { ...submission, ref: 'job-1/2' }, /^ref: /],
+    ['a fractional number of tasks', { ...submission, pieces: 1.5 }, /^pieces: /],
+    ['a ref of another form', { ...submission, ref: 'task-1' }, /^ref: /],
+    ['a ref with a slash', { ...submission, ref: 'job-1/2' }, /^ref: /],
     ['an unknown urgency', { ...submission, urgency: 'asap' }, /^urgency: /],
     ['an unknown shape', { ...submission, shape: 'ring' }, /^shape: /],
-    ['a text for a number', { ...submission, expected_s: '240' }, /^expected_s: /],
+    ['a string instead of a number', { ...submission, expected_s: '240' }, /^expected_s: /],
   ];
   for (const [name, body, reason] of cases) {
     await t.test(name, () => {
-      const read = parseSubmission(body);
-      assert.equal(read.ok, reason === null);
-      if (!read.ok && reason) {
-        assert.match(read.reason, reason);
-        assert.ok(!read.reason.includes('\n'));
+      const result = parseSubmission(body);
+      assert.equal(result.ok, reason === null);
+      if (!result.ok && reason) {
+        assert.match(result.reason, reason);
+        assert.ok(!result.reason.includes('\n'));
       }
     });
   }
--- a/test/protocol/load-summary.test.ts
+++ b/test/protocol/load-summary.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-codec';
 
-test('summaries cross between controllers whole, and cut short they are dropped', () => {
+test('load summaries are decoded as they were encoded, and truncated frames are rejected', () => {
   const summary = {
     partition: 'p0',
     epoch: 5,
--- a/test/protocol/peers.test.ts
+++ b/test/protocol/peers.test.ts
@@ -3,7 +3,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../../src/protocol/peer-codec';
 import { type PeerMessage } from '../../src/protocol/peers';
 
-test('peers understand each other, and nothing else', () => {
+test('peer messages are decoded as they were encoded, and malformed frames are rejected', () => {
   const demand = {
     workload: 'w',
     cpus: 1,
@@ -65,16 +65,20 @@
     { kind: 'retire', machine: 'i-1', reason: 'idle', force: false },
     { kind: 'handover', partition: 'p0', to: 'b' },
   ];
-  const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
-  // A field left in the schema after the code had dropped it once silenced every load report.
+  const throughJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+  // Guards against a field that stays in the schema after the code dropped it: that once suppressed every load report.
   for (const message of [status, ...messages])
-    assert.deepEqual(plain(decodePeerMessage(encodePeerMessage(message))), plain(message));
+    assert.deepEqual(throughJson(decodePeerMessage(encodePeerMessage(message))), throughJson(message));
   assert.equal(decodePeerMessage(Buffer.from('GET / HTTP/1.1')), null);
-  // A frame cut short, at whatever byte, or of an earlier version, which ends before the fields that came since.
+  // Frames truncated at any byte, which include those of an earlier version that end before the fields added since.
   for (const message of [status, ...messages]) {
-    const whole = encodePeerMessage(message);
-    for (let length = 0; length < whole.length; length++)
-      assert.equal(decodePeerMessage(whole.subarray(0, length)), null, `${message.kind} cut at ${length}`);
-    assert.equal(decodePeerMessage(Buffer.concat([whole, Buffer.from([0])])), null, 'too long');
+    const frame = encodePeerMessage(message);
+    for (let length = 0; length < frame.length; length++)
+      assert.equal(
+        decodePeerMessage(frame.subarray(0, length)),
+        null,
+        `${message.kind} truncated to ${length} bytes`,
+      );
+    assert.equal(decodePeerMessage(Buffer.concat([frame, Buffer.from([0])])), null, 'one byte too long');
   }
 });
--- a/test/protocol/settings.test.ts
+++ b/test/protocol/settings.test.ts
@@ -3,7 +3,7 @@
 import { parseSettings, type ResourceQuota } from '../../src/protocol/settings';
 import { SETTINGS } from '../support/settings-file';
 
-test('settings: the first bad one is named', () => {
+test('settings: the error names the first invalid field', () => {
   assert.equal(parseSettings(JSON.stringify({ ...SETTINGS, later: 1 })).workerLeaseMs, 12_000);
   const cases: [object, RegExp][] = [
     [{ ...SETTINGS, member: 7 }, /^member: /],
@@ -11,13 +11,13 @@
     [{ ...SETTINGS, facts: { ...SETTINGS.facts, teams: [] } }, /^facts\.teams: /],
     [{ ...SETTINGS, external: { cloud: '1.1.1.1:1' } }, /^external\.state: /],
   ];
-  for (const [bad, reason] of cases)
-    assert.throws(() => parseSettings(JSON.stringify(bad)), { message: reason });
+  for (const [invalid, reason] of cases)
+    assert.throws(() => parseSettings(JSON.stringify(invalid)), { message: reason });
   assert.throws(() => parseSettings('{'), { message: /^not JSON/ });
 });
 
-// Guests' jobs were refused with 422: their limit of 0 was taken for nothing allowed, where it says that there is none.
-test('settings: what limits a team', () => {
+// Guards against reading a guest team's limit of 0 as nothing allowed instead of no limit: guests' jobs were rejected with 422.
+test('settings: a team has the limits that are set, and none if they are all zero', () => {
   const cases: [object, ResourceQuota][] = [
     [
       { cpus: 1, cpus_max: 2, gpus: 0, gpus_max: 1 },
--- a/test/protocol/task-ranges.test.ts
+++ b/test/protocol/task-ranges.test.ts
@@ -3,18 +3,18 @@
 import fc from 'fast-check';
 import { decodeRanges, encodeRanges } from '../../src/protocol/task-ranges';
 
-test('progress survives being written as ranges; cut short it only forgets', () => {
+test('task ranges are decoded as they were encoded, and truncated ranges only omit tasks', () => {
   fc.assert(
     fc.property(
       fc.uint8Array({ max: 1, maxLength: 300 }),
       fc.integer({ min: 0, max: 2000 }),
-      (bits, room) => {
-        const text = encodeRanges(bits, (v) => v === 1, room);
-        assert.ok(text.length <= room);
-        const back = new Uint8Array(bits.length);
-        for (const [from, to] of decodeRanges(text)) back.fill(1, from, to + 1);
-        bits.forEach((bit, i) => assert.ok(back[i]! <= bit));
-        if (room >= 2000) assert.deepEqual(back, bits);
+      (bits, maxLength) => {
+        const text = encodeRanges(bits, (v) => v === 1, maxLength);
+        assert.ok(text.length <= maxLength);
+        const decoded = new Uint8Array(bits.length);
+        for (const [from, to] of decodeRanges(text)) decoded.fill(1, from, to + 1);
+        bits.forEach((bit, i) => assert.ok(decoded[i]! <= bit));
+        if (maxLength >= 2000) assert.deepEqual(decoded, bits);
       },
     ),
     { seed: 11 },
--- a/test/recorded-bytes.test.ts
+++ b/test/recorded-bytes.test.ts
@@ -12,7 +12,7 @@
 } from '../src/protocol/records';
 import { keys } from '../src/protocol/keys';
 
-/** Frames between controllers and stored values, as version 0.2.0 first wrote them: a rename in the code must not change them. */
+/** Frames between controllers and stored values, as version 0.2.0 first wrote them. Renames in the code must not change them. */
 const status: PeerMessage = {
   ...{
     kind: 'status',
@@ -75,18 +75,18 @@
   [{ kind: 'handover', partition: 'p0', to: 'b' }, 'CARwMAJi'],
 ];
 
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const throughJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-test('frames that earlier builds recorded are read and written as before', async (t) => {
+test('frames recorded by earlier builds are decoded and encoded unchanged', async (t) => {
   for (const [message, recorded] of frames) {
     await t.test(message.kind, () => {
       assert.equal(encodePeerMessage(message).toString('base64'), recorded);
-      assert.deepEqual(plain(decodePeerMessage(Buffer.from(recorded, 'base64'))), plain(message));
+      assert.deepEqual(throughJson(decodePeerMessage(Buffer.from(recorded, 'base64'))), throughJson(message));
     });
   }
 });
 
-test('values and keys that earlier builds stored are read and written as before', async (t) => {
+test('values and keys stored by earlier builds are decoded and encoded unchanged', async (t) => {
   await t.test('an accepted job', () => {
     const stored = [
       'job-000001',
@@ -118,7 +118,7 @@
     };
     const acceptedAt = '2026-01-02T03:04:05.678Z';
     assert.deepEqual(decodeBatch([stored]), [{ spec, acceptedAt }]);
-    assert.deepEqual(plain(encodeAcceptedJob({ spec, acceptedAt })), stored);
+    assert.deepEqual(throughJson(encodeAcceptedJob({ spec, acceptedAt })), stored);
   });
   await t.test('progress', () => {
     const stored = { 'job-000001': ['0-3,7', 5, 2, 16] };
@@ -147,10 +147,10 @@
     const entries = [...(fleet ?? [])].map(
       ([id, entry]) => [id, { record: entry.record, revision: id === 'i-1' ? 7 : null }] as const,
     );
-    assert.deepEqual(plain(encodeFleet(entries)), stored);
+    assert.deepEqual(throughJson(encodeFleet(entries)), stored);
   });
   await t.test('keys', () => {
-    const named = [
+    const builtKeys = [
       ...[
         keys.member('m'),
         keys.leader,
@@ -166,7 +166,7 @@
         keys.fleet('p0', 'f'),
       ],
     ];
-    assert.deepEqual(named, [
+    assert.deepEqual(builtKeys, [
       ...['hb/member/m', 'hb/leader', 'hb/catalog', 'hb/part/p0', 'hb/batch/b', 'hb/cancel/j'],
       ...['hb/final/p0/1', 'hb/progress/p0/2', 'hb/opened/p0/3', 'hb/fleet/p0/f'],
     ]);
--- a/test/storage/closing.test.ts
+++ b/test/storage/closing.test.ts
@@ -7,7 +7,7 @@
 
 const limits = { requestRate: 10, writeRate: 10, controllers: 1 };
 
-test('a closed request queue refuses what waits and runs no timer', async () => {
+test('a closed request queue refuses waiting and later requests, and runs no timer', async () => {
   const time = new VirtualTime();
   const queue = new RequestQueue(
     time.clock(() => true),
@@ -16,13 +16,20 @@
   const turns = Array.from({ length: 20 }, () => queue.awaitTurn(RequestPriority.Decision, 0, Infinity));
   queue.close();
   const granted = (await Promise.all(turns)).filter(Boolean).length;
-  assert.ok(granted > 0 && granted < turns.length, `${granted} of ${turns.length} had their turn before`);
-  assert.equal(await queue.awaitTurn(RequestPriority.Lease, 0, Infinity), false, 'later ones as well');
+  assert.ok(
+    granted > 0 && granted < turns.length,
+    `${granted} of ${turns.length} had their turn before the close`,
+  );
+  assert.equal(
+    await queue.awaitTurn(RequestPriority.Lease, 0, Infinity),
+    false,
+    'later requests are refused as well',
+  );
   await time.run(10_000);
   assert.equal(time.now, 10_000);
 });
 
-test('the feed of a closed client ends, and asks the store for nothing more', async () => {
+test('the feed of a closed client ends and sends no more requests', async () => {
   const time = new VirtualTime();
   const paths: string[] = [];
   const call = (_method: string, path: string) => {
@@ -48,8 +55,8 @@
   assert.ok(client.replica.synced && !ended);
   client.close();
   await time.run(4000);
-  const asked = paths.length;
+  const requestCount = paths.length;
   assert.ok(ended);
   await time.run(10_000);
-  assert.equal(paths.length, asked);
+  assert.equal(paths.length, requestCount);
 });
--- a/test/storage/progress-slots.test.ts
+++ b/test/storage/progress-slots.test.ts
@@ -3,34 +3,34 @@
 import { type JobProgress } from '../../src/protocol/records';
 import { ProgressSlots } from '../../src/storage/progress-slots';
 
-test('progress keeps its place, fits, and is written only where it differs', () => {
-  const at = (doneRanges: string, startWatermark: number): JobProgress => ({
+test('progress keeps its slot, fits into a value, and is written only if it changed', () => {
+  const progress = (doneRanges: string, startWatermark: number): JobProgress => ({
     doneRanges,
     doneCount: 0,
     runningCount: 0,
     startWatermark,
   });
   const slots = new ProgressSlots(512);
-  const three = new Map(['job-1', 'job-2', 'job-3'].map((ref) => [ref, at('0-3', 8)]));
-  const first = slots.changedValues(three);
+  const jobs = new Map(['job-1', 'job-2', 'job-3'].map((ref) => [ref, progress('0-3', 8)]));
+  const changed = slots.changedValues(jobs);
   assert.deepEqual(
-    first.map((v) => [v.slot, ...v.jobs.keys()]),
+    changed.map((v) => [v.slot, ...v.jobs.keys()]),
     [
       [0, 'job-1', 'job-2'],
       [1, 'job-3'],
     ],
   );
-  for (const value of first) slots.markWritten(value);
+  for (const value of changed) slots.markWritten(value);
   slots.release('job-1');
-  three.delete('job-1');
+  jobs.delete('job-1');
   assert.deepEqual(
-    slots.changedValues(three).map((v) => [v.slot, ...v.jobs.keys()]),
+    slots.changedValues(jobs).map((v) => [v.slot, ...v.jobs.keys()]),
     [[0, 'job-2']],
-    'job-3 stays where it is',
+    'job-3 keeps its slot',
   );
-  const long = Array.from({ length: 200 }, (_, i) => `${2 * i}`).join(',');
-  const [cut] = slots.changedValues(new Map([['job-2', at(long, 399)]]));
-  assert.ok((cut?.text.length ?? 0) <= 512);
-  assert.equal(cut?.jobs.get('job-2')?.startWatermark, 399);
-  assert.match(cut?.jobs.get('job-2')?.doneRanges ?? '', /^0,2,4(,[0-9]+)*$/);
+  const longRanges = Array.from({ length: 200 }, (_, i) => `${2 * i}`).join(',');
+  const [truncated] = slots.changedValues(new Map([['job-2', progress(longRanges, 399)]]));
+  assert.ok((truncated?.text.length ?? 0) <= 512);
+  assert.equal(truncated?.jobs.get('job-2')?.startWatermark, 399);
+  assert.match(truncated?.jobs.get('job-2')?.doneRanges ?? '', /^0,2,4(,[0-9]+)*$/);
 });
--- a/test/storage/replica-view.test.ts
+++ b/test/storage/replica-view.test.ts
@@ -31,68 +31,68 @@
   spot: true,
 };
 
-/** A replica that is told changes as the watch would. */
+/** A replica view over a replica to which changes are applied as a watch would apply them. */
 class ReplicaHarness {
   readonly replica: ReplicaView;
   readonly events: string[] = [];
   readonly malformedKeys: string[] = [];
   private revision = 0;
-  private whole = true;
+  private publishesEachChange = true;
 
   constructor() {
-    const never = { call: () => new Promise<never>(() => undefined) };
+    const silentTransport = { call: () => new Promise<never>(() => undefined) };
     const log = pino(
       { level: 'error' },
       { write: (line: string) => void this.malformedKeys.push((JSON.parse(line) as { key: string }).key) },
     );
     const clock = new VirtualTime().clock(() => true);
-    const ledger = new StateStoreClient(
-      { transport: never, watchTransport: never, clock, log },
+    const stateStore = new StateStoreClient(
+      { transport: silentTransport, watchTransport: silentTransport, clock, log },
       {
         requestRate: 1,
         writeRate: 1,
         controllers: 1,
       },
     );
-    this.replica = new ReplicaView(ledger.replica, log);
+    this.replica = new ReplicaView(stateStore.replica, log);
     this.replica.events.subscribe((e) => {
       if (e.kind === 'machine' || e.kind === 'machine-removed') this.events.push(`${e.kind} ${e.id}`);
       else if (e.kind !== 'members') this.events.push(`${e.kind} ${e.job.spec.ref} ${e.job.state}`);
     });
   }
 
-  /** Changes that come together, as those of one transaction do. */
+  /** Applies changes that arrive together, like those of one transaction. */
   inOneTransaction(...changes: (() => void)[]): this {
-    this.whole = false;
+    this.publishesEachChange = false;
     for (const change of changes) change();
-    this.whole = true;
+    this.publishesEachChange = true;
     this.replica.storeReplica.snapshots.next();
     return this;
   }
 
-  private endBatch(): this {
-    if (this.whole) this.replica.storeReplica.snapshots.next();
+  private publishSnapshot(): this {
+    if (this.publishesEachChange) this.replica.storeReplica.snapshots.next();
     return this;
   }
 
   change(key: string, value: unknown, revision = ++this.revision): this {
     this.revision = Math.max(this.revision, revision);
-    // The wire gives back what JSON keeps.
+    // Values pass through JSON on the wire.
     const v = JSON.parse(JSON.stringify(value)) as unknown;
     this.replica.storeReplica.entries.set(key, { key, value: v, revision, leaseId: null });
     this.replica.storeReplica.changes.next({ key, value: v, revision });
-    return this.endBatch();
+    return this.publishSnapshot();
   }
 
   remove(key: string): this {
     this.replica.storeReplica.entries.delete(key);
     this.replica.storeReplica.changes.next({ key, deleted: true, revision: ++this.revision });
-    return this.endBatch();
+    return this.publishSnapshot();
   }
 
-  acceptJobs(name: string, jobs: JobSpec[], version?: number): this {
+  acceptJobs(name: string, jobs: JobSpec[], revision?: number): this {
     const value = jobs.map((s) => encodeAcceptedJob({ spec: s, acceptedAt: '2026-01-01T00:00:00.000Z' }));
-    return this.change(keys.batch(name), value, version ?? ++this.revision);
+    return this.change(keys.batch(name), value, revision ?? ++this.revision);
   }
 
   putFleet(partition: string, name: string, ids: string[], change: Partial<MachineRecord> = {}): this {
@@ -103,14 +103,14 @@
   }
 }
 
-test('what the store says, by name', async (t) => {
+test('changes in the store are applied to the replica view', async (t) => {
   const cases: [string, (t: ReplicaHarness) => void][] = [
     [
-      'a job is kept as it was asked for',
+      'a job keeps the spec that was submitted',
       (harness) => assert.deepEqual(harness.acceptJobs('a', [spec]).replica.jobs.get('job-1')?.spec, spec),
     ],
     [
-      'of two batches that hold a job the earlier one counts, in whatever order they are read',
+      'if two batches hold a job, the one with the lower revision counts, in whatever order they are read',
       (harness) => {
         harness.acceptJobs('late', [{ ...spec, tasks: 9 }], 20).acceptJobs('early', [spec], 10);
         assert.deepEqual(
@@ -120,7 +120,7 @@
       },
     ],
     [
-      'an end that is read before the job is not lost',
+      'a terminal state that is read before its job is not lost',
       (harness) => {
         harness.change(keys.terminalStates('p0', 0), { 'job-1': 'done' }).acceptJobs('a', [spec]);
         assert.equal(harness.replica.jobs.get('job-1')?.state, 'done');
@@ -128,7 +128,7 @@
       },
     ],
     [
-      'done stays done, and a failed job may still be cancelled, for good',
+      'a done job stays done, and a failed job may still be cancelled, which is final',
       (harness) => {
         harness.acceptJobs('a', [spec, { ...spec, ref: 'job-2' }]);
         harness.change(keys.terminalStates('p0', 0), { 'job-1': 'done', 'job-2': 'failed' });
@@ -142,7 +142,7 @@
       },
     ],
     [
-      'a machine moves, whichever of the two values is read first',
+      'a machine moves to another partition, whichever of the two values is read first',
       (harness) => {
         for (const order of [0, 1]) {
           const m = `i-${order}`;
@@ -154,7 +154,7 @@
       },
     ],
     [
-      'a value that is written anew is no news of the machines that stay as they are',
+      'rewriting a value publishes no event for its unchanged machines',
       (harness) => {
         harness.putFleet('p0', 'x', ['i-1', 'i-2']).putFleet('p0', 'y', ['i-3']);
         harness.events.length = 0;
@@ -170,16 +170,16 @@
       },
     ],
     [
-      'values that become one: nobody is gone, in whatever order they are read',
+      'merging values reports no machine as removed, even if the removed key is read first',
       (harness) => {
         harness.putFleet('p0', 'x', ['i-1', 'i-2']).putFleet('p0', 'y', ['i-3', 'i-4']);
         harness.events.length = 0;
-        const both = [...harness.replica.machines].map(
+        const allMachines = [...harness.replica.machines].map(
           ([id, { record, revision }]) => [id, { record, revision }] as const,
         );
         harness.inOneTransaction(
           () => harness.remove(keys.fleet('p0', 'y')),
-          () => harness.change(keys.fleet('p0', 'x'), encodeFleet(both)),
+          () => harness.change(keys.fleet('p0', 'x'), encodeFleet(allMachines)),
         );
         assert.deepEqual(harness.events, []);
         assert.equal(harness.replica.machines.size, 4);
@@ -193,7 +193,7 @@
       },
     ],
     [
-      'many machines move with two changes, and their values become one',
+      'many machines move to another partition with few writes, and their old values are merged',
       (harness) => {
         harness.putFleet('p0', 'x', ['i-1', 'i-2']).putFleet('p0', 'y', ['i-3', 'i-4']);
         const moved = new Map(['i-1', 'i-3'].map((id) => [id, { ...MACHINE_RECORD, partition: 'p1' }]));
@@ -209,15 +209,19 @@
       },
     ],
     [
-      // Removed, it was written once more by a try of the leader's that came late: machines stood in two partitions.
-      'a value that the present leader first wrote stays when it is empty, that of an earlier one goes',
+      // Guards against removing such a key: a late attempt of the leader's transaction wrote the value again, and machines were
+      // in two partitions.
+      'an empty value that the current leader first wrote is kept, and that of an earlier leader is removed',
       (harness) => {
         harness.change(keys.leader, { member: 'a' });
         const leader = harness.replica.leader?.term ?? 0;
         const [present, earlier] = [`${leader}-1`, `${leader - 1}-1`];
         harness.putFleet('p0', present, ['i-1']).putFleet('p0', earlier, ['i-2']);
-        const gone = new Map([...harness.replica.machines.keys()].map((id) => [id, null]));
-        const { writes } = planFleetEdit(harness.replica, 'p0', gone, 'n', { valueBytes: 4096, txnOps: 12 });
+        const removed = new Map([...harness.replica.machines.keys()].map((id) => [id, null]));
+        const { writes } = planFleetEdit(harness.replica, 'p0', removed, 'n', {
+          valueBytes: 4096,
+          txnOps: 12,
+        });
         assert.deepEqual(writes, [
           { put: keys.fleet('p0', present), value: [] },
           { remove: keys.fleet('p0', earlier) },
@@ -229,11 +233,11 @@
       },
     ],
     [
-      'what does not fit into one transaction is left for the next',
+      'changes that do not fit into one transaction are left for the next',
       (harness) => {
         for (let i = 0; i < 5; i++) harness.putFleet('p0', `x${i}`, [`i-${i}`]);
-        const gone = new Map(Array.from({ length: 5 }, (_, i) => [`i-${i}`, null]));
-        const { ids, writes } = planFleetEdit(harness.replica, 'p0', gone, 'n', {
+        const removed = new Map(Array.from({ length: 5 }, (_, i) => [`i-${i}`, null]));
+        const { ids, writes } = planFleetEdit(harness.replica, 'p0', removed, 'n', {
           valueBytes: 4096,
           txnOps: 3,
         });
@@ -241,18 +245,18 @@
       },
     ],
     [
-      'malformed values are named and left out, the rest goes on',
+      'malformed values are logged by key and ignored, and later changes are applied',
       (harness) => {
-        const bad: [string, unknown][] = [
+        const malformed: [string, unknown][] = [
           [keys.batch('b'), [['job-9', {}, 'now']]],
           [keys.terminalStates('p0', 1), { 'job-9': 'perhaps' }],
           [keys.progress('p0', 0), { 'job-9': 'half' }],
           [keys.fleet('p0', 'z'), { ids: 'i-9' }],
         ];
-        for (const [key, value] of bad) harness.change(key, value);
+        for (const [key, value] of malformed) harness.change(key, value);
         assert.deepEqual(
           harness.malformedKeys,
-          bad.map(([key]) => key),
+          malformed.map(([key]) => key),
         );
         harness.acceptJobs('a', [spec]);
         assert.equal(harness.replica.jobs.size, 1);
@@ -262,61 +266,61 @@
   for (const [name, run] of cases) await t.test(name, () => run(new ReplicaHarness()));
 });
 
-test('opened machines are listed with one change, in the room that those gone leave', async (t) => {
+test('assigned machines are recorded with one write, in the space that removed machines leave', async (t) => {
   const cases: {
     name: string;
-    listed: string[][];
-    gone?: string[];
-    open: string[];
-    bytes: number;
-    expect: { n: number; ids: string[]; value: string[] };
+    recorded: string[][];
+    removed?: string[];
+    assigned: string[];
+    valueBytes: number;
+    expect: { index: number; ids: string[]; value: string[] };
   }[] = [
     {
-      name: 'the first',
-      listed: [],
-      open: ['a', 'b'],
-      bytes: 100,
-      expect: { n: 0, ids: ['a', 'b'], value: ['a', 'b'] },
+      name: 'the first machines',
+      recorded: [],
+      assigned: ['a', 'b'],
+      valueBytes: 100,
+      expect: { index: 0, ids: ['a', 'b'], value: ['a', 'b'] },
     },
     {
-      name: 'beside others, none twice',
-      listed: [['a']],
-      open: ['a', 'b'],
-      bytes: 100,
-      expect: { n: 0, ids: ['a', 'b'], value: ['a', 'b'] },
+      name: 'next to other machines, without duplicates',
+      recorded: [['a']],
+      assigned: ['a', 'b'],
+      valueBytes: 100,
+      expect: { index: 0, ids: ['a', 'b'], value: ['a', 'b'] },
     },
-    // A list that only grew would not fit into a value after a few hundred rentals.
+    // A list that only grew would not fit into a value after a few hundred provisioned machines.
     {
-      name: 'in the place of those that are gone',
-      listed: [['a', 'b']],
-      gone: ['a'],
-      open: ['c'],
-      bytes: 12,
-      expect: { n: 0, ids: ['c'], value: ['b', 'c'] },
+      name: 'in the place of removed machines',
+      recorded: [['a', 'b']],
+      removed: ['a'],
+      assigned: ['c'],
+      valueBytes: 12,
+      expect: { index: 0, ids: ['c'], value: ['b', 'c'] },
     },
     {
       name: 'in the next value if one is full, and only as many as fit',
-      listed: [['a', 'b']],
-      open: ['c', 'd', 'e'],
-      bytes: 10,
-      expect: { n: 1, ids: ['c', 'd'], value: ['c', 'd'] },
+      recorded: [['a', 'b']],
+      assigned: ['c', 'd', 'e'],
+      valueBytes: 10,
+      expect: { index: 1, ids: ['c', 'd'], value: ['c', 'd'] },
     },
   ];
-  for (const { name, listed, gone, open, bytes, expect } of cases) {
+  for (const { name, recorded, removed, assigned, valueBytes, expect } of cases) {
     await t.test(name, () => {
       const harness = new ReplicaHarness();
-      for (const [n, ids] of listed.entries()) harness.change(keys.assignedMachines('p0', n), ids);
+      for (const [index, ids] of recorded.entries()) harness.change(keys.assignedMachines('p0', index), ids);
       const { ids, condition, write } = planAssignedMachinesEdit(harness.replica, {
         partition: 'p0',
-        machines: open,
-        exists: (id) => !gone?.includes(id),
-        valueBytes: bytes,
+        machines: assigned,
+        exists: (id) => !removed?.includes(id),
+        valueBytes,
       });
-      const key = keys.assignedMachines('p0', expect.n);
+      const key = keys.assignedMachines('p0', expect.index);
       assert.deepEqual(ids, expect.ids);
       assert.deepEqual(write, { put: key, value: expect.value });
       assert.deepEqual(condition, { key, revision: harness.replica.storeReplica.revisionOf(key) });
-      assert.deepEqual([...harness.replica.assignedMachinesInPartition('p0')], listed.flat());
+      assert.deepEqual([...harness.replica.assignedMachinesInPartition('p0')], recorded.flat());
       assert.equal(harness.replica.assignedMachinesInPartition('p1').size, 0);
     });
   }
--- a/test/storage/state-store-client.test.ts
+++ b/test/storage/state-store-client.test.ts
@@ -12,24 +12,24 @@
 
 const pagePairs = (rows: Row[]): object[] => rows.map(({ key, stamp }) => ({ path: key, v: 1, stamp }));
 
-/** A store whose pages and watches are answered as written, one every 100 ms; after the last nothing comes. */
+/** A store that responds with the given pages and watch results, each after 100 ms. Later watches get no response. */
 function scriptedStateStore(
   pages: [Row[], number][],
   watches: [Row[], number][],
 ): { stateStore: StateStoreClient; time: VirtualTime } {
   const time = new VirtualTime();
-  const later = (answer: HttpResponse | null): Promise<HttpResponse | null> =>
-    new Promise((resolve) => time.at(time.now + (answer ? 100 : 1e6), () => resolve(answer)));
+  const respondLater = (response: HttpResponse | null): Promise<HttpResponse | null> =>
+    new Promise((resolve) => time.at(time.now + (response ? 100 : 1e6), () => resolve(response)));
   let page = 0;
   const call = (_method: string, path: string): Promise<HttpResponse | null> => {
     if (path.startsWith('/watch')) {
       const next = watches.shift();
-      if (!next) return later(null);
+      if (!next) return respondLater(null);
       const news = next[0].map(({ key, stamp }) => ({ set: key, v: 1, stamp }));
-      return later({ status: 200, body: { ledger_rev: next[1], news } });
+      return respondLater({ status: 200, body: { ledger_rev: next[1], news } });
     }
     const [rows, revision] = pages[page++] ?? [[], 0];
-    return later({
+    return respondLater({
       status: 200,
       body: { pairs: pagePairs(rows), truncated: page < pages.length, ledger_rev: revision },
     });
@@ -45,50 +45,50 @@
   };
 }
 
-// A partition that is handed over between two pages of the first snapshot must not begin without what was recorded meanwhile:
-// machines assigned and start watermarks raised; its tasks would be started a second time.
-test('the replica is told as whole only once it is a picture at one revision', async (t) => {
-  const a = { key: 'hb/opened/p0/0', stamp: 9 };
-  const b = { key: 'hb/part/p0', stamp: 12 };
+// Guards against publishing pages of different revisions as a snapshot. A partition that was handed over between two pages
+// would begin without the machines assigned and start watermarks raised meanwhile, and its tasks would be started a second time.
+test('the replica is published only once it is a snapshot at one revision', async (t) => {
+  const assignedMachines = { key: 'hb/opened/p0/0', stamp: 9 };
+  const partition = { key: 'hb/part/p0', stamp: 12 };
   const cases: [string, [Row[], number][], [Row[], number][], number[]][] = [
-    ['one page', [[[a, b], 12]], [], [12]],
+    ['one page', [[[assignedMachines, partition], 12]], [], [12]],
     [
-      'two pages, nothing between them',
+      'two pages without a change in between',
       [
-        [[a], 12],
-        [[b], 12],
+        [[assignedMachines], 12],
+        [[partition], 12],
       ],
       [],
       [12],
     ],
     [
-      'two pages, a change between them',
+      'two pages with a change in between',
       [
-        [[a], 10],
-        [[b], 12],
+        [[assignedMachines], 10],
+        [[partition], 12],
       ],
-      [[[{ ...a, stamp: 11 }, b], 12]],
+      [[[{ ...assignedMachines, stamp: 11 }, partition], 12]],
       [12],
     ],
     [
-      'the watch comes to it in two steps',
+      'the watch reaches the revision of the newest page in two steps',
       [
-        [[a], 10],
-        [[b], 12],
+        [[assignedMachines], 10],
+        [[partition], 12],
       ],
       [
-        [[{ ...a, stamp: 11 }], 11],
-        [[b], 12],
+        [[{ ...assignedMachines, stamp: 11 }], 11],
+        [[partition], 12],
       ],
       [12],
     ],
     [
-      'the watch does not come to it',
+      'the watch does not reach the revision of the newest page',
       [
-        [[a], 10],
-        [[b], 12],
+        [[assignedMachines], 10],
+        [[partition], 12],
       ],
-      [[[{ ...a, stamp: 11 }], 11]],
+      [[[{ ...assignedMachines, stamp: 11 }], 11]],
       [],
     ],
   ];
