--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -80,9 +80,9 @@
       revision: number;
     }
   /**
-   * The response to the status message with this sequence number. `extended`: the sender takes over nothing of the receiver's
-   * for the time of a lease extension from now. An extension is sent with every cancellation that the sender has seen or
-   * confirmed after the receiver's revision, on as many pages as it takes.
+   * The response to the status message with this sequence number. `extended`: the sender will take over none of the receiver's
+   * partitions for the time of a lease extension from now. An extension is sent with every cancellation that the sender has
+   * seen or confirmed after the receiver's revision, on as many pages as it takes.
    */
   | {
       kind: 'pong';
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -67,7 +67,7 @@
   limit: ResourceQuota;
 }
 
-/** The resources that the cluster is divided by between teams. */
+/** The resources by which the cluster is divided between teams. */
 export interface ResourceQuota {
   cpus: number;
   accelerators: number;
--- a/src/storage/fleet-edit.ts
+++ b/src/storage/fleet-edit.ts
@@ -57,9 +57,9 @@
 
 /**
  * Whether the transaction that first wrote this value may still be applied again. A leader retries a transaction whose response
- * was lost, and a lost attempt may be applied late. The transaction is conditional on the absence of the key and on the leader.
- * If the key were removed while that leader leads, a late attempt would put machines that were transferred meanwhile into this
- * value again, and their tasks would be started a second time.
+ * is lost, and an earlier attempt may be applied late. The transaction is conditional on the absence of the key and on the
+ * leader. If the key were removed while that leader leads, such an attempt would put machines that were transferred meanwhile
+ * into this value again, and their tasks would be started a second time.
  */
 export function initialWriteMayBeRetried(replica: ReplicaView, key: string): boolean {
   return replica.leader !== null && leaderTermOfFleetKey(key) === replica.leader.term;
