--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -6,19 +6,19 @@
 import { eligibleZones } from './placement';
 import { countWithinQuota } from './resources';
 
-/** Of what a task was expected to take, the least that it is still expected to. */
+/** Share of its expected run time that a task is expected to need at least, however long it has run. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/** The load of a partition as its owner publishes it to the leader: pending tasks within their teams' quota, and its machines. */
+/** The load of a partition, as its owner publishes it to the leader: pending tasks within their teams' quota, and machines. */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
-  const nothing = { cpus: 0, accelerators: 0, memoryGb: 0 };
+  const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
   const backlog = PRIORITIES.map(() => 0);
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
-    const waiting = Math.min(job.pendingCount, job.maxNewStarts(now));
+    const startable = Math.min(job.pendingCount, job.maxNewStarts(now));
     backlog[spec.priority] =
-      (backlog[spec.priority] ?? 0) + waiting * spec.cpus * partition.estimates.expectedSeconds(spec);
+      (backlog[spec.priority] ?? 0) + startable * spec.cpus * partition.estimates.expectedSeconds(spec);
   }
   return {
     partition: partition.id,
@@ -29,11 +29,11 @@
     backlog,
     demands: demands(partition, now),
     machines: [...partition.machines.values()].map((m) => {
-      const free = partition.freeOn(m) ?? nothing;
+      const free = partition.freeOn(m) ?? noResources;
       return {
         machine: m.id,
         tasks: m.tasks.size,
-        // Below zero while room is being made: more is reserved than is free.
+        // Negative while tasks are stopped to make room: more is reserved than is free.
         freeCpus: Math.max(0, free.cpus),
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
@@ -50,27 +50,28 @@
 
 function demands(partition: PartitionState, now: number): Demand[] {
   const found = new Map<string, Demand>();
-  const rooms = new Map<string, ResourceQuota>();
+  const remainingByTeam = new Map<string, ResourceQuota>();
   const allZones = new Set([...partition.machineTypes().values()].flatMap((t) => t.zones));
   for (const job of partition.jobsInSchedulingOrder()) {
     const { spec } = job;
     if (job.pendingCount === 0 || job.state !== 'open') continue;
-    let room = rooms.get(spec.team);
-    if (!room) rooms.set(spec.team, (room = partition.quota.remaining(spec.team)));
-    const quota = countWithinQuota(room, spec);
-    // No machine is provisioned for a job that fails everywhere.
-    const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), quota);
+    let remaining = remainingByTeam.get(spec.team);
+    if (!remaining) remainingByTeam.set(spec.team, (remaining = partition.quota.remaining(spec.team)));
+    const allowedByQuota = countWithinQuota(remaining, spec);
+    // A job that fails everywhere counts at most with the one task that may be started, so that no machines are provisioned for it.
+    const tasks = Math.min(job.pendingCount, job.maxNewStarts(now), allowedByQuota);
     if (tasks === 0) continue;
-    room.cpus -= tasks * spec.cpus;
-    room.accelerators -= tasks * spec.accelerators;
+    remaining.cpus -= tasks * spec.cpus;
+    remaining.accelerators -= tasks * spec.accelerators;
     const expectedS = partition.estimates.expectedSeconds(spec);
     const { workload, cpus, accelerators, memoryGb, machineTypes, spot, priority } = spec;
     const zones = eligibleZones(spec, allZones, inFlightByZone(job));
     const key = JSON.stringify([workload, cpus, memoryGb, machineTypes, zones, spot]);
-    const known = found.get(key);
-    if (known) {
-      known.expectedS = (known.expectedS * known.tasks + expectedS * tasks) / (known.tasks + tasks);
-      known.tasks += tasks;
+    const existing = found.get(key);
+    if (existing) {
+      existing.expectedS =
+        (existing.expectedS * existing.tasks + expectedS * tasks) / (existing.tasks + tasks);
+      existing.tasks += tasks;
     } else {
       found.set(key, {
         workload,
@@ -89,7 +90,7 @@
   return [...found.values()];
 }
 
-/** How many tasks of a job that must be together or apart are in each zone. */
+/** Number of tasks in flight in each zone for a job that must share or spread over zones; empty for any other job. */
 function inFlightByZone({ spec, inFlight }: PartitionJob): Map<string, number> {
   const zones = new Map<string, number>();
   if (!spec.singleZone && !spec.spreadZones) return zones;
@@ -97,27 +98,30 @@
   return zones;
 }
 
-/** CPU seconds that the tasks now out still take, and when each machine has none any more. */
+/**
+ * Estimates the CPU seconds that the tasks on machines still need, by priority, and the seconds until the last task on each machine
+ * ends.
+ */
 function estimateRemainingWork(
   partition: PartitionState,
   now: number,
 ): { remainingWork: number[]; emptyInS: Map<string, number> } {
   const emptyInS = new Map<string, number>();
   const remainingWork = PRIORITIES.map(() => 0);
-  // Tasks are thousands, jobs are few.
-  const expected = new Map<JobSpec, number>();
+  // Expected run times are computed once per job: there are thousands of tasks, but few jobs.
+  const expectedByJob = new Map<JobSpec, number>();
   for (const machine of partition.machines.values()) {
-    let last = 0;
+    let longestS = 0;
     for (const { spec, runningSince } of machine.tasks.values()) {
       if (!spec) continue;
-      const ran = runningSince === null ? 0 : (now - runningSince) / 1000;
-      const expectedS = expected.get(spec) ?? partition.estimates.expectedSeconds(spec);
-      expected.set(spec, expectedS);
-      const left = Math.max(expectedS - ran, expectedS * MIN_REMAINING_RATIO);
-      remainingWork[spec.priority] = (remainingWork[spec.priority] ?? 0) + spec.cpus * left;
-      last = Math.max(last, left);
+      const ranS = runningSince === null ? 0 : (now - runningSince) / 1000;
+      const expectedS = expectedByJob.get(spec) ?? partition.estimates.expectedSeconds(spec);
+      expectedByJob.set(spec, expectedS);
+      const remainingS = Math.max(expectedS - ranS, expectedS * MIN_REMAINING_RATIO);
+      remainingWork[spec.priority] = (remainingWork[spec.priority] ?? 0) + spec.cpus * remainingS;
+      longestS = Math.max(longestS, remainingS);
     }
-    if (last > 0) emptyInS.set(machine.id, last);
+    if (longestS > 0) emptyInS.set(machine.id, longestS);
   }
   return { remainingWork, emptyInS };
 }
