--- a/src/coordination/fleet/autoscaler.ts
+++ b/src/coordination/fleet/autoscaler.ts
@@ -1,7 +1,7 @@
 import { CapacityPlan } from './capacity-plan';
 import { type FleetAction, type FleetSnapshot } from './fleet-snapshot';
 import { rebalanceMachines, revokeDrains } from './machine-rebalancer';
-import { drainSurplus, scaleInBroken, scaleInIdle, scaleInLateBooting } from './scale-in';
+import { drainSurplus, scaleInUnhealthy, scaleInIdle, scaleInLateBooting } from './scale-in';
 import { scaleOut } from './scale-out';
 
 /**
@@ -10,7 +10,7 @@
  */
 export function planCapacity(snapshot: FleetSnapshot): FleetAction[] {
   const plan = new CapacityPlan(snapshot);
-  scaleInBroken(plan);
+  scaleInUnhealthy(plan);
   scaleOut(plan);
   rebalanceMachines(plan);
   revokeDrains(plan);
--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -15,7 +15,7 @@
 /** A machine that has sent no heartbeat for this long is not counted on. A transfer or a lost heartbeat takes less. */
 const MAX_SILENT_MS = 8000;
 /** If more than this share of a partition's machines is silent, it is the owner that receives no heartbeats. */
-const MAX_MISSING_RATIO = 0.25;
+const MAX_UNRESPONSIVE_RATIO = 0.25;
 /** A kind of machine counts as booting late once more than this share of its machines does. */
 const MIN_LATE_BOOT_RATIO = 0.2;
 
@@ -39,21 +39,21 @@
   /** Number of machines in use or being provisioned, by zone. */
   readonly machinesByZone = new Map<string, number>();
   /** No partition has had a submission for a while. */
-  readonly quiet: boolean;
+  readonly noRecentSubmissions: boolean;
   /** The share of machines that boot late or never, by kind; only kinds where it is considerable. */
   readonly lateBootRatios: ReadonlyMap<string, number>;
   private readonly typeNames = new Map<string, string>();
 
   constructor(readonly snapshot: FleetSnapshot) {
     this.indexMachines();
-    const missing = missingMachines(snapshot.machines);
-    this.emptyPool = this.findEmptyMachines(missing);
+    const unresponsive = unresponsiveMachines(snapshot.machines);
+    this.emptyPool = this.findEmptyMachines(unresponsive);
     // Neither counts as in use: empty machines are in the pool, missing ones take no tasks.
-    const unavailable = new Set([...this.emptyPool.map(({ id }) => id), ...missing]);
+    const unavailable = new Set([...this.emptyPool.map(({ id }) => id), ...unresponsive]);
     this.partitions = snapshot.loads.map((load) =>
       planPartition(load, this.machinesInUse(load, unavailable)),
     );
-    this.quiet = snapshot.loads.every((load) => load.sinceLastJobS > NO_SUBMISSIONS_S);
+    this.noRecentSubmissions = snapshot.loads.every((load) => load.sinceLastJobS > NO_SUBMISSIONS_S);
     this.lateBootRatios = this.computeLateBootRatios();
   }
 
@@ -100,12 +100,12 @@
   }
 
   /** Machines that are idle or booting, except those that boot late: some of these never come up. */
-  private findEmptyMachines(missing: ReadonlySet<string>): EmptyMachine[] {
+  private findEmptyMachines(unresponsive: ReadonlySet<string>): EmptyMachine[] {
     const pool: EmptyMachine[] = [];
     for (const machine of this.snapshot.machines) {
       const type = this.snapshot.types.get(machine.type);
       const load = this.loadOf.get(machine.id);
-      if (!type || machine.deprovisioning || missing.has(machine.id)) continue;
+      if (!type || machine.deprovisioning || unresponsive.has(machine.id)) continue;
       if (this.isLateBooting(machine) || isUnavailable(load)) continue;
       if (!machine.booting && load?.tasks !== 0) continue;
       pool.push(emptyMachine(machine, type, load));
@@ -119,9 +119,9 @@
       const { id, zone, spot } = machine;
       if (machine.partition !== load.partition || machine.deprovisioning || machine.booting) continue;
       const type = this.snapshot.types.get(machine.type);
-      const known = this.loadOf.get(id);
-      if (!type || !known || unavailable.has(id) || isUnavailable(known)) continue;
-      const { freeCpus: cpus, freeAccelerators: accelerators, freeMemoryGb: memoryGb } = known;
+      const machineLoad = this.loadOf.get(id);
+      if (!type || !machineLoad || unavailable.has(id) || isUnavailable(machineLoad)) continue;
+      const { freeCpus: cpus, freeAccelerators: accelerators, freeMemoryGb: memoryGb } = machineLoad;
       machines.push({ id, free: { cpus, accelerators, memoryGb }, type, zone, spot });
     }
     return machines;
@@ -164,7 +164,7 @@
  * Machines that have sent no heartbeat for too long to be counted on. If many of a partition's machines are silent it is
  * their owner that receives nothing, and no reason to provision others in their place.
  */
-function missingMachines(machines: readonly FleetMachine[]): Set<string> {
+function unresponsiveMachines(machines: readonly FleetMachine[]): Set<string> {
   const silent = new Map<string, string[]>();
   const counts = new Map<string, number>();
   for (const { id, partition, booting, deprovisioning, sinceHeartbeatMs } of machines) {
@@ -175,10 +175,10 @@
     ids.push(id);
     silent.set(partition, ids);
   }
-  const missing = [...silent].filter(
-    ([partition, ids]) => ids.length <= MAX_MISSING_RATIO * (counts.get(partition) ?? 0),
+  const unresponsive = [...silent].filter(
+    ([partition, ids]) => ids.length <= MAX_UNRESPONSIVE_RATIO * (counts.get(partition) ?? 0),
   );
-  return new Set(missing.flatMap(([, ids]) => ids));
+  return new Set(unresponsive.flatMap(([, ids]) => ids));
 }
 
 /** Whether a machine is being emptied to go back to the cloud. */
--- a/src/coordination/fleet/fleet-history.ts
+++ b/src/coordination/fleet/fleet-history.ts
@@ -35,7 +35,7 @@
   }
 
   /** A machine's history, which begins now unless the machine is known. */
-  historyOf(id: string, now: number): MachineHistory {
+  getOrCreateHistory(id: string, now: number): MachineHistory {
     const known = this.machines.get(id);
     if (known) return known;
     const history = {
@@ -55,9 +55,9 @@
   recordLoad({ machines }: PartitionLoad, at: number, now: number): void {
     for (const { machine, sinceHeartbeatMs, quarantined } of machines) {
       if (sinceHeartbeatMs < 0) continue;
-      const history = this.historyOf(machine, now);
-      const before = history.lastHeartbeatAt ?? Number.NEGATIVE_INFINITY;
-      history.lastHeartbeatAt = Math.max(before, at - sinceHeartbeatMs);
+      const history = this.getOrCreateHistory(machine, now);
+      const previousHeartbeatAt = history.lastHeartbeatAt ?? Number.NEGATIVE_INFINITY;
+      history.lastHeartbeatAt = Math.max(previousHeartbeatAt, at - sinceHeartbeatMs);
       history.quarantinedSince = quarantined ? (history.quarantinedSince ?? now) : null;
     }
   }
@@ -68,7 +68,7 @@
    * not look as if it never came up, or a new leader would give working machines back.
    */
   recordListed({ name, status, ageS }: ListedMachine, at: number, now: number): void {
-    const history = this.historyOf(name, now);
+    const history = this.getOrCreateHistory(name, now);
     history.firstListedAt ??= now;
     history.status = status;
     history.bootingSince =
@@ -82,19 +82,19 @@
   }
 
   recordTransfer(id: string, now: number): void {
-    this.historyOf(id, now).transferredAt = now;
+    this.getOrCreateHistory(id, now).transferredAt = now;
   }
 
   /** Adds to the machines that are being provisioned for a partition; with a negative `n`, that many are no longer. */
-  countProvisions(partition: string, kind: MachineRequest, n: number): void {
+  adjustProvisionsInFlight(partition: string, kind: MachineRequest, delta: number): void {
     const key = JSON.stringify([partition, kind.type, kind.zone, kind.spot]);
-    const count = (this.provisionsInFlight.get(key)?.count ?? 0) + n;
+    const count = (this.provisionsInFlight.get(key)?.count ?? 0) + delta;
     if (count > 0) this.provisionsInFlight.set(key, { partition, kind, count });
     else this.provisionsInFlight.delete(key);
   }
 
   /** The recorded machines and those that are being provisioned, for planning. */
-  fleet(recorded: Iterable<[string, { record: MachineRecord }]>, now: number): FleetMachine[] {
+  fleetMachines(recorded: Iterable<[string, { record: MachineRecord }]>, now: number): FleetMachine[] {
     const fleet: FleetMachine[] = [];
     for (const [id, { record }] of recorded) fleet.push(this.fleetMachine(id, record, now));
     for (const { partition, kind, count } of this.provisionsInFlight.values())
@@ -104,7 +104,7 @@
 
   private fleetMachine(id: string, record: MachineRecord, now: number): FleetMachine {
     const { partition, type, zone, spot, phase } = record;
-    const history = this.historyOf(id, now);
+    const history = this.getOrCreateHistory(id, now);
     const { lastHeartbeatAt, quarantinedSince } = history;
     return {
       id,
--- a/src/coordination/fleet/machine-rebalancer.ts
+++ b/src/coordination/fleet/machine-rebalancer.ts
@@ -198,9 +198,9 @@
     const target = plan.loadOf.get(id)?.transferTarget;
     const donor = byPartition.get(partition);
     if (target === undefined || target === null || !donor) continue;
-    const isWanted =
+    const isStillUseful =
       target === DRAIN_TO_CLOUD ? !donor.hasUnmetDemand : isBehind(byPartition.get(target), donor);
-    if (!isWanted) plan.drain(id, partition, partition);
+    if (!isStillUseful) plan.drain(id, partition, partition);
   }
 }
 
--- a/src/coordination/fleet/planned-partition.ts
+++ b/src/coordination/fleet/planned-partition.ts
@@ -28,7 +28,7 @@
   readonly pendingDemands: readonly PendingDemand[];
   readonly machines: MachineCapacity[];
   /** CPU seconds that run, and those that wait with the priorities planned for so far. */
-  queuedCpuSeconds: number;
+  outstandingCpuSeconds: number;
   /** Some tasks found no resources on the machines that the partition had when planning began. */
   readonly hasUnmetDemand: boolean;
 }
@@ -42,7 +42,7 @@
     load,
     pendingDemands,
     machines,
-    queuedCpuSeconds: load.remainingWork.reduce((sum, work) => sum + work, 0),
+    outstandingCpuSeconds: load.remainingWork.reduce((sum, work) => sum + work, 0),
     hasUnmetDemand: pendingDemands.some(({ tasks }) => tasks > 0),
   };
 }
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -28,14 +28,14 @@
 const MAX_QUARANTINE_MS = 8000;
 
 /** Gives machines back that are of no use, whatever the demand. */
-export function scaleInBroken(plan: CapacityPlan): void {
+export function scaleInUnhealthy(plan: CapacityPlan): void {
   for (const machine of plan.snapshot.machines) {
-    const reason = machine.deprovisioning ? null : brokenReason(machine, plan);
+    const reason = machine.deprovisioning ? null : unhealthyReason(machine, plan);
     if (reason) plan.scaleIn(machine, reason, true);
   }
 }
 
-function brokenReason(machine: FleetMachine, plan: CapacityPlan): string | null {
+function unhealthyReason(machine: FleetMachine, plan: CapacityPlan): string | null {
   if (machine.failed) return 'failed';
   if (machine.quarantinedMs > MAX_QUARANTINE_MS) return 'fails every task';
   if (machine.booting && machine.ageMs > maxBootMs(machine, plan)) return 'never came up';
@@ -58,7 +58,8 @@
 
 /** Gives machines back that boot late, once no partition has any demand. */
 export function scaleInLateBooting(plan: CapacityPlan): void {
-  if (!plan.quiet || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0)) return;
+  if (!plan.noRecentSubmissions || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0))
+    return;
   for (const machine of plan.snapshot.machines) {
     if (machine.id === '' || machine.deprovisioning || machine.ageMs <= MIN_CHARGED_MS) continue;
     if (plan.isLateBooting(machine)) plan.scaleIn(machine, 'boots too long', true);
@@ -71,12 +72,12 @@
   for (const machine of plan.emptyPool) {
     const load = plan.loadOf.get(machine.id);
     if (!load || load.sinceHeartbeatMs < 0 || transferred.has(machine.id)) continue;
-    if (load.idleMs > maxIdleMs(machine, plan.quiet)) plan.scaleIn(machine, 'idle', false);
+    if (load.idleMs > maxIdleMs(machine, plan.noRecentSubmissions)) plan.scaleIn(machine, 'idle', false);
   }
 }
 
-function maxIdleMs({ spot }: MachineCapacity, quiet: boolean): number {
-  if (quiet) return MAX_IDLE_WITHOUT_SUBMISSIONS_MS;
+function maxIdleMs({ spot }: MachineCapacity, noRecentSubmissions: boolean): number {
+  if (noRecentSubmissions) return MAX_IDLE_WITHOUT_SUBMISSIONS_MS;
   return spot ? MAX_IDLE_MS.spot : MAX_IDLE_MS.onDemand;
 }
 
@@ -105,12 +106,14 @@
   let freeCpus =
     running.reduce((sum, { free }) => sum + free.cpus, 0) - drainingTaskCpus(plan, load.machines);
   // Without submissions more than the tasks' CPUs must be free, as some is needed by what is restarted next.
-  const minFreeRatio = plan.quiet ? MIN_FREE_CAPACITY_RATIO : 1;
-  let drainsLeft = plan.quiet ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO)) : 1;
+  const minFreeRatio = plan.noRecentSubmissions ? MIN_FREE_CAPACITY_RATIO : 1;
+  let drainsLeft = plan.noRecentSubmissions
+    ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO))
+    : 1;
   for (const machine of mostExpensiveFirst(running)) {
     const usedCpus = machine.type.cpus - machine.free.cpus;
     // While jobs still come only on-demand and nearly empty machines are worth draining.
-    if (!plan.quiet && machine.spot && !isNearlyEmpty(machine)) continue;
+    if (!plan.noRecentSubmissions && machine.spot && !isNearlyEmpty(machine)) continue;
     if (freeCpus - machine.free.cpus < minFreeRatio * usedCpus) continue;
     if (plan.emptyInS(machine.id) < MIN_REMAINING_RUN_S) continue;
     if (drainsLeft-- <= 0) break;
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -40,7 +40,8 @@
 export function scaleOut(plan: CapacityPlan): void {
   for (let priority = 0; priority < PRIORITIES.length; priority++) {
     const demands = demandsOfPriority(plan, priority);
-    for (const { partition, pending } of demands) partition.queuedCpuSeconds += cpuSecondsOf(pending.demand);
+    for (const { partition, pending } of demands)
+      partition.outstandingCpuSeconds += expectedCpuSeconds(pending.demand);
     // One machine for each in turn, so that no demand takes all machines that are ready soon.
     let open = demands;
     while (open.length > 0 && !isRoundFull(plan))
@@ -56,7 +57,7 @@
   );
 }
 
-function cpuSecondsOf({ tasks, cpus, expectedS }: Demand): number {
+function expectedCpuSeconds({ tasks, cpus, expectedS }: Demand): number {
   return tasks * cpus * Math.max(expectedS, MIN_TASK_DURATION_S);
 }
 
@@ -83,14 +84,14 @@
   demand: Demand,
 ): EmptyMachine | null {
   let first: EmptyMachine | null = null;
-  let firstS = Number.POSITIVE_INFINITY;
+  let firstReadyS = Number.POSITIVE_INFINITY;
   for (const machine of plan.emptyPool) {
     const isLocal = machine.partition === load.partition;
     if (!canRun(demand, machine) || (!isLocal && machine.recentlyChanged)) continue;
     const readyS = isLocal
       ? machine.readyInS
       : Math.max(TRANSFER_DURATION_S, machine.readyInS) + TRANSFER_DURATION_S;
-    if (readyS < firstS) [first, firstS] = [machine, readyS];
+    if (readyS < firstReadyS) [first, firstReadyS] = [machine, readyS];
   }
   return first;
 }
@@ -116,10 +117,10 @@
   const targetS = TARGET_COMPLETION_S[demand.priority] ?? DEFAULT_TARGET_COMPLETION_S;
   const suitableCpus = cpusSuitableFor(demand, partition);
   // What the suitable machines complete in time needs no new ones.
-  const neededCpus = (plan.snapshot.policy.headroom * partition.queuedCpuSeconds) / targetS;
+  const neededCpus = (plan.snapshot.policy.headroom * partition.outstandingCpuSeconds) / targetS;
   const missingCpus = Math.min(tasks * countedCpus(demand), neededCpus - suitableCpus);
   if (missingCpus <= 0) return false;
-  const isLate = partition.queuedCpuSeconds / targetS > ON_DEMAND_DELAY_RATIO * suitableCpus;
+  const isLate = partition.outstandingCpuSeconds / targetS > ON_DEMAND_DELAY_RATIO * suitableCpus;
   const spotOnly = suitableCpus > 0 && demand.spot && prefersSpot(plan, demand, isLate);
   const request = cheapestRequest(plan, pending, missingCpus, !spotOnly);
   const type = request && plan.snapshot.types.get(request.type);
@@ -164,7 +165,7 @@
   missingCpus: number,
   onDemandAllowed: boolean,
 ): MachineRequest | null {
-  const waysToBuy = onDemandAllowed ? [true, false] : [true];
+  const spotOptions = onDemandAllowed ? [true, false] : [true];
   let best: MachineRequest | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of plan.snapshot.types.values()) {
@@ -173,7 +174,7 @@
     const taskCpus = countedCpus(demand);
     const usefulCpus = Math.min(taskCount * taskCpus, Math.max(missingCpus, taskCpus));
     for (const zone of type.zones) {
-      for (const spot of waysToBuy) {
+      for (const spot of spotOptions) {
         const request = { type: type.name, zone, spot, count: 1 };
         if (!allowsMachineKind(demand, request) || plan.snapshot.capacityExhausted(request)) continue;
         const cost = costOf(plan, request, type, usefulCpus);
@@ -192,6 +193,6 @@
   usefulCpus: number,
 ): number {
   const price = request.spot ? type.spotPrice : type.price;
-  const rate = price * (1 + LATE_BOOT_COST_RATIO * (lateBootRatios.get(kindKey(request)) ?? 0));
-  return rate / usefulCpus + (machinesByZone.get(request.zone) ?? 0) * ZONE_TIE_BREAK_COST;
+  const adjustedPrice = price * (1 + LATE_BOOT_COST_RATIO * (lateBootRatios.get(kindKey(request)) ?? 0));
+  return adjustedPrice / usefulCpus + (machinesByZone.get(request.zone) ?? 0) * ZONE_TIE_BREAK_COST;
 }
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -77,8 +77,8 @@
   }
 
   /** Requests machines under a name that no request had before. */
-  async provision(name: string, request: MachineRequest): Promise<ProvisionResult> {
-    const response = await this.call('POST', cloudPaths.provision, provisionBody(name, request));
+  async provision(requestId: string, request: MachineRequest): Promise<ProvisionResult> {
+    const response = await this.call('POST', cloudPaths.provision, provisionBody(requestId, request));
     const status = response?.status ?? null;
     const machines = response?.status === 200 ? parseProvisioned(response.body) : null;
     this.options.log.info({ request, status, provisioned: machines?.length ?? null }, 'scale-out request');
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -74,12 +74,12 @@
     this.hasNewLoads = false;
     const recentLoads = loads.recent(replica.partitions.keys(), now);
     if (recentLoads.some((load) => loads.isSettling(load, now))) return;
-    const machines = history.fleet(replica.machines, now);
+    const machines = history.fleetMachines(replica.machines, now);
     const planned = this.planActions(recentLoads, machines, now);
     this.logStatus(recentLoads, machines, now);
     const actions = this.reviewTransfers(planned, recentLoads, now);
     for (const action of actions) this.sendToOwner(action, now);
-    provisioner.request(actions);
+    provisioner.requestMachines(actions);
   }
 
   private planActions(
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -71,7 +71,7 @@
   private readonly provisioner: MachineProvisioner;
   private readonly deprovisioner: MachineDeprovisioner;
   private readonly planner: FleetPlanner;
-  private provisionCallCount = 0;
+  private provisionRequestCount = 0;
 
   constructor(private readonly deps: LeaderDependencies) {
     super((error) => deps.log.error({ error }, 'leader failed'));
@@ -92,7 +92,7 @@
       ...deps,
       registry,
       history,
-      nextCallName: () => this.nextProvisionCallName(),
+      nextRequestId: () => this.nextProvisionRequestId(),
       onResult: (call, result) => this.send({ kind: 'provision-result', call, result }),
     });
     this.deprovisioner = new MachineDeprovisioner({
@@ -134,7 +134,7 @@
       case 'heartbeat-stats':
         return this.assignment.reachability.recordStats(message.member, message.stats, message.at);
       case 'unknown-machine-heartbeat':
-        if (this.leading) this.registry.noteUnknownMachine(message.heartbeat);
+        if (this.leading) this.registry.handleUnknownMachineHeartbeat(message.heartbeat);
         return;
       case 'machine-list':
         if (this.leading) this.machineList.reconcile(message.machines, message.at, now);
@@ -156,7 +156,7 @@
     this.machineList.fetch(now);
     this.deprovisioner.deprovisionDue();
     void this.registry.removeTerminated();
-    void this.registry.sweepEmpty(now);
+    void this.registry.sweepEmptyValues(now);
     // Machines that are provisioned while they cannot be recorded would be requested again and again.
     if (this.planner.isDue(now) && this.deps.stateStore.respondedWithin(MAX_STORE_SILENCE_MS))
       this.planner.run(now);
@@ -173,7 +173,7 @@
   }
 
   /** The term is part of the name, so no other leader's calls have the same names. */
-  private nextProvisionCallName(): string {
-    return `${this.deps.membership.name}-${this.leadership.term}-${++this.provisionCallCount}`;
+  private nextProvisionRequestId(): string {
+    return `${this.deps.membership.name}-${this.leadership.term}-${++this.provisionRequestCount}`;
   }
 }
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -62,7 +62,7 @@
     const { settings, replica, registry, history } = this.deps;
     const maxListAgeMs = MAX_LAG_RATIO * settings.cloudListLagMs + LAG_MARGIN_MS;
     for (const id of replica.machines.keys()) {
-      history.historyOf(id, now);
+      history.getOrCreateHistory(id, now);
       const wasListed = (history.listedForMs(id, requestedAt) ?? 0) > maxListAgeMs;
       if (!names.has(id) && wasListed) registry.markTerminated(id);
     }
--- a/src/coordination/leader/machine-provisioner.ts
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -22,7 +22,7 @@
   registry: MachineRegistry;
   history: FleetHistory;
   /** A name that no other call of any controller has. */
-  nextCallName: () => string;
+  nextRequestId: () => string;
   onResult: (call: ProvisionCall, result: ProvisionResult) => void;
 }
 
@@ -38,7 +38,7 @@
   }
 
   /** Calls are limited, so machines of one kind are requested together, whichever partitions they are for. */
-  request(actions: readonly FleetAction[]): void {
+  requestMachines(actions: readonly FleetAction[]): void {
     for (const [key, { kind, partitions }] of groupByKind(actions)) {
       // A kind that was exhausted before may have a few again: one call shows it.
       const maxCalls = this.exhaustedUntil.has(key) ? 1 : MAX_CALLS_PER_KIND;
@@ -49,10 +49,12 @@
   }
 
   private call(kind: MachineRequest, partitions: readonly string[]): void {
-    const { cloud, history, nextCallName, onResult } = this.deps;
-    for (const partition of partitions) history.countProvisions(partition, kind, 1);
+    const { cloud, history, nextRequestId, onResult } = this.deps;
+    for (const partition of partitions) history.adjustProvisionsInFlight(partition, kind, 1);
     const request = { ...kind, count: partitions.length };
-    void cloud.provision(nextCallName(), request).then((result) => onResult({ request, partitions }, result));
+    void cloud
+      .provision(nextRequestId(), request)
+      .then((result) => onResult({ request, partitions }, result));
   }
 
   /** Records the machines that a call brought; until then they count as being provisioned. */
@@ -62,12 +64,12 @@
     if (result.kind !== 'unknown' && provisioned.length < request.count)
       this.exhaustedUntil.set(kindKey(request), now + CAPACITY_EXHAUSTED_MS);
     const endProvisioning = (): void => {
-      for (const partition of partitions) history.countProvisions(partition, request, -1);
+      for (const partition of partitions) history.adjustProvisionsInFlight(partition, request, -1);
     };
     // The cloud's list may have shown some of them before the response came.
     const machines = provisioned.filter((id) => !registry.knows(id));
     if (machines.length === 0) return endProvisioning();
-    for (const id of machines) history.historyOf(id, now);
+    for (const id of machines) history.getOrCreateHistory(id, now);
     const { type, zone, spot } = request;
     const records = machines.map((id, i): [string, MachineRecord] => [
       id,
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -35,12 +35,12 @@
   private readonly removed = new Set<string>();
   /** The partition of each machine that is being recorded. */
   private readonly recording = new Map<string, string>();
-  private readonly unrecorded = new Map<string, MachineRecord>();
+  private readonly pendingBatch = new Map<string, MachineRecord>();
   /** Machines that are gone and still recorded. */
   private readonly terminated = new Set<string>();
   private removing = false;
   /** The first heartbeat of each machine that sends heartbeats and is not recorded. */
-  private readonly unregistered = new Map<string, Pick<Heartbeat, 'agentEpoch' | 'sequence'>>();
+  private readonly firstHeartbeats = new Map<string, Pick<Heartbeat, 'agentEpoch' | 'sequence'>>();
 
   constructor(private readonly deps: MachineRegistryDependencies) {
     this.writer = new NewMachineWriter(deps);
@@ -93,10 +93,10 @@
    * A machine that is not recorded has sent a heartbeat: its request was carried out late, or the cloud's list has not been
    * read yet. One heartbeat may be a late copy from a machine that is gone; a second, newer one shows that it is alive.
    */
-  noteUnknownMachine(heartbeat: Heartbeat): void {
+  handleUnknownMachineHeartbeat(heartbeat: Heartbeat): void {
     const { machine, agentEpoch, sequence } = heartbeat;
-    const first = this.unregistered.get(machine);
-    if (!first) this.unregistered.set(machine, { agentEpoch, sequence });
+    const first = this.firstHeartbeats.get(machine);
+    if (!first) this.firstHeartbeats.set(machine, { agentEpoch, sequence });
     const isNewer =
       first &&
       (agentEpoch > first.agentEpoch || (agentEpoch === first.agentEpoch && sequence > first.sequence));
@@ -126,11 +126,11 @@
   /** Machines that turn up one by one are recorded together. */
   private recordBatched(id: string, record: MachineRecord): void {
     this.recording.set(id, record.partition);
-    this.unrecorded.set(id, record);
-    if (this.unrecorded.size > 1) return;
+    this.pendingBatch.set(id, record);
+    if (this.pendingBatch.size > 1) return;
     this.deps.clock.schedule(RECORD_BATCH_DELAY_MS, () => {
-      const batch = [...this.unrecorded];
-      this.unrecorded.clear();
+      const batch = [...this.pendingBatch];
+      this.pendingBatch.clear();
       void this.record(batch);
     });
   }
@@ -146,7 +146,7 @@
   }
 
   /** Removes values of the state store that hold no machine any more; does nothing until a sweep is due. */
-  sweepEmpty(now: number): Promise<void> {
-    return this.writer.sweepEmpty(now);
+  sweepEmptyValues(now: number): Promise<void> {
+    return this.writer.sweepEmptyValues(now);
   }
 }
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -70,7 +70,7 @@
   }
 
   /** Removes some of the values that hold no machine and that no pending attempt can write again. */
-  async sweepEmpty(now: number): Promise<void> {
+  async sweepEmptyValues(now: number): Promise<void> {
     if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
     this.sweptAt = now;
     const { settings, stateStore } = this.deps;
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -17,9 +17,9 @@
 /** A partition is not handed over again before the effect of the last handover has shown. */
 const MIN_HANDOVER_INTERVAL_MS = 5000;
 /** A new leader waits this long for other members before it first creates partitions. */
-const MEMBER_GATHERING_MS = 1500;
+const MEMBER_WAIT_MS = 1500;
 /** The leader counts as holding this much already, so that partitions go to other members first. */
-const LEADER_PARTITION_COUNT = 0.5;
+const LEADER_PARTITION_WEIGHT = 0.5;
 
 /** Splits the teams into at most `count` partitions of about the same guaranteed size. */
 export function splitTeams(teams: readonly Team[], count: number): string[][] {
@@ -70,7 +70,7 @@
   readonly reachability = new Reachability();
   private assigning = false;
   private leaderTerm = 0;
-  private readonly handedOverAt = new Map<string, number>();
+  private readonly lastHandoverAt = new Map<string, number>();
 
   constructor(private readonly deps: PartitionAssignmentDependencies) {}
 
@@ -78,7 +78,7 @@
   async assign(now: number, leaderTerm: number, leaderSince: number): Promise<void> {
     if (this.assigning) return;
     const partitions = [...this.deps.replica.partitions.values()];
-    if (partitions.length === 0 && this.isGathering(now - leaderSince)) return;
+    if (partitions.length === 0 && this.isWaitingForMembers(now - leaderSince)) return;
     this.assigning = true;
     this.leaderTerm = leaderTerm;
     const counts = this.countPartitions(partitions);
@@ -96,18 +96,18 @@
     return this.deps.settings.peers.length + 1;
   }
 
-  private isGathering(leadingMs: number): boolean {
-    return this.deps.replica.members.size < this.controllerCount && leadingMs < MEMBER_GATHERING_MS;
+  private isWaitingForMembers(leadingMs: number): boolean {
+    return this.deps.replica.members.size < this.controllerCount && leadingMs < MEMBER_WAIT_MS;
   }
 
   private countPartitions(partitions: readonly StoredPartition[]): PartitionCounts {
     const { replica, leader } = this.deps;
     const { members } = replica;
     const counts: PartitionCounts = new Map();
-    for (const member of members.keys()) counts.set(member, member === leader ? LEADER_PARTITION_COUNT : 0);
+    for (const member of members.keys()) counts.set(member, member === leader ? LEADER_PARTITION_WEIGHT : 0);
     // A partition that belongs to an earlier incarnation of its owner is assigned anew, and counted then.
     for (const { record } of partitions)
-      if (members.get(record.owner) === record.incarnation) countOne(counts, record.owner);
+      if (members.get(record.owner) === record.incarnation) incrementCount(counts, record.owner);
     return counts;
   }
 
@@ -127,7 +127,7 @@
       const owner = this.leastLoaded(counts);
       if (!owner) continue;
       await this.changeOwner({ partition: `p${i}`, teams, owner, epoch: 0, failedOwner: null });
-      countOne(counts, owner);
+      incrementCount(counts, owner);
     }
   }
 
@@ -149,7 +149,7 @@
       const failedOwner = members.has(record.owner) ? null : record.owner;
       if (failedOwner && !extensions.permitsTakeOver(failedOwner, now)) continue;
       const change = { partition: id, teams: record.teams, owner, epoch, failedOwner };
-      if (await this.changeOwner(change)) countOne(counts, owner);
+      if (await this.changeOwner(change)) incrementCount(counts, owner);
     }
   }
 
@@ -207,13 +207,13 @@
   }
 
   private handOver(partition: string, owner: string, newOwner: string, now: number): void {
-    const lastAt = this.handedOverAt.get(partition) ?? Number.NEGATIVE_INFINITY;
+    const lastAt = this.lastHandoverAt.get(partition) ?? Number.NEGATIVE_INFINITY;
     if (now - lastAt < MIN_HANDOVER_INTERVAL_MS) return;
-    this.handedOverAt.set(partition, now);
+    this.lastHandoverAt.set(partition, now);
     this.deps.sendTo(owner, { kind: 'handover', partition, to: newOwner });
   }
 }
 
-function countOne(counts: PartitionCounts, member: string): void {
+function incrementCount(counts: PartitionCounts, member: string): void {
   counts.set(member, (counts.get(member) ?? 0) + 1);
 }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -17,7 +17,7 @@
 
 const MACHINES = 4200;
 const JOBS = 30;
-const TASKS_A_JOB = 700;
+const TASKS_PER_JOB = 700;
 const CPUS = 4;
 const FIRST_OWNER_EPOCH = 100;
 const SECOND_OWNER_EPOCH = 200;
@@ -34,7 +34,7 @@
 const names = Array.from({ length: MACHINES }, (_, i) => `i-${String(i).padStart(6, '0')}`);
 
 function job(n: number): JobSpec {
-  return jobSpec(`job-${n}`, { tasks: TASKS_A_JOB, memoryGb: 1 });
+  return jobSpec(`job-${n}`, { tasks: TASKS_PER_JOB, memoryGb: 1 });
 }
 
 /** A worker as far as its reports go. */
@@ -81,13 +81,13 @@
   }
 }
 
-function ownedBy(version: number, now: number): PartitionCore {
+function createOwner(epoch: number, now: number): PartitionCore {
   const cpus = MACHINES * CPUS;
   const team = { name: 't', guaranteed: { cpus, accelerators: 0 }, limit: { cpus, accelerators: 0 } };
   const options = { heartbeatIntervalMs: 3000, leaseMs: 19_000, valueBytes: 32_768, objectives: [] };
   const core = new PartitionCore({
     id: 'p0',
-    epoch: version,
+    epoch,
     teams: [team],
     types: () => types,
     specOfClosedJob: () => undefined,
@@ -95,7 +95,7 @@
     assignedMachines: new Set(names),
   });
   for (const id of names) core.upsertMachine(id, record, RECORD_REVISION, now);
-  const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_A_JOB };
+  const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_PER_JOB };
   for (let n = 0; n < JOBS; n++)
     core.openJob({ spec: job(n), acceptedAt: n, revision: RECORD_REVISION, progress }, now);
   core.tick(now, now);
@@ -106,7 +106,7 @@
   const history = new FleetHistory();
   history.recordLoad(load, now, now);
   const recorded = names.map((id): [string, { record: MachineRecord }] => [id, { record }]);
-  const machines = history.fleet(recorded, now);
+  const machines = history.fleetMachines(recorded, now);
   return {
     types,
     loads: [load],
@@ -119,17 +119,17 @@
 
 test('more than four thousand machines: filled, told of, planned for, and taken over with nothing lost', () => {
   const fleet = new Fleet();
-  const first = ownedBy(FIRST_OWNER_EPOCH, 0);
-  fleet.heartbeatAll(first, 1000);
+  const firstOwner = createOwner(FIRST_OWNER_EPOCH, 0);
+  fleet.heartbeatAll(firstOwner, 1000);
   // They have shown its token by the next report; then nothing of an earlier owner can be anywhere.
-  fleet.heartbeatAll(first, 4000);
-  first.tick(4500, 4500);
-  fleet.heartbeatAll(first, 7000);
+  fleet.heartbeatAll(firstOwner, 4000);
+  firstOwner.tick(4500, 4500);
+  fleet.heartbeatAll(firstOwner, 7000);
   const started = fleet.tasks();
   assert.equal(started.length, MACHINES * CPUS, 'every machine is full');
   assert.equal(new Set(started).size, started.length, 'no task is on two machines');
 
-  const load = first.load(8000);
+  const load = firstOwner.load(8000);
   assert.equal(load.machines.length, MACHINES);
   const frame: PeerMessage = {
     ...{
@@ -145,7 +145,7 @@
   const bytes = encodePeerMessage(frame);
   assert.ok(bytes.length < MAX_FRAME_BYTES / 4, `${bytes.length} bytes`);
   assert.deepEqual(JSON.parse(JSON.stringify(decodePeerMessage(bytes))), JSON.parse(JSON.stringify(frame)));
-  const waiting = JOBS * TASKS_A_JOB - started.length;
+  const waiting = JOBS * TASKS_PER_JOB - started.length;
   assert.equal(
     load.demands.reduce((sum, d) => sum + d.tasks, 0),
     0,
@@ -153,13 +153,13 @@
   );
   assert.deepEqual(planCapacity(fleetSnapshotOf(load, 8000)), [], 'nothing to rent, move or return');
 
-  const second = ownedBy(SECOND_OWNER_EPOCH, 9000);
-  assert.equal(second.unconfirmedCount, MACHINES);
-  fleet.heartbeatAll(second, 10_000);
-  fleet.heartbeatAll(second, 13_000);
-  assert.equal(second.unconfirmedCount, 0, 'all machines have spoken');
+  const secondOwner = createOwner(SECOND_OWNER_EPOCH, 9000);
+  assert.equal(secondOwner.unconfirmedCount, MACHINES);
+  fleet.heartbeatAll(secondOwner, 10_000);
+  fleet.heartbeatAll(secondOwner, 13_000);
+  assert.equal(secondOwner.unconfirmedCount, 0, 'all machines have spoken');
   assert.deepEqual(fleet.tasks().sort(), started.sort(), 'what ran goes on, and nothing is started twice');
-  assert.equal(second.counters.lost, 0);
+  assert.equal(secondOwner.counters.lost, 0);
 });
 
 test('the list of assigned machines goes on in more values, each within its limit', () => {
