--- a/src/coordination/fleet/autoscaler.ts
+++ b/src/coordination/fleet/autoscaler.ts
@@ -5,8 +5,8 @@
 import { scaleOut } from './scale-out';
 
 /**
- * Plans one round: which machines to provision, transfer between partitions and give back. A pure function of the snapshot;
- * each step takes into account what the steps before it have decided.
+ * Plans one round: which machines to provision, to transfer between partitions and to return to the cloud. A pure function of
+ * the snapshot. Each step takes the decisions of the previous steps into account.
  */
 export function planCapacity(snapshot: FleetSnapshot): FleetAction[] {
   const plan = new CapacityPlan(snapshot);
--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -4,43 +4,43 @@
 import { kindKey, type FleetAction, type FleetMachine, type FleetSnapshot } from './fleet-snapshot';
 import { planPartition, type MachineCapacity, type PlannedPartition } from './planned-partition';
 
-/** Without a submission for this long, little is kept for the next one. */
+/** After this long without a submission, little spare capacity is kept for the next one. */
 const NO_SUBMISSIONS_S = 20;
-/** An empty machine is not transferred sooner: its owner may have placed tasks on it since its last load. */
+/** Minimum idle time before a transfer, because the owner may have placed tasks on the machine since its last load. */
 const MIN_IDLE_BEFORE_TRANSFER_MS = 3000;
-/** A machine that was transferred stays until the loads of both partitions show the effect. */
+/** A machine stays for this long after a transfer, until the loads of both partitions show the effect. */
 export const MIN_TRANSFER_INTERVAL_MS = 6000;
-/** A machine that takes this many times as long to boot as its type states is booting late. */
+/** A machine that has been booting for more than this many times the boot time of its type is booting late. */
 const LATE_BOOT_RATIO = 1.7;
-/** A machine that has sent no heartbeat for this long is not counted on. A transfer or a lost heartbeat takes less. */
+/** A machine that is silent for longer than this does not count as capacity. A transfer or a lost heartbeat takes less. */
 const MAX_SILENT_MS = 8000;
-/** If more than this share of a partition's machines is silent, it is the owner that receives no heartbeats. */
+/** If more than this share of a partition's machines is silent, the cause is the owner, which receives no heartbeats. */
 const MAX_UNRESPONSIVE_RATIO = 0.25;
-/** A kind of machine counts as booting late once more than this share of its machines does. */
+/** A kind of machine counts as booting late if more than this share of its machines does. */
 const MIN_LATE_BOOT_RATIO = 0.2;
 
-/** A machine without tasks, which any partition may get. */
+/** A machine without tasks that any partition may get. */
 export interface EmptyMachine extends MachineCapacity {
   partition: string;
-  /** Seconds until it can take tasks in its partition. */
+  /** Seconds until the machine can take tasks in its present partition. */
   readyInS: number;
-  /** It may have got tasks since its owner's last load, or was just transferred: it stays in its partition for now. */
+  /** The machine may have got tasks since its owner's last load, or was just transferred, and stays in its partition for now. */
   recentlyChanged: boolean;
 }
 
-/** One round of planning: the fleet as it is, and the actions decided so far. */
+/** The state of one planning round: the current fleet and the actions decided so far. */
 export class CapacityPlan {
   readonly actions: FleetAction[] = [];
   readonly partitions: PlannedPartition[];
   /** Machines without tasks that the plan has not used yet. */
   readonly emptyPool: EmptyMachine[];
-  /** By machine, as its partition's owner sent it. */
+  /** The load of each machine by its id, as sent by its partition's owner. */
   readonly loadOf = new Map<string, MachineLoad>();
   /** Number of machines in use or being provisioned, by zone. */
   readonly machinesByZone = new Map<string, number>();
-  /** No partition has had a submission for a while. */
+  /** No partition has had a submission for more than NO_SUBMISSIONS_S. */
   readonly noRecentSubmissions: boolean;
-  /** The share of machines that boot late or never, by kind; only kinds where it is considerable. */
+  /** The share of machines that boot late or never, by kind. Holds only kinds with a share above MIN_LATE_BOOT_RATIO. */
   readonly lateBootRatios: ReadonlyMap<string, number>;
   private readonly typeNames = new Map<string, string>();
 
@@ -48,7 +48,7 @@
     this.indexMachines();
     const unresponsive = unresponsiveMachines(snapshot.machines);
     this.emptyPool = this.findEmptyMachines(unresponsive);
-    // Neither counts as in use: empty machines are in the pool, missing ones take no tasks.
+    // Neither counts as in use: empty machines are in the pool, unresponsive ones take no tasks.
     const unavailable = new Set([...this.emptyPool.map(({ id }) => id), ...unresponsive]);
     this.partitions = snapshot.loads.map((load) =>
       planPartition(load, this.machinesInUse(load, unavailable)),
@@ -75,17 +75,17 @@
     return machine.booting && type !== undefined && machine.ageMs > LATE_BOOT_RATIO * type.bootS * 1000;
   }
 
-  /** Machines that an action decided so far transfers. */
+  /** Ids of the machines that the actions decided so far transfer. */
   transferredMachines(): Set<string> {
     return new Set(this.actions.map((action) => (action.kind === 'transfer' ? action.machine : '')));
   }
 
-  /** Decides to empty a machine for another partition, or for the cloud. */
+  /** Adds an action that drains a machine for another partition or for the cloud. */
   drain(machine: string, fromPartition: string, toPartition: string): void {
     this.actions.push({ kind: 'transfer', machine, fromPartition, toPartition, drain: true });
   }
 
-  /** Decides to give a machine back to the cloud; `force`: although it may have tasks. */
+  /** Adds an action that returns a machine to the cloud. With `force`, it is returned although it may have tasks. */
   scaleIn({ id, partition }: { id: string; partition: string }, reason: string, force: boolean): void {
     this.actions.push({ kind: 'scale-in', machine: id, partition, reason, force });
   }
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Machines that are idle or booting, except those that boot late: some of these never come up. */
+  /** Machines that are idle or booting, except those that boot late, because some of these never come up. */
   private findEmptyMachines(unresponsive: ReadonlySet<string>): EmptyMachine[] {
     const pool: EmptyMachine[] = [];
     for (const machine of this.snapshot.machines) {
@@ -161,8 +161,8 @@
 }
 
 /**
- * Machines that have sent no heartbeat for too long to be counted on. If many of a partition's machines are silent it is
- * their owner that receives nothing, and no reason to provision others in their place.
+ * Ids of machines that have sent no heartbeat for too long to count as capacity. If many of a partition's machines are silent,
+ * the cause is their owner, which receives no heartbeats, and replacements must not be provisioned.
  */
 function unresponsiveMachines(machines: readonly FleetMachine[]): Set<string> {
   const silent = new Map<string, string[]>();
@@ -181,7 +181,7 @@
   return new Set(unresponsive.flatMap(([, ids]) => ids));
 }
 
-/** Whether a machine is being emptied to go back to the cloud. */
+/** Whether a machine is being drained in order to be returned to the cloud. */
 export function drainsToCloud(load: MachineLoad): boolean {
   return load.transferTarget === DRAIN_TO_CLOUD;
 }
--- a/src/coordination/fleet/demand-matching.ts
+++ b/src/coordination/fleet/demand-matching.ts
@@ -5,14 +5,14 @@
 import { type Resources } from '../partition/resources';
 import { type MachineKind } from './fleet-snapshot';
 
-/** A machine, or one that could be provisioned. */
+/** An existing machine, or one that could be provisioned. */
 export interface MachineOption {
   type: MachineType;
   zone: string;
   spot: boolean;
 }
 
-/** All resources of a machine of a type, as a new object. */
+/** All resources of an empty machine of a type, as a new object. */
 export function fullCapacity({ cpus, accelerators, memoryGb }: MachineType): Resources {
   return { cpus, accelerators, memoryGb };
 }
@@ -28,7 +28,7 @@
   return allowsMachineKind(demand, { type: type.name, zone, spot }) && countFitting(type, demand) > 0;
 }
 
-/** Takes the resources of as many tasks of a demand as fit, at most `tasks`, and returns how many. Changes `free`. */
+/** Subtracts from `free` the resources of as many tasks of a demand as fit, at most `tasks`. Returns the number of tasks. */
 export function reserveTasks(free: Resources, demand: Demand, tasks: number): number {
   const count = Math.min(tasks, countFitting(free, demand));
   free.cpus -= count * demand.cpus;
--- a/src/coordination/fleet/fleet-balancing.ts
+++ b/src/coordination/fleet/fleet-balancing.ts
@@ -1,13 +1,13 @@
 import { type LoadSummary } from '@heathbridge/load-balancer';
 import { type FleetAction } from './fleet-snapshot';
 
-/** What is left of a plan after its transfers of machines were reviewed. */
+/** The result of reviewing a plan's transfers of machines. */
 export interface ReviewedActions {
-  /** The actions to carry out, in their order. */
+  /** The actions to carry out, in the order of the plan. */
   actions: FleetAction[];
-  /** Transfers that were let through, as log entries. */
+  /** Approved transfers, as log entries. */
   allowed: object[];
-  /** Transfers that were left out, as log entries. */
+  /** Rejected transfers, as log entries. */
   rejected: object[];
 }
 
@@ -19,11 +19,11 @@
 
 /** Reviews transfers of machines between partitions, for the leader. */
 export interface FleetBalancing {
-  /** Takes a load summary received at `now`, milliseconds of the steady clock. */
+  /** Stores a load summary that was received at `now`, in milliseconds of the steady clock. */
   recordSummary(summary: LoadSummary, now: number): void;
-  /** Counts a peer's frame that could not be decoded. */
+  /** Counts a frame from a peer that could not be decoded. */
   countMalformed(): void;
   review(actions: readonly FleetAction[], fleet: FleetSize, now: number): ReviewedActions;
-  /** Summaries and counters, for `GET /status`. */
+  /** Load summaries and counters for `GET /status`. */
   status(now: number): object;
 }
--- a/src/coordination/fleet/fleet-history.ts
+++ b/src/coordination/fleet/fleet-history.ts
@@ -3,17 +3,17 @@
 import { type MachineRecord } from '../../protocol/records';
 import { type FleetMachine, type MachineKind } from './fleet-snapshot';
 
-/** What a leader has seen of a machine in its term. Times are milliseconds of the steady clock. */
+/** What the leader has observed of a machine in its term. Times are in milliseconds of the steady clock. */
 interface MachineHistory {
   firstSeenAt: number;
-  /** When it was provisioned, by a list that shows it as booting; else when this leader first saw it. */
+  /** When the machine was provisioned, according to a list that shows it as booting; else when this leader first saw it. */
   bootingSince: number;
   transferredAt: number;
   firstListedAt: number | null;
   status: ListedMachine['status'] | null;
-  /** When some owner last received a heartbeat, as far as this leader was told; null: none has in this term. */
+  /** When any owner last received a heartbeat, according to the loads sent to this leader; null if none has in this term. */
   lastHeartbeatAt: number | null;
-  /** Since when its partition's owner quarantines it, null: it does not. */
+  /** When the loads first showed its present quarantine; null if the owner does not quarantine it. */
   quarantinedSince: number | null;
 }
 
@@ -23,18 +23,18 @@
   count: number;
 }
 
-/** What a leader has seen of the fleet in its term: by the owners' loads, the cloud's lists and its own requests. */
+/** What the leader has observed of the fleet in its term, from the owners' loads, the cloud's lists and its own requests. */
 export class FleetHistory {
   private readonly machines = new Map<string, MachineHistory>();
-  /** Machines that were requested and are not recorded yet, by partition and kind. */
+  /** Machines that were requested but are not recorded yet, by partition and kind. */
   private readonly provisionsInFlight = new Map<string, ProvisionsInFlight>();
 
-  /** Begins a new term: a leader goes by what it sees itself. */
+  /** Clears the histories of machines for a new term, because a leader relies only on its own observations. */
   clear(): void {
     this.machines.clear();
   }
 
-  /** A machine's history, which begins now unless the machine is known. */
+  /** Returns a machine's history. For an unknown machine, creates one that begins now. */
   getOrCreateHistory(id: string, now: number): MachineHistory {
     const known = this.machines.get(id);
     if (known) return known;
@@ -51,7 +51,7 @@
     return history;
   }
 
-  /** Takes what a partition's owner sent of its machines, received at `at`. */
+  /** Records the heartbeats and quarantines in a load that was received at `at`. */
   recordLoad({ machines }: PartitionLoad, at: number, now: number): void {
     for (const { machine, sinceHeartbeatMs, quarantined } of machines) {
       if (sinceHeartbeatMs < 0) continue;
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Takes one machine of a list that was requested at `at`. The age counts only while the machine boots: a machine that
-   * boots for minutes must not look new to a new leader, and one that is up and has sent no heartbeat since a failover must
-   * not look as if it never came up, or a new leader would give working machines back.
+   * Records one machine of a list that was requested at `at`. The listed age counts while the machine boots, because a machine
+   * that has been booting for minutes must not look new to a new leader. It does not count afterwards: a machine that is up but
+   * has sent no heartbeat since a failover must not look as if it never came up, or a new leader would return working machines.
    */
   recordListed({ name, status, ageS }: ListedMachine, at: number, now: number): void {
     const history = this.getOrCreateHistory(name, now);
@@ -75,7 +75,7 @@
       status === 'booting' ? Math.min(history.bootingSince, at - ageS * 1000) : history.firstSeenAt;
   }
 
-  /** How long before `at` a machine was first listed; null: it was not. */
+  /** How long before `at` a machine was first listed, in milliseconds; null if it was never listed. */
   listedForMs(id: string, at: number): number | null {
     const firstListedAt = this.machines.get(id)?.firstListedAt ?? null;
     return firstListedAt === null ? null : at - firstListedAt;
@@ -85,7 +85,7 @@
     this.getOrCreateHistory(id, now).transferredAt = now;
   }
 
-  /** Adds to the machines that are being provisioned for a partition; with a negative `n`, that many are no longer. */
+  /** Adds `delta`, which may be negative, to the number of machines that are being provisioned for a partition. */
   adjustProvisionsInFlight(partition: string, kind: MachineRequest, delta: number): void {
     const key = JSON.stringify([partition, kind.type, kind.zone, kind.spot]);
     const count = (this.provisionsInFlight.get(key)?.count ?? 0) + delta;
@@ -93,7 +93,7 @@
     else this.provisionsInFlight.delete(key);
   }
 
-  /** The recorded machines and those that are being provisioned, for planning. */
+  /** The recorded machines and those that are being provisioned, as input for planning. */
   fleetMachines(recorded: Iterable<[string, { record: MachineRecord }]>, now: number): FleetMachine[] {
     const fleet: FleetMachine[] = [];
     for (const [id, { record }] of recorded) fleet.push(this.fleetMachine(id, record, now));
--- a/src/coordination/fleet/fleet-summary.ts
+++ b/src/coordination/fleet/fleet-summary.ts
@@ -2,7 +2,7 @@
 import { type MachineLoad, type PartitionLoad } from '../../protocol/peers';
 import { type FleetMachine } from './fleet-snapshot';
 
-/** Heartbeats that a machine may miss before the log counts it as silent. */
+/** Number of heartbeats that a machine may miss before the log counts it as silent. */
 const MAX_MISSED_HEARTBEATS = 2;
 
 /** One partition's machines, free CPUs and demand, as a log entry. */
--- a/src/coordination/fleet/machine-rebalancer.ts
+++ b/src/coordination/fleet/machine-rebalancer.ts
@@ -11,22 +11,22 @@
   type PlannedPartition,
 } from './planned-partition';
 
-/** A recipient gets machines only if it needs this much longer than the donor for its work, and at least this long. */
+/** A recipient gets machines only if it needs at least this many times as long as the donor, and at least this long. */
 const MIN_COMPLETION_TIME_RATIO = 1.3;
 const MIN_COMPLETION_TIME_S = 8;
-/** Draining leaves resources unused: it pays for machines whose last task ends soon, and for few at a time. */
+/** Draining leaves resources unused, so only machines whose last task ends soon are drained, and few at a time. */
 const MAX_DRAIN_S = 20;
 const MAX_DRAINING_CPU_RATIO = 0.04;
-/** More are drained at a time if the recipient needs this many times as long as the donor. */
+/** More may be drained at a time if the recipient needs more than this many times as long as the donor. */
 const FAR_BEHIND_RATIO = 2;
 const MAX_DRAINING_CPU_RATIO_FAR_BEHIND = 0.1;
-/** A donor without unmet demand drains machines with up to this share of its free CPUs, however busy they are. */
+/** A donor without unmet demand drains machines that hold up to this share of its free CPUs, however busy they are. */
 const MAX_IDLE_TRANSFER_RATIO = 0.5;
 const MAX_IDLE_DRAIN_S = 90;
-/** This many may drain in any case: in a small fleet the ratios come to less than one machine. */
+/** This many machines may drain in any case, because in a small fleet the ratios amount to less than one machine. */
 const MIN_DRAIN_COUNT = 4;
 
-/** What a donor may still drain at a time; another machine is allowed while any of the three is left. */
+/** What a donor may still drain at a time. Another machine may be drained while any of the three is above 0. */
 interface DrainBudget {
   cpus: number;
   machines: number;
@@ -36,8 +36,8 @@
 
 /**
  * Transfers machines from the partition that would complete its work first to the one that would complete it last. Each
- * priority is looked at by itself, the most urgent first: low-priority work of one partition must not let urgent work of
- * another wait.
+ * priority is considered separately, the most urgent first, because low-priority work of one partition must not delay urgent
+ * work of another.
  */
 export function rebalanceMachines(plan: CapacityPlan): void {
   const rebalancer = new MachineRebalancer(plan);
@@ -45,9 +45,9 @@
 }
 
 class MachineRebalancer {
-  /** CPUs of each partition once all transfers that are under way or decided are complete. */
+  /** CPUs of each partition once all transfers in progress and all decided transfers are complete. */
   private readonly cpusByPartition: Map<PlannedPartition, number>;
-  /** Machines that are not to be transferred in this round. */
+  /** Machines that must not be transferred in this round. */
   private readonly unavailable: Set<string>;
 
   constructor(private readonly plan: CapacityPlan) {
@@ -91,8 +91,8 @@
   }
 
   /**
-   * The partition that completes its work first. One with unmet demand of higher priority gives nothing: it would get
-   * machines for that demand while it gives others away, and machines would be exchanged without end.
+   * The partition that completes its work first. A partition with unmet demand of higher priority is no donor: it would get
+   * machines for that demand while it gives others away, and machines would be exchanged endlessly.
    */
   private chooseDonor(recipient: PlannedPartition, priority: number): PlannedPartition | undefined {
     const candidates = this.plan.partitions.filter(
@@ -104,7 +104,7 @@
 
   private transferMachines(donor: PlannedPartition, recipient: PlannedPartition, priority: number): void {
     const unmet = unmetDemands(recipient).filter(({ demand }) => demand.priority <= priority);
-    // Work beyond the teams' limits is no demand, and cannot use more machines.
+    // Work beyond the teams' limits is not part of the demand and cannot use more machines.
     let missingCpus = unmet.reduce((sum, { tasks, demand }) => sum + tasks * demand.cpus, 0);
     missingCpus -= this.plannedCpus(recipient) - totalCpus(recipient);
     const budget = this.drainBudget(donor, this.isFarBehind(recipient, donor, priority));
@@ -133,7 +133,7 @@
     return recipientS >= MIN_COMPLETION_TIME_S && recipientS >= MIN_COMPLETION_TIME_RATIO * donorS;
   }
 
-  /** Whether a transfer of so many CPUs would make the donor the one that completes its work last. */
+  /** Whether a transfer of `cpus` would make the donor complete its work later than the recipient. */
   private wouldReverse(
     donor: PlannedPartition,
     recipient: PlannedPartition,
@@ -151,7 +151,7 @@
     const budget = {
       cpus: cpuRatio * totalCpus(donor),
       machines: MIN_DRAIN_COUNT,
-      // A donor without unmet demand loses by a drain no more than the free CPUs of the machine.
+      // By draining a machine, a donor without unmet demand loses no more than the machine's free CPUs.
       freeCpus: donor.hasUnmetDemand ? 0 : MAX_IDLE_TRANSFER_RATIO * freeCpus,
     };
     for (const load of donor.load.machines) {
@@ -162,7 +162,7 @@
     return budget;
   }
 
-  /** Machines that the donor can give and the recipient can use, emptiest first: an empty one transfers at once. */
+  /** Machines that the donor can give and the recipient can use, emptiest first, because an empty one transfers at once. */
   private transferCandidates(
     donor: PlannedPartition,
     unmet: readonly PendingDemand[],
@@ -189,8 +189,8 @@
 }
 
 /**
- * Revokes drains that later work has made wrong. Demand that other machines of the partition have resources for is no
- * reason: the tasks that a drain itself stopped wait for a moment too, and would have every drain revoked.
+ * Revokes drains that later work has made useless. Demand that fits on other machines of the partition is no reason to revoke
+ * one: tasks that the drain itself stopped are pending for a moment too, and would cause every drain to be revoked.
  */
 export function revokeDrains(plan: CapacityPlan): void {
   const byPartition = new Map(plan.partitions.map((partition) => [partition.load.partition, partition]));
@@ -204,7 +204,7 @@
   }
 }
 
-/** Whether the recipient still has unmet demand, and would complete it later than the donor. */
+/** Whether the recipient still has unmet demand and would complete work of its priority later than the donor. */
 function isBehind(recipient: PlannedPartition | undefined, donor: PlannedPartition): boolean {
   const unmet = recipient ? unmetDemands(recipient) : [];
   if (!recipient || unmet.length === 0) return false;
--- a/src/coordination/fleet/planned-partition.ts
+++ b/src/coordination/fleet/planned-partition.ts
@@ -3,9 +3,9 @@
 import { type Resources } from '../partition/resources';
 import { canRun, reserveTasks } from './demand-matching';
 
-/** A machine that a partition can count on, with the resources that the plan leaves free on it. */
+/** A machine that counts as capacity of a partition, with the resources that the plan leaves free on it. */
 export interface MachineCapacity {
-  /** Empty: it is being provisioned and has no name yet. */
+  /** Empty while the machine is being provisioned and has no name yet. */
   id: string;
   free: Resources;
   type: MachineType;
@@ -13,11 +13,11 @@
   spot: boolean;
 }
 
-/** How many tasks of a demand the plan has found no resources for yet. */
+/** A demand, and how many of its tasks the plan has not found resources for yet. */
 export interface PendingDemand {
   readonly demand: Demand;
   tasks: number;
-  /** How many of the partition's machines were tried: their free resources only shrink. */
+  /** How many of the partition's machines were tried. They are not tried again, because their free resources only shrink. */
   scannedMachines: number;
 }
 
@@ -27,13 +27,13 @@
   /** Most urgent first. */
   readonly pendingDemands: readonly PendingDemand[];
   readonly machines: MachineCapacity[];
-  /** CPU seconds that run, and those that wait with the priorities planned for so far. */
+  /** Remaining CPU seconds of running tasks, and those of pending tasks of the priorities planned for so far. */
   outstandingCpuSeconds: number;
-  /** Some tasks found no resources on the machines that the partition had when planning began. */
+  /** Whether some tasks do not fit on the machines that the partition had in use when planning began. */
   readonly hasUnmetDemand: boolean;
 }
 
-/** A partition at the beginning of planning, its demands set against the machines that it has in use. */
+/** A partition at the beginning of planning, with its demands placed on the machines that it has in use. */
 export function planPartition(load: PartitionLoad, machines: MachineCapacity[]): PlannedPartition {
   const demands = [...load.demands].sort((a, b) => a.priority - b.priority);
   const pendingDemands = demands.map((demand) => ({ demand, tasks: demand.tasks, scannedMachines: 0 }));
@@ -47,7 +47,7 @@
   };
 }
 
-/** Places tasks of a demand on machines that were not tried before. */
+/** Places tasks of a demand on machines that were not tried for it before. */
 export function placeOnMachines(machines: readonly MachineCapacity[], pending: PendingDemand): void {
   while (pending.scannedMachines < machines.length && pending.tasks > 0) {
     const machine = machines[pending.scannedMachines++] as MachineCapacity;
@@ -61,14 +61,14 @@
   return machines.reduce((sum, { type }) => sum + type.cpus, 0);
 }
 
-/** Seconds in which a partition would complete its work of this priority and all higher ones with so many CPUs. */
+/** Seconds that a partition would need with `cpus` to complete its work of this priority and all higher ones. */
 export function completionSeconds({ load }: PlannedPartition, cpus: number, priority: number): number {
   let work = 0;
   for (let p = 0; p <= priority; p++) work += (load.remainingWork[p] ?? 0) + (load.backlog[p] ?? 0);
   return work / Math.max(1, cpus);
 }
 
-/** Demands that some tasks of found no resources. */
+/** Demands with tasks that the plan has not found resources for yet. */
 export function unmetDemands({ pendingDemands }: PlannedPartition): PendingDemand[] {
   return pendingDemands.filter(({ tasks }) => tasks > 0);
 }
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -3,31 +3,31 @@
 import { type FleetMachine } from './fleet-snapshot';
 import { type MachineCapacity, type PlannedPartition } from './planned-partition';
 
-/** An idle machine is kept this long: demand varies, and a new machine must boot and fetch images first. */
+/** An idle machine is kept this long, because demand varies and a new machine must boot and fetch images first. */
 const MAX_IDLE_MS = { spot: 18_000, onDemand: 6000 };
 const MAX_IDLE_WITHOUT_SUBMISSIONS_MS = 4000;
-/** Without submissions, this many times the CPUs that a surplus machine's tasks use must be free on other machines. */
+/** Without submissions, other machines must have this many times the CPUs free that a surplus machine's tasks use. */
 const MIN_FREE_CAPACITY_RATIO = 1.5;
 /** A spot machine with at least this share of its CPUs free counts as nearly empty. */
 const NEARLY_EMPTY_RATIO = 0.7;
 /** A machine that will be empty sooner than this is not drained. */
 const MIN_REMAINING_RUN_S = 12;
-/** The share of a partition's machines in use that may be drained in one round. */
+/** Without submissions, the share of a partition's machines with tasks that may be drained in one round. */
 const MAX_SURPLUS_DRAIN_RATIO = 0.1;
-/** A machine that boots for this many times what its type states, and the margin, never comes up. */
+/** A machine that boots for longer than this many times the boot time of its type, plus the margin, is given up. */
 const MAX_BOOT_TIME_RATIO = 3;
 const BOOT_TIME_MARGIN_MS = 15_000;
-/** Boot time of machines of an unknown type. */
+/** Assumed boot time of machines of an unknown type. */
 const DEFAULT_BOOT_S = 60;
-/** A machine is charged for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
+/** The cloud charges for a machine for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
 const MIN_CHARGED_MS = 60_000;
 const MAX_SILENT_MS = 30_000;
-/** Leases of a silent machine's tasks have certainly expired this long after their time. */
+/** The leases of a silent machine's tasks have certainly expired this long after the lease time. */
 const LEASE_MARGIN_MS = 5000;
-/** Within this time it shows elsewhere whether a quarantined machine or a job is at fault. */
+/** Within this time, runs on other machines show whether a quarantined machine or a job is at fault. */
 const MAX_QUARANTINE_MS = 8000;
 
-/** Gives machines back that are of no use, whatever the demand. */
+/** Returns unusable machines to the cloud, whatever the demand. */
 export function scaleInUnhealthy(plan: CapacityPlan): void {
   for (const machine of plan.snapshot.machines) {
     const reason = machine.deprovisioning ? null : unhealthyReason(machine, plan);
@@ -47,7 +47,7 @@
   return MAX_BOOT_TIME_RATIO * bootS * 1000 + BOOT_TIME_MARGIN_MS;
 }
 
-/** By all owners' heartbeats: to its present owner, a machine that fell silent during a handover was never silent. */
+/** Silence towards all owners. To its present owner alone, a machine that fell silent during a handover was never silent. */
 function silentMs({ id, sinceHeartbeatMs }: FleetMachine, { loadOf }: CapacityPlan): number {
   return Math.max(sinceHeartbeatMs, loadOf.get(id)?.sinceHeartbeatMs ?? 0);
 }
@@ -56,7 +56,7 @@
   return Math.max(MAX_SILENT_MS, snapshot.leaseMs + LEASE_MARGIN_MS);
 }
 
-/** Gives machines back that boot late, once no partition has any demand. */
+/** Returns machines that boot late to the cloud, once no partition has recent submissions or any demand. */
 export function scaleInLateBooting(plan: CapacityPlan): void {
   if (!plan.noRecentSubmissions || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0))
     return;
@@ -66,7 +66,7 @@
   }
 }
 
-/** Gives idle machines back that no demand of this round has needed. */
+/** Returns idle machines to the cloud that no demand of this round has needed. */
 export function scaleInIdle(plan: CapacityPlan): void {
   const transferred = plan.transferredMachines();
   for (const machine of plan.emptyPool) {
@@ -81,16 +81,16 @@
   return spot ? MAX_IDLE_MS.spot : MAX_IDLE_MS.onDemand;
 }
 
-/** Drains the most expensive machines whose tasks fit on others of their partition, while no partition lacks any. */
+/** Drains the most expensive machines whose tasks fit on others of their partition, while no partition has unmet demand. */
 export function drainSurplus(plan: CapacityPlan): void {
-  // What one partition has in surplus, another with unmet demand gets by rebalancing.
+  // Rebalancing transfers the surplus of one partition to another with unmet demand.
   if (plan.partitions.some(({ hasUnmetDemand }) => hasUnmetDemand)) return;
   const transferred = plan.transferredMachines();
   for (const partition of plan.partitions)
     if (!isGrowing(plan, partition)) drainSurplusOf(plan, partition, transferred);
 }
 
-/** Whether machines are about to come up. Those that boot late do not count, as some never come up. */
+/** Whether machines of the partition are about to come up. Those that boot late do not count, because some never come up. */
 function isGrowing(plan: CapacityPlan, { load }: PlannedPartition): boolean {
   return plan.snapshot.machines.some(
     (machine) => machine.partition === load.partition && machine.booting && !plan.isLateBooting(machine),
@@ -105,14 +105,14 @@
   const running = machines.filter(({ id }) => !transferred.has(id) && plan.tasksOn(id) > 0);
   let freeCpus =
     running.reduce((sum, { free }) => sum + free.cpus, 0) - drainingTaskCpus(plan, load.machines);
-  // Without submissions more than the tasks' CPUs must be free, as some is needed by what is restarted next.
+  // Without submissions, more CPUs than the tasks use must be free, because tasks that are restarted next need some of them.
   const minFreeRatio = plan.noRecentSubmissions ? MIN_FREE_CAPACITY_RATIO : 1;
   let drainsLeft = plan.noRecentSubmissions
     ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO))
     : 1;
   for (const machine of mostExpensiveFirst(running)) {
     const usedCpus = machine.type.cpus - machine.free.cpus;
-    // While jobs still come only on-demand and nearly empty machines are worth draining.
+    // While jobs are still submitted, only on-demand machines and nearly empty machines are worth draining.
     if (!plan.noRecentSubmissions && machine.spot && !isNearlyEmpty(machine)) continue;
     if (freeCpus - machine.free.cpus < minFreeRatio * usedCpus) continue;
     if (plan.emptyInS(machine.id) < MIN_REMAINING_RUN_S) continue;
@@ -132,7 +132,7 @@
   return free.cpus >= NEARLY_EMPTY_RATIO * type.cpus;
 }
 
-/** Machines with free CPUs, by the price of these. */
+/** Machines with free CPUs, in descending order of the price of these CPUs. */
 function mostExpensiveFirst(machines: readonly MachineCapacity[]): MachineCapacity[] {
   return machines.filter((machine) => idleCost(machine) > 0).sort((a, b) => idleCost(b) - idleCost(a));
 }
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -12,22 +12,22 @@
   type PlannedPartition,
 } from './planned-partition';
 
-/** Within how many seconds pending work is meant to be completed, by priority. */
+/** Target time for the completion of pending work, by priority. */
 const TARGET_COMPLETION_S = [15, 15, 30, 50] as const;
 const DEFAULT_TARGET_COMPLETION_S = 60;
-/** A transfer takes one redirected heartbeat, and another that shows the new owner the machine. */
+/** A transfer takes one heartbeat that is redirected, and another that shows the machine to its new owner. */
 const TRANSFER_DURATION_S = 6;
-/** What a round leaves over is planned in the next one. */
+/** Limits of one round. Demand that is left over is planned for in the next round. */
 const MAX_TRANSFERS_PER_ROUND = 60;
 const MAX_PROVISION_REQUESTS_PER_ROUND = 400;
-/** On-demand machines cost more: they are requested once work would take this many times as long as meant. */
+/** On-demand machines cost more, and are requested once work would take more than this many times its target time. */
 const ON_DEMAND_DELAY_RATIO = 2;
-/** A kind of machine that always boots late counts as more expensive by this share of its price. */
+/** A kind of machine of which all boot late counts as more expensive by this many times its price. */
 const LATE_BOOT_COST_RATIO = 1.5;
-/** The least that a task counts for when work is estimated. */
+/** The minimum CPUs and duration that a task counts for in estimates. */
 const MIN_TASK_CPUS = 0.1;
 const MIN_TASK_DURATION_S = 5;
-/** Makes the zone with fewer machines the cheaper one where prices are equal. */
+/** At equal prices, makes the zone with fewer machines the cheaper one. */
 const ZONE_TIE_BREAK_COST = 1e-6;
 
 /** A demand that lacks resources, and its partition. */
@@ -36,13 +36,13 @@
   pending: PendingDemand;
 }
 
-/** Finds machines for all pending demands, most urgent first: empty machines of the fleet, else new ones. */
+/** Finds machines for all pending demands, most urgent first: empty machines of the fleet, or else new ones. */
 export function scaleOut(plan: CapacityPlan): void {
   for (let priority = 0; priority < PRIORITIES.length; priority++) {
     const demands = demandsOfPriority(plan, priority);
     for (const { partition, pending } of demands)
       partition.outstandingCpuSeconds += expectedCpuSeconds(pending.demand);
-    // One machine for each in turn, so that no demand takes all machines that are ready soon.
+    // Adds one machine for each demand in turn, so that no demand takes all machines that are ready soon.
     let open = demands;
     while (open.length > 0 && !isRoundFull(plan))
       open = open.filter(({ partition, pending }) => addOneMachine(plan, partition, pending));
@@ -67,7 +67,7 @@
   return transfers >= MAX_TRANSFERS_PER_ROUND || others >= MAX_PROVISION_REQUESTS_PER_ROUND;
 }
 
-/** Adds the empty machine that is ready first, else a new one. False: the demand is met, or nothing can be added. */
+/** Adds the empty machine that is ready first, else a new one. Returns false if the demand is met or none can be added. */
 function addOneMachine(plan: CapacityPlan, partition: PlannedPartition, pending: PendingDemand): boolean {
   // Machines that were added for other demands of this partition may have resources left.
   placeOnMachines(partition.machines, pending);
@@ -111,12 +111,12 @@
     plan.actions.push({ kind: 'transfer', machine, fromPartition, toPartition, drain: false });
 }
 
-/** Requests a machine from the cloud unless the partition will do without. False: none is requested. */
+/** Plans a request for a machine unless the partition can do without. Returns false if none is requested. */
 function requestMachine(plan: CapacityPlan, partition: PlannedPartition, pending: PendingDemand): boolean {
   const { demand, tasks } = pending;
   const targetS = TARGET_COMPLETION_S[demand.priority] ?? DEFAULT_TARGET_COMPLETION_S;
   const suitableCpus = cpusSuitableFor(demand, partition);
-  // What the suitable machines complete in time needs no new ones.
+  // Work that the suitable machines complete in time needs no new ones.
   const neededCpus = (plan.snapshot.policy.headroom * partition.outstandingCpuSeconds) / targetS;
   const missingCpus = Math.min(tasks * countedCpus(demand), neededCpus - suitableCpus);
   if (missingCpus <= 0) return false;
@@ -140,14 +140,14 @@
   return machines.reduce((sum, machine) => sum + (canRun(demand, machine) ? machine.type.cpus : 0), 0);
 }
 
-/** Whether a demand rather waits for spot machines, by its class's policy; under 'balanced' the lowest priority always does. */
+/** Whether a demand waits for spot machines, by the policy of its class. Under 'balanced', the lowest priority always waits. */
 function prefersSpot(plan: CapacityPlan, demand: Demand, isLate: boolean): boolean {
   const price = plan.snapshot.policy.classes[demand.workload]?.price ?? 'balanced';
   const isLowest = demand.priority === PRIORITIES.length - 1;
   return price === 'cheap' || (price === 'balanced' && (isLowest || !isLate));
 }
 
-/** Counts a machine as the partition's, with the tasks of this demand that it takes. */
+/** Adds a machine to a partition, with as many tasks of this demand as it can take. */
 function addMachine(
   partition: PlannedPartition,
   pending: PendingDemand,
@@ -158,7 +158,7 @@
   partition.machines.push({ id, free, type, zone, spot });
 }
 
-/** A request for the kind of machine that costs least for what is missing; null: the cloud has none that suits. */
+/** A request for the kind of machine that costs least for the missing CPUs; null if the cloud has no suitable kind. */
 function cheapestRequest(
   plan: CapacityPlan,
   { demand, tasks }: PendingDemand,
@@ -185,7 +185,7 @@
   return best;
 }
 
-/** Price of a useful CPU, with what late boots cost. */
+/** Price per useful CPU, including the surcharge for kinds that boot late. */
 function costOf(
   { lateBootRatios, machinesByZone }: CapacityPlan,
   request: MachineRequest,
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -14,21 +14,21 @@
   type MachineType,
 } from '../../protocol/cloud';
 
-/** How a request reaches the cloud; null: no response within `timeoutMs`. */
+/** Sends requests to the cloud. A call resolves to null if no response arrives within `timeoutMs`. */
 export interface CloudTransport {
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpResponse | null>;
 }
 
-/** The cloud's answer to a request for machines. */
+/** The outcome of a request for machines. */
 export type ProvisionResult =
   | { kind: 'provisioned'; machines: string[] }
-  /** It has no machine of this kind at present. */
+  /** The cloud currently has no machine of this kind. */
   | { kind: 'capacity-exhausted' }
-  /** No response, or a malformed one: the request may still be carried out. */
+  /** No response, a malformed one or one of another status. The cloud may still carry the request out. */
   | { kind: 'unknown' };
 
 const REQUEST_TIMEOUT_MS = 4000;
-/** The share of the cloud's request limit that one controller uses. */
+/** The share of the cloud's request rate limit that one controller uses. */
 const RATE_LIMIT_RATIO = 0.8;
 const CAPACITY_EXHAUSTED_STATUS = 503;
 
@@ -36,11 +36,14 @@
   transport: CloudTransport;
   clock: Clock;
   log: Log;
-  /** Requests per second that the cloud allows. */
+  /** The cloud's rate limit in requests per second. */
   requestRate: number;
 }
 
-/** The calls to the cloud. Every call but the pages of a list is to be preceded by a successful `tryAcquireCall`. */
+/**
+ * Client of the cloud's interface. Each call of a method must be preceded by a successful `tryAcquireCall`; one covers all pages
+ * of a machine list.
+ */
 export class CloudClient {
   private readonly limiter: RateLimiter;
 
@@ -49,18 +52,18 @@
     this.limiter = new RateLimiter(requestRate * RATE_LIMIT_RATIO, requestRate);
   }
 
-  /** Takes one call of the request limit; false: none is left at present. */
+  /** Takes one call from the rate limit. Returns false if none is left at present. */
   tryAcquireCall(): boolean {
     return this.limiter.take(this.options.clock.steady(), 1);
   }
 
-  /** The machine types that the cloud offers; null: no response, or a malformed one. */
+  /** Fetches the machine types that the cloud offers. Resolves to null if there is no response or a malformed one. */
   async fetchCatalog(): Promise<MachineType[] | null> {
     const response = await this.call('GET', cloudPaths.catalog);
     return response?.status === 200 ? this.checkParsed(parseCatalog(response.body), 'catalog') : null;
   }
 
-  /** All pages of the list of machines; null: one of them did not come, or was malformed. */
+  /** Fetches all pages of the machine list. Resolves to null if a page did not arrive or was malformed. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after = '';
@@ -76,7 +79,7 @@
     }
   }
 
-  /** Requests machines under a name that no request had before. */
+  /** Requests machines. `requestId` must differ from the ids of all earlier requests. */
   async provision(requestId: string, request: MachineRequest): Promise<ProvisionResult> {
     const response = await this.call('POST', cloudPaths.provision, provisionBody(requestId, request));
     const status = response?.status ?? null;
@@ -86,7 +89,7 @@
     return { kind: status === CAPACITY_EXHAUSTED_STATUS ? 'capacity-exhausted' : 'unknown' };
   }
 
-  /** Gives machines back; true: the cloud has confirmed that they are gone. */
+  /** Returns machines to the cloud. Resolves to true if the cloud has confirmed that they are gone. */
   async deprovision(machines: string[]): Promise<boolean> {
     const response = await this.call('POST', cloudPaths.deprovision, deprovisionBody(machines));
     return response?.status === 200;
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -16,9 +16,9 @@
 import { type PartitionLoads } from './partition-loads';
 
 const MIN_PLANNING_INTERVAL_MS = 500;
-/** Without new loads there is little to decide, and planning is repeated only this often. */
+/** Interval of planning without new partition loads, when there is little to decide. */
 const MAX_PLANNING_INTERVAL_MS = 2500;
-/** The share of processor time that planning may take. */
+/** The share of CPU time that planning may take. */
 const PLANNING_TIME_RATIO = 0.15;
 const STATUS_LOG_INTERVAL_MS = 10_000;
 
@@ -33,12 +33,12 @@
   catalog: MachineCatalog;
   provisioner: MachineProvisioner;
   deprovisioner: MachineDeprovisioner;
-  /** Null: transfers of machines are ordered as they are planned. */
+  /** Reviews planned transfers of machines. Null if transfers are ordered without a review. */
   balancing: FleetBalancing | null;
   sendTo: (member: string, message: PeerMessage) => void;
 }
 
-/** Plans the fleet at intervals, and has the plan carried out: by the cloud, and by the partitions' owners. */
+/** Plans the fleet at intervals, requests machines from the cloud and sends other actions to the partitions' owners. */
 export class FleetPlanner {
   private readonly pacer = new WorkPacer({
     minIntervalMs: MIN_PLANNING_INTERVAL_MS,
@@ -61,7 +61,7 @@
     return this.hasNewLoads ? this.pacer.isDue(now) : now - this.plannedAt >= MAX_PLANNING_INTERVAL_MS;
   }
 
-  /** One round of planning. */
+  /** Runs one round of planning and reports the time it took to the pacer. */
   run(now: number): void {
     this.plan(now);
     this.pacer.record(now, this.deps.clock.steady());
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Leaves out transfers between partitions that the partitions' own load summaries do not justify. */
+  /** Removes transfers between partitions that the partitions' own load summaries do not justify. */
   private reviewTransfers(
     actions: readonly FleetAction[],
     loads: readonly PartitionLoad[],
@@ -113,7 +113,7 @@
     return reviewed.actions;
   }
 
-  /** Transfers and scale-in are carried out by the owner of the partition that has the machine. */
+  /** Sends a transfer or scale-in to the owner of the partition that has the machine, which carries it out. */
   private sendToOwner(action: FleetAction, now: number): void {
     if (action.kind === 'scale-out') return;
     const { replica, history, sendTo } = this.deps;
@@ -140,7 +140,7 @@
   }
 }
 
-/** Machines that are being emptied for another partition. */
+/** Number of machines that are being drained for another partition. */
 function countDrainingForTransfer(loads: readonly PartitionLoad[]): number {
   const machines = loads.flatMap((load) => load.machines);
   return machines.filter((m) => m.transferTarget !== null && m.transferTarget !== DRAIN_TO_CLOUD).length;
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -36,7 +36,7 @@
   | { kind: 'provision-result'; call: ProvisionCall; result: ProvisionResult }
   | { kind: 'deprovision-result'; machines: readonly string[]; removed: boolean };
 
-/** What a leader needs of its controller. */
+/** Components and settings of the controller that the leader uses. */
 export interface LeaderDependencies {
   settings: Settings;
   policy: Policy;
@@ -47,18 +47,18 @@
   clock: Clock;
   log: Log;
   extensions: LeaseExtensions;
-  /** Null: transfers of machines are ordered as they are planned. */
+  /** Reviews planned transfers of machines. Null if transfers are ordered without a review. */
   balancing: FleetBalancing | null;
   sendTo: (member: string, message: PeerMessage) => void;
 }
 
-/** Fleet changes are planned only if the state store has answered within this time. */
+/** Fleet changes are planned only if the state store has responded within this time. */
 const MAX_STORE_SILENCE_MS = 2000;
 
 /**
- * The actor of every controller that claims leadership and, while it leads, assigns partitions to controllers, machines to
- * partitions, and deals with the cloud. Everything that it decides is conditional on its term, so that a leader that was
- * replaced and has not noticed changes nothing.
+ * Actor that runs in every controller and claims leadership. While it leads, it assigns partitions to controllers and machines
+ * to partitions, and manages the machines in the cloud. Every decision is conditional on the leader's term, so that a leader
+ * that was replaced without noticing changes nothing.
  */
 export class Leader extends Actor<Message> {
   private readonly leadership: Leadership;
@@ -107,12 +107,12 @@
     });
   }
 
-  /** Whether this controller leads. */
+  /** Whether this controller leads, according to its session lease and its replica. */
   get leading(): boolean {
     return this.leadership.held;
   }
 
-  /** The machine types that the cloud has told this controller; empty until it has. */
+  /** Machine types that this controller has read from the cloud; empty until the first successful read. */
   get machineTypes(): ReadonlyMap<string, MachineType> {
     return this.catalog.types;
   }
@@ -148,7 +148,7 @@
 
   private tick(now: number): void {
     void this.leadership.claim();
-    // No controller can accept a submission without machine types, so every one asks for them until they are known.
+    // No controller can accept submissions without machine types, so every controller requests them until they are known.
     if (this.catalog.missing) this.catalog.refresh(now);
     if (!this.leading) return;
     this.assignPartitions(now);
@@ -157,7 +157,7 @@
     this.deprovisioner.deprovisionDue();
     void this.registry.removeTerminated();
     void this.registry.sweepEmptyValues(now);
-    // Machines that are provisioned while they cannot be recorded would be requested again and again.
+    // If machines were provisioned while they cannot be recorded, they would be requested again and again.
     if (this.planner.isDue(now) && this.deps.stateStore.respondedWithin(MAX_STORE_SILENCE_MS))
       this.planner.run(now);
   }
@@ -172,7 +172,7 @@
     this.deps.log.info({ leaderTerm: term }, 'leadership acquired');
   }
 
-  /** The term is part of the name, so no other leader's calls have the same names. */
+  /** The id contains the term, so no other leader's requests have the same ids. */
   private nextProvisionRequestId(): string {
     return `${this.deps.membership.name}-${this.leadership.term}-${++this.provisionRequestCount}`;
   }
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -13,30 +13,31 @@
   stateStore: StateStoreClient;
   replica: ReplicaView;
   clock: Clock;
-  /** Called once for each term, before anything is done in it. */
+  /** Called once for each term, before any other action of that term. */
   onAcquired: (term: number) => void;
 }
 
 /**
- * The claim to the leader's record. At most one controller leads: the record is created only if there is none, it is bound
- * to the session lease of its writer, and every decision of a leader is conditional on the record's revision, its term.
+ * Leader election through the leader record in the state store. At most one controller leads: the record is created only if
+ * there is none, it is bound to the session lease of its writer, and every decision of a leader is conditional on the record's
+ * revision, which is its term.
  */
 export class Leadership {
-  /** Revision of the leader's record that this controller last wrote, 0: none. Fences its decisions. */
+  /** Revision of the leader record that this controller last wrote, 0 if it has written none. Fences its decisions. */
   term = 0;
-  /** When the present term began, in milliseconds of the steady clock. */
+  /** Start of the current term, in milliseconds of the steady clock. */
   since = 0;
   private claiming = false;
 
   constructor(private readonly deps: LeadershipDependencies) {}
 
-  /** Whether this controller leads as far as its session lease and its replica show. */
+  /** Whether this controller leads, according to its session lease and its replica. */
   get held(): boolean {
     const { membership, replica } = this.deps;
     return this.term !== 0 && membership.alive() && replica.leader?.term === this.term;
   }
 
-  /** Creates the leader's record if there is none; does nothing while another controller leads. */
+  /** Creates the leader record if there is none. Does nothing while another controller leads. */
   async claim(): Promise<void> {
     const { membership, stateStore, replica } = this.deps;
     if (this.claiming || !membership.alive() || !stateStore.replica.synced) return;
@@ -59,9 +60,9 @@
   }
 
   /**
-   * A claim of this controller may have been applied although its response was lost; without recognizing it, nobody would
-   * lead for as long as this process lives. The claim was conditional on the present session lease, so a record in this
-   * member's name that is newer than its membership belongs to this process.
+   * Starts the term of a claim by this controller that was applied although its response was lost. Otherwise, no controller
+   * would lead for as long as this process lives. The claim was conditional on the current session lease, so a leader record
+   * that names this member and is newer than its membership belongs to this process.
    */
   private recognizeOwnClaim(leader: { member: string; term: number }): void {
     const { membership } = this.deps;
--- a/src/coordination/leader/machine-deprovisioner.ts
+++ b/src/coordination/leader/machine-deprovisioner.ts
@@ -8,18 +8,18 @@
   replica: ReplicaView;
   cloud: CloudClient;
   registry: MachineRegistry;
-  /** `removed`: the cloud has confirmed that the machines are gone. */
+  /** `removed` is true if the cloud has confirmed that the machines are gone. */
   onResult: (machines: readonly string[], removed: boolean) => void;
 }
 
-/** Gives machines back to the cloud once their partition's owner has recorded them as being deprovisioned. */
+/** Returns machines to the cloud once their partition's owner has recorded them as being deprovisioned. */
 export class MachineDeprovisioner {
   private readonly inFlight = new Set<string>();
   private readonly countsByReason = new Map<string, number>();
 
   constructor(private readonly deps: MachineDeprovisionerDependencies) {}
 
-  /** Gives back what is due, in one call; what the cloud does not confirm is given back again. */
+  /** Returns the machines that are due, in one call. Machines that the cloud does not confirm are returned again later. */
   deprovisionDue(): void {
     const { cloud, onResult } = this.deps;
     const due = this.dueMachines();
@@ -48,7 +48,7 @@
     if (removed) for (const id of machines) this.deps.registry.markTerminated(id);
   }
 
-  /** Machines given back since the last call, by reason. */
+  /** Number of machines returned since the previous call, by reason. Resets the counts. */
   takeCountsByReason(): Record<string, number> {
     const counts = Object.fromEntries(this.countsByReason);
     this.countsByReason.clear();
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -6,9 +6,9 @@
 import { type MachineRegistry } from './machine-registry';
 
 const FETCH_INTERVAL_MS = 1500;
-/** A long list costs more and is read less often. */
+/** Added to the interval for each recorded machine, because a long list costs more to read. */
 const FETCH_INTERVAL_MS_PER_MACHINE = 3;
-/** A list is at most this many times the cloud's stated lag old, and the margin. */
+/** The maximum age of a list is this many times the cloud's stated lag, plus the margin. */
 const MAX_LAG_RATIO = 2.5;
 const LAG_MARGIN_MS = 500;
 
@@ -18,18 +18,18 @@
   cloud: CloudClient;
   registry: MachineRegistry;
   history: FleetHistory;
-  /** Takes a complete list that was requested at this moment of the steady clock. */
+  /** Receives a complete list. `requestedAt` is when it was requested, in milliseconds of the steady clock. */
   onList: (machines: ListedMachine[], requestedAt: number) => void;
 }
 
-/** Compares the cloud's list of machines with the recorded ones, to register what is unknown and remove what is gone. */
+/** Compares the cloud's machine list with the recorded machines, to register unknown machines and remove those that are gone. */
 export class MachineListReconciler {
   private requestedAt = Number.NEGATIVE_INFINITY;
   private fetching = false;
 
   constructor(private readonly deps: MachineListReconcilerDependencies) {}
 
-  /** Requests the list if that is due and the cloud's request limit allows it; `onList` gets the result. */
+  /** Requests the list if that is due and the cloud's rate limit allows it. `onList` receives the result. */
   fetch(now: number): void {
     const intervalMs = FETCH_INTERVAL_MS + FETCH_INTERVAL_MS_PER_MACHINE * this.deps.replica.machines.size;
     if (this.fetching || now - this.requestedAt <= intervalMs || !this.deps.cloud.tryAcquireCall()) return;
@@ -41,22 +41,23 @@
     });
   }
 
-  /** Registers machines that are listed and not recorded, and marks those terminated that are no longer listed. */
+  /** Registers machines that are listed but not recorded, and marks recorded machines that are no longer listed as terminated. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number, now: number): void {
     const { registry, history } = this.deps;
     const names = new Set<string>();
     for (const machine of listed) {
       names.add(machine.name);
       history.recordListed(machine, requestedAt, now);
-      // A request that was carried out late, or a machine that was there before the first controller.
+      // Its request was carried out late, or the machine is older than the first controller.
       if (!registry.knows(machine.name)) registry.register(machine.name, machine);
     }
     this.markUnlisted(names, requestedAt, now);
   }
 
   /**
-   * A list lags behind, so it may not show a machine yet. A machine that was listed stays listed until it is terminated:
-   * once its first listing is older than any list can be, its absence is proof.
+   * Marks machines as terminated whose absence from the list proves it. A list lags behind, so it may not show a new machine
+   * yet. A machine that was listed stays listed until it is terminated, so its absence is proof once its first listing is older
+   * than any list can be.
    */
   private markUnlisted(names: ReadonlySet<string>, requestedAt: number, now: number): void {
     const { settings, replica, registry, history } = this.deps;
--- a/src/coordination/leader/machine-provisioner.ts
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -7,13 +7,13 @@
 
 const MAX_MACHINES_PER_CALL = 50;
 const MAX_CALLS_PER_KIND = 3;
-/** For so long a kind of machine is not planned with after the cloud had too few of it. */
+/** How long a kind of machine is left out of planning after the cloud had too few of it. */
 const CAPACITY_EXHAUSTED_MS = 12_000;
 
 /** One call to the cloud for machines of one kind, and the partitions that they are for. */
 export interface ProvisionCall {
   request: MachineRequest;
-  /** One for each machine. */
+  /** One partition for each requested machine. */
   partitions: readonly string[];
 }
 
@@ -21,7 +21,7 @@
   cloud: CloudClient;
   registry: MachineRegistry;
   history: FleetHistory;
-  /** A name that no other call of any controller has. */
+  /** Returns an id that no other request of any controller has. */
   nextRequestId: () => string;
   onResult: (call: ProvisionCall, result: ProvisionResult) => void;
 }
@@ -32,15 +32,15 @@
 
   constructor(private readonly deps: MachineProvisionerDependencies) {}
 
-  /** Whether the cloud had too few machines of this kind a short while ago. */
+  /** Whether the cloud had too few machines of this kind within the last CAPACITY_EXHAUSTED_MS. */
   isExhausted(kind: MachineKind, now: number): boolean {
     return (this.exhaustedUntil.get(kindKey(kind)) ?? Number.NEGATIVE_INFINITY) > now;
   }
 
-  /** Calls are limited, so machines of one kind are requested together, whichever partitions they are for. */
+  /** Requests the machines of scale-out actions. Calls are limited, so machines of one kind share calls across partitions. */
   requestMachines(actions: readonly FleetAction[]): void {
     for (const [key, { kind, partitions }] of groupByKind(actions)) {
-      // A kind that was exhausted before may have a few again: one call shows it.
+      // The cloud may have only a few machines again of a kind that was exhausted before. One call shows whether it does.
       const maxCalls = this.exhaustedUntil.has(key) ? 1 : MAX_CALLS_PER_KIND;
       const count = Math.min(maxCalls * MAX_MACHINES_PER_CALL, partitions.length);
       for (let i = 0; i < count && this.deps.cloud.tryAcquireCall(); i += MAX_MACHINES_PER_CALL)
@@ -57,7 +57,7 @@
       .then((result) => onResult({ request, partitions }, result));
   }
 
-  /** Records the machines that a call brought; until then they count as being provisioned. */
+  /** Records the machines that a call provisioned. Until then, the requested machines count as being provisioned. */
   handleResult({ request, partitions }: ProvisionCall, result: ProvisionResult, now: number): void {
     const { registry, history } = this.deps;
     const provisioned = result.kind === 'provisioned' ? result.machines : [];
@@ -66,7 +66,7 @@
     const endProvisioning = (): void => {
       for (const partition of partitions) history.adjustProvisionsInFlight(partition, request, -1);
     };
-    // The cloud's list may have shown some of them before the response came.
+    // The cloud's list may have shown some of the machines before the response arrived.
     const machines = provisioned.filter((id) => !registry.knows(id));
     if (machines.length === 0) return endProvisioning();
     for (const id of machines) history.getOrCreateHistory(id, now);
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -24,11 +24,11 @@
 }
 
 /**
- * Which machines are recorded for which partition, and which are gone. Only the leader's records are applied, and a leader
- * knows all that was recorded before its term, so no machine is ever recorded twice.
+ * Records new machines for partitions and removes the records of machines that are gone. Only the leader's records are applied,
+ * and a leader knows everything that was recorded before its term, so no machine is ever recorded twice.
  */
 export class MachineRegistry {
-  /** The term under which machines are recorded, 0: this controller does not lead. */
+  /** The term under which machines are recorded, 0 until this controller first leads. */
   leaderTerm = 0;
   private readonly writer: NewMachineWriter;
   /** Machines whose records were removed. */
@@ -36,10 +36,10 @@
   /** The partition of each machine that is being recorded. */
   private readonly recording = new Map<string, string>();
   private readonly pendingBatch = new Map<string, MachineRecord>();
-  /** Machines that are gone and still recorded. */
+  /** Machines that are gone but still recorded. */
   private readonly terminated = new Set<string>();
   private removing = false;
-  /** The first heartbeat of each machine that sends heartbeats and is not recorded. */
+  /** The first heartbeat of each machine that sends heartbeats but is not recorded. */
   private readonly firstHeartbeats = new Map<string, Pick<Heartbeat, 'agentEpoch' | 'sequence'>>();
 
   constructor(private readonly deps: MachineRegistryDependencies) {
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Whether a machine is recorded, or about to be. */
+  /** Whether a machine is recorded or being recorded. */
   knows(id: string): boolean {
     return this.deps.replica.machines.has(id) || this.recording.has(id);
   }
@@ -59,12 +59,12 @@
     return this.terminated.has(id);
   }
 
-  /** Notes that a machine is certainly gone; `removeTerminated` takes it out of the records. */
+  /** Marks a machine that is certainly gone. `removeTerminated` removes its record. */
   markTerminated(id: string): void {
     this.terminated.add(id);
   }
 
-  /** Removes the records of machines that are gone, and with them every task that is in flight on them. */
+  /** Removes the records of machines that are gone and, with them, every task in flight on these machines. */
   async removeTerminated(): Promise<void> {
     const { replica, stateStore } = this.deps;
     if (this.removing || this.terminated.size === 0) return;
@@ -90,8 +90,9 @@
   }
 
   /**
-   * A machine that is not recorded has sent a heartbeat: its request was carried out late, or the cloud's list has not been
-   * read yet. One heartbeat may be a late copy from a machine that is gone; a second, newer one shows that it is alive.
+   * Registers a machine that sends heartbeats but is not recorded, because its request was carried out late or the cloud's list
+   * has not been read yet. The first heartbeat may be a delayed copy from a machine that is gone, so a second, newer one must
+   * show that the machine is alive, unless no machine at all is recorded.
    */
   handleUnknownMachineHeartbeat(heartbeat: Heartbeat): void {
     const { machine, agentEpoch, sequence } = heartbeat;
@@ -103,7 +104,7 @@
     if (isNewer || this.deps.replica.machines.size === 0) this.register(machine, heartbeat);
   }
 
-  /** Records a machine that no known request brought, for the partition with the fewest machines. */
+  /** Records a machine that no known request provisioned, for the partition with the fewest machines. */
   register(id: string, { type, zone, spot }: MachineKind): void {
     const partition = this.smallestPartition();
     if (!partition || this.removed.has(id) || this.knows(id)) return;
@@ -123,7 +124,7 @@
     return smallestFirst[0]?.[0] ?? null;
   }
 
-  /** Machines that turn up one by one are recorded together. */
+  /** Collects machines that appear one by one and records them together after RECORD_BATCH_DELAY_MS. */
   private recordBatched(id: string, record: MachineRecord): void {
     this.recording.set(id, record.partition);
     this.pendingBatch.set(id, record);
@@ -135,7 +136,7 @@
     });
   }
 
-  /** Records machines under the present term; resolves once the replica shows them or the term is over. */
+  /** Records machines under the current term. Resolves once the replica shows them or the term is over. */
   async record(machines: readonly [string, MachineRecord][]): Promise<void> {
     for (const [id, { partition }] of machines) this.recording.set(id, partition);
     const { leaderTerm } = this;
@@ -145,7 +146,7 @@
     for (const [id] of machines) this.recording.delete(id);
   }
 
-  /** Removes values of the state store that hold no machine any more; does nothing until a sweep is due. */
+  /** Removes values from the state store that no longer hold any machine. Does nothing until a sweep is due. */
   sweepEmptyValues(now: number): Promise<void> {
     return this.writer.sweepEmptyValues(now);
   }
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -9,12 +9,12 @@
 import { type Condition, type Write } from '../../protocol/store';
 import { type Membership } from '../membership/membership';
 
-/** Machines whose records share a value when they are first written. */
+/** Maximum number of machine records that share a value when they are first written. */
 const MAX_RECORDS_PER_VALUE = 50;
 const RETRY_DELAY_MS = 150;
 const REPLICA_CATCH_UP_TIMEOUT_MS = 2000;
 const SWEEP_INTERVAL_MS = 5000;
-/** Bounds the share of the state store's change rate that a sweep takes. */
+/** Limits the share of the state store's write rate that a sweep takes. */
 const MAX_VALUES_PER_SWEEP = 6;
 
 export interface NewMachineWriterDependencies {
@@ -25,10 +25,10 @@
   clock: Clock;
 }
 
-/** Writes the records of new machines into the state store, and removes values that no longer hold any. */
+/** Writes the records of new machines to the state store and removes values that no longer hold any machine. */
 export class NewMachineWriter {
   private valueCount = 0;
-  /** Values of this leader of which every attempt was answered: none can be applied again. */
+  /** Keys of this leader's values for which every write attempt received a response, so that none can be applied again. */
   private readonly settledKeys = new Set<string>();
   private sweptAt = Number.NEGATIVE_INFINITY;
   private sweeping = false;
@@ -36,10 +36,10 @@
   constructor(private readonly deps: NewMachineWriterDependencies) {}
 
   /**
-   * Writes records under a leader's term, each partition's in values of its own. It repeats the transaction until the
-   * replica shows the outcome or `isCurrent` says that the term is over, also while the session lease lapses for a moment:
-   * an attempt whose response was lost may still be applied, and a machine that was recorded anew meanwhile would be in
-   * two partitions.
+   * Writes records under a leader's term, in separate values for each partition. Repeats the transaction until the replica
+   * shows the outcome or `isCurrent` returns false because the term is over. A session lease that lapses for a moment does not
+   * end the repetition: an attempt whose response was lost may still be applied, and a machine that was recorded anew in the
+   * meantime would be in two partitions.
    */
   async write(
     machines: readonly [string, MachineRecord][],
@@ -65,11 +65,11 @@
     const { stateStore } = this.deps;
     if (result.kind === 'applied')
       return stateStore.whenCaughtUp(result.revision, REPLICA_CATCH_UP_TIMEOUT_MS);
-    // An earlier attempt of our own was applied, or we no longer lead; a fresh replica shows which.
+    // Either an earlier attempt of this controller was applied, or it no longer leads; a fresh replica shows which.
     return result.kind === 'conflict' && stateStore.ensureFresh();
   }
 
-  /** Removes some of the values that hold no machine and that no pending attempt can write again. */
+  /** Removes a limited number of values that hold no machine and that no pending write attempt can write again. */
   async sweepEmptyValues(now: number): Promise<void> {
     if (this.sweeping || now - this.sweptAt < SWEEP_INTERVAL_MS) return;
     this.sweptAt = now;
@@ -92,7 +92,7 @@
     );
   }
 
-  /** The values that hold new machines, each under a key that was never used before. */
+  /** Writes of the values that hold new machines, each under a key that was never used before, and their conditions. */
   private newValues(
     machines: readonly [string, MachineRecord][],
     leaderTerm: number,
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -10,18 +10,18 @@
 import { Reachability } from '../membership/reachability';
 import { type PartitionLoads } from './partition-loads';
 
-/** Two controllers can carry all heartbeats; with more partitions more machines are idle in one while another lacks them. */
+/** Two controllers can handle all heartbeats. With more partitions, more machines are idle in one while another lacks them. */
 const MAX_PARTITION_COUNT = 2;
-/** Loads come twice a second; reachability is judged by nothing older than this. */
+/** Loads arrive twice a second. A load that is older than this is not used to judge reachability. */
 const MAX_LOAD_AGE_MS = 2500;
-/** A partition is not handed over again before the effect of the last handover has shown. */
+/** Minimum time between two handovers of a partition, so that the effect of the first shows before the second. */
 const MIN_HANDOVER_INTERVAL_MS = 5000;
-/** A new leader waits this long for other members before it first creates partitions. */
+/** A new leader waits at most this long for all other members before it first creates partitions. */
 const MEMBER_WAIT_MS = 1500;
-/** The leader counts as holding this much already, so that partitions go to other members first. */
+/** Counted for the leader in addition to its partitions, so that partitions go to other members first. */
 const LEADER_PARTITION_WEIGHT = 0.5;
 
-/** Splits the teams into at most `count` partitions of about the same guaranteed size. */
+/** Splits the teams into at most `count` partitions with about the same total of guaranteed CPUs. */
 export function splitTeams(teams: readonly Team[], count: number): string[][] {
   const partitions: { teams: string[]; cpus: number }[] = [];
   for (let i = 0; i < Math.min(count, teams.length); i++) partitions.push({ teams: [], cpus: 0 });
@@ -48,22 +48,22 @@
   sendTo: (member: string, message: PeerMessage) => void;
 }
 
-/** How many partitions each live member owns, as far as this round of assignment has come. */
+/** Number of partitions that each live member owns, including what this round of assignment has assigned so far. */
 type PartitionCounts = Map<string, number>;
 
-/** One change of a partition's owner. */
+/** A change of a partition's owner. */
 interface OwnerChange {
   partition: string;
   teams: string[];
   owner: string;
-  /** The partition's present epoch, 0: it is to be created. */
+  /** The partition's current epoch, 0 if the partition is to be created. */
   epoch: number;
-  /** The owner whose session lease has expired, null: none. */
+  /** The present owner whose session lease has expired, null if there is none. */
   failedOwner: string | null;
 }
 
 /**
- * Decides which controller owns which partition. A partition changes owners in the state store only, conditional on the
+ * Decides which controller owns which partition. A partition changes owners only in the state store, conditional on the
  * leader's term, the partition's epoch and the new owner's membership, so no two controllers hold the same epoch.
  */
 export class PartitionAssignment {
@@ -74,7 +74,7 @@
 
   constructor(private readonly deps: PartitionAssignmentDependencies) {}
 
-  /** Creates the partitions if there are none, gives those without a live owner a new one, and starts handovers. */
+  /** Creates the partitions if there are none, assigns an owner to those without a live one, and starts handovers. */
   async assign(now: number, leaderTerm: number, leaderSince: number): Promise<void> {
     if (this.assigning) return;
     const partitions = [...this.deps.replica.partitions.values()];
@@ -105,13 +105,13 @@
     const { members } = replica;
     const counts: PartitionCounts = new Map();
     for (const member of members.keys()) counts.set(member, member === leader ? LEADER_PARTITION_WEIGHT : 0);
-    // A partition that belongs to an earlier incarnation of its owner is assigned anew, and counted then.
+    // A partition that belongs to an earlier incarnation of its owner is counted when it is reassigned.
     for (const { record } of partitions)
       if (members.get(record.owner) === record.incarnation) incrementCount(counts, record.owner);
     return counts;
   }
 
-  /** The member with the fewest partitions, members that machines can reach first. */
+  /** The member with the fewest partitions. Members that machines lately failed to reach are the last choice. */
   private leastLoaded(counts: PartitionCounts): string | undefined {
     const avoided = (member: string): number => Number(this.reachability.isAvoided(member));
     const sorted = [...counts].sort(
@@ -120,7 +120,7 @@
     return sorted[0]?.[0];
   }
 
-  /** One controller stays without a partition: it leads, and stands by for a failover. */
+  /** Creates the partitions. Of several controllers, at least one gets none: it leads and stands by for a failover. */
   private async createPartitions(counts: PartitionCounts): Promise<void> {
     const count = Math.max(1, Math.min(MAX_PARTITION_COUNT, this.controllerCount - 1));
     for (const [i, teams] of splitTeams(this.deps.settings.teams, count).entries()) {
@@ -132,8 +132,9 @@
   }
 
   /**
-   * An owner that is a member again under a new incarnation gets its partition back under a new epoch: it knows nothing of
-   * what it ordered before. Otherwise the partition goes to another member, once no lease extension protects the owner.
+   * Assigns the partitions of owners whose session lease has expired. An owner that has rejoined under a new incarnation gets
+   * its partition back under a new epoch, because it no longer knows what it ordered before. Otherwise the partition goes to
+   * another member, once no lease extension protects the owner.
    */
   private async replaceFailedOwners(
     partitions: readonly StoredPartition[],
@@ -162,7 +163,7 @@
       { key: keys.partition(partition), revision: epoch },
       { key: keys.member(owner), revision: incarnation },
     ];
-    // Applied late, the change must not hit an owner that has come back meanwhile.
+    // If the change is applied late, it must not affect an owner that has rejoined in the meantime.
     if (failedOwner) conditions.push({ key: keys.member(failedOwner), revision: 0 });
     const result = await stateStore.transact(
       conditions,
@@ -173,7 +174,7 @@
     return result.kind === 'applied';
   }
 
-  /** Hands partitions over whose machines reach other controllers and not their owner. */
+  /** Hands over partitions whose machines reach other controllers but not the partition's owner. */
   private handOverUnreachable(partitions: readonly StoredPartition[], now: number): void {
     const { settings, replica, loads, log } = this.deps;
     const members = [...replica.members.keys()];
@@ -189,7 +190,7 @@
     }
   }
 
-  /** A member without a partition gets one from a member that has two or more. */
+  /** Hands over a partition from a member that has two or more to a member that has none. */
   private handOverToIdleMember(
     partitions: readonly StoredPartition[],
     counts: PartitionCounts,
--- a/src/coordination/leader/partition-loads.ts
+++ b/src/coordination/leader/partition-loads.ts
@@ -1,12 +1,12 @@
 import { type PartitionLoad } from '../../protocol/peers';
 
-/** A load that is older than this is not planned by. */
+/** Planning uses only loads that are younger than this. */
 const MAX_LOAD_AGE_MS = 6000;
-/** A partition is settling while more than this share of its machines is unconfirmed, for at most this long. */
+/** A partition is settling while more than this share of its machines is unconfirmed, for less than MAX_SETTLING_MS. */
 const MAX_UNCONFIRMED_RATIO = 0.25;
 const MAX_SETTLING_MS = 8000;
 
-/** A load, and when it was received by the steady clock. */
+/** A load and when it was received, in milliseconds of the steady clock. */
 export interface ReceivedLoad {
   load: PartitionLoad;
   at: number;
@@ -15,7 +15,7 @@
 /** The latest load that each partition's owner has sent to the leader. */
 export class PartitionLoads {
   private readonly byPartition = new Map<string, ReceivedLoad>();
-  /** When a partition was first seen under its present epoch. */
+  /** When each partition was first seen under its current epoch. */
   private readonly firstSeen = new Map<string, { epoch: number; at: number }>();
 
   record(load: PartitionLoad, at: number): void {
@@ -26,16 +26,16 @@
     return this.byPartition.get(partition);
   }
 
-  /** Loads of these partitions that are recent enough to plan by. */
+  /** Loads of these partitions that are recent enough for planning. */
   recent(partitions: Iterable<string>, now: number): PartitionLoad[] {
     const received = [...partitions].flatMap((id) => this.byPartition.get(id) ?? []);
     return received.filter(({ at }) => now - at < MAX_LOAD_AGE_MS).map(({ load }) => load);
   }
 
   /**
-   * Whether a partition has changed owners so lately that most of its machines have sent no heartbeat: nothing is known of
-   * what they lack. Planning a fleet of hundreds meanwhile would take processor time from the owner, which may be this
-   * controller, while it must answer them.
+   * Whether a partition has changed owners so recently that many of its machines have sent no heartbeat, so that nothing is
+   * known of what the partition lacks. Planning a fleet of hundreds of machines at that time would take CPU time from the
+   * owner, which may be this controller, while it must answer the machines' heartbeats.
    */
   isSettling({ partition, epoch, machines, unconfirmed }: PartitionLoad, now: number): boolean {
     const known = this.firstSeen.get(partition);
