--- a/test/fleet/autoscaler.test.ts
+++ b/test/fleet/autoscaler.test.ts
@@ -7,7 +7,7 @@
 import { LARGE_TYPE, SMALL_TYPE } from '../support/machine-types';
 import { demand, fleetMachine, machineLoad, partitionLoad } from '../support/fleet-builders';
 
-test('autoscaling', async (t) => {
+test('planCapacity', async (t) => {
   const snapshot = (change: Partial<FleetSnapshot>): FleetSnapshot => ({
     types: new Map([SMALL_TYPE, LARGE_TYPE].map((m) => [m.name, m])),
     loads: [],
@@ -19,25 +19,29 @@
   });
   const busy = { tasks: 4, freeCpus: 0, freeMemoryGb: 8, emptyInS: 60 };
   const cases: [string, Partial<FleetSnapshot>, (actions: ReturnType<typeof planCapacity>) => boolean][] = [
-    ['nothing to do', { loads: [partitionLoad('p0', [], [])] }, (a) => a.length === 0],
     [
-      'spot machines for waiting work',
+      'a partition without machines and demand needs no action',
+      { loads: [partitionLoad('p0', [], [])] },
+      (a) => a.length === 0,
+    ],
+    [
+      'spot machines are requested for pending tasks',
       { loads: [partitionLoad('p0', [demand({})], [])] },
       (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.spot),
     ],
     [
-      // A job that allows no spot machine once waited for ever, as ordinary ones needed a long queue.
-      'one task that allows no spot machine gets an ordinary one at once',
+      // A job that allows no spot machine used to wait forever, because on-demand machines were requested only for a long queue.
+      'a single task that allows no spot machine gets an on-demand machine at once',
       { loads: [partitionLoad('p0', [demand({ tasks: 1, spot: false })], [])] },
       (a) => a.length === 1 && a[0]?.kind === 'scale-out' && !a[0].request.spot,
     ],
     [
-      'ordinary ones when spot is sold out and nothing else can run the work',
+      'on-demand machines are requested if spot capacity is exhausted and nothing else can run the work',
       { loads: [partitionLoad('p0', [demand({})], [])], capacityExhausted: (k) => k.spot },
       (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && !x.request.spot),
     ],
     [
-      'room in a zone where the job may not go is none: one is rented where it may',
+      'free resources in a zone that the demand excludes do not count: a machine is requested in an allowed zone',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 2, zones: ['b'] })], [machineLoad('i-1')])],
         machines: [fleetMachine('i-1', { zone: 'a' })],
@@ -45,7 +49,7 @@
       (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.zone === 'b'),
     ],
     [
-      'machines that are booting count',
+      'a booting machine counts as capacity',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 4 })], [])],
         machines: [fleetMachine('i-1', { booting: true, ageMs: 5000 })],
@@ -53,7 +57,7 @@
       (a) => a.length === 0,
     ],
     [
-      'one that is late counts no more: what waits for it is asked for again',
+      'a machine that boots late does not count as capacity: another one is requested',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 4 })], [])],
         machines: [fleetMachine('i-1', { booting: true, ageMs: 35_000 })],
@@ -61,7 +65,7 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-out',
     ],
     [
-      'one that never boots is returned',
+      'a machine that never comes up is returned to the cloud',
       {
         loads: [partitionLoad('p0', [], [])],
         machines: [fleetMachine('i-1', { booting: true, ageMs: 90_000 })],
@@ -69,8 +73,8 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force,
     ],
     [
-      // A machine that never came up kept two hundred others from being sent off for two minutes.
-      'one that takes far too long to boot does not keep the others of its partition',
+      // A machine that never came up prevented the drain of two hundred others for two minutes.
+      'a machine that boots late does not prevent the drain of other machines of its partition',
       {
         loads: [
           partitionLoad(
@@ -93,7 +97,7 @@
       (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].drain,
     ],
     [
-      'nor is it waited for once there is no work',
+      'a machine that boots late is returned to the cloud once there is no work',
       {
         loads: [
           partitionLoad('p0', [], [machineLoad('i-1', { sinceHeartbeatMs: -1 })], { sinceLastJobS: 30 }),
@@ -103,8 +107,8 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force,
     ],
     [
-      // Two machines fell silent while they changed partitions: kept and paid for ten minutes, and counted as room all the time.
-      'one that fell silent while it changed partitions is returned',
+      // Two machines that fell silent during a transfer were kept and paid for ten minutes, and counted as capacity all the time.
+      'a machine that fell silent during a transfer is returned to the cloud',
       {
         loads: [partitionLoad('p0', [], [machineLoad('i-1', { sinceHeartbeatMs: -1 })])],
         machines: [fleetMachine('i-1', { sinceHeartbeatMs: 31_000 })],
@@ -112,7 +116,7 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].force && a[0].reason === 'silent',
     ],
     [
-      'nor is it room for what waits before that',
+      'a machine that fell silent during a transfer does not count as capacity even before it is returned',
       {
         loads: [
           partitionLoad(
@@ -134,8 +138,8 @@
       (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out'),
     ],
     [
-      // An owner that is cut from its workers for some seconds must not rent its fleet a second time.
-      'machines that all fall silent together still count: it is their owner who does not hear',
+      // An owner that is cut off from its workers for some seconds must not cause a second fleet to be provisioned.
+      'machines that all fall silent together still count as capacity, since the cause is their owner',
       {
         loads: [
           partitionLoad('p0', [demand({ tasks: 4 })], [machineLoad('i-1', { sinceHeartbeatMs: 9000 })]),
@@ -145,7 +149,7 @@
       (a) => a.length === 0,
     ],
     [
-      'an idle machine of another partition moves instead of a rental',
+      'an idle machine of another partition is transferred instead of provisioning a new one',
       {
         loads: [
           partitionLoad('p0', [], [machineLoad('i-1', { idleMs: 4000 })]),
@@ -156,7 +160,7 @@
       (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].toPartition === 'p1' && !a[0].drain,
     ],
     [
-      'a machine that fails every task is returned though it is busy',
+      'a machine that fails every task is returned to the cloud although it is busy',
       {
         loads: [partitionLoad('p0', [], [machineLoad('i-1', { ...busy, quarantined: true })])],
         machines: [fleetMachine('i-1', { quarantinedMs: 9000 })],
@@ -164,7 +168,7 @@
       (a) => a.some((x) => x.kind === 'scale-in' && x.force),
     ],
     [
-      'one idle for long is returned, one just emptied is kept',
+      'a machine that is idle for long is returned to the cloud, one that was just emptied is kept',
       {
         loads: [
           partitionLoad(
@@ -178,8 +182,8 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-in' && a[0].machine === 'i-1',
     ],
     [
-      // Idle by the report of a moment ago, it was given back while work waited that it was about to get.
-      'one idle for long that waiting work needs stays',
+      // A machine that was idle in the latest load was returned although it was about to get pending tasks.
+      'a machine that is idle for long is kept if pending tasks need it',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 4 })], [machineLoad('i-1', { idleMs: 60_000 })])],
         machines: [fleetMachine('i-1')],
@@ -187,7 +191,7 @@
       (a) => a.length === 0,
     ],
     [
-      'a partition with little work lends what empties soon, when nothing can be rented',
+      'a partition with little work drains machines that empty soon for another one if none can be provisioned',
       {
         loads: [
           partitionLoad('p0', [], [machineLoad('i-1', { ...busy, emptyInS: 5 }), machineLoad('i-2', busy)], {
@@ -201,7 +205,7 @@
       (a) => a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].drain,
     ],
     [
-      'one that has room for all of its own lends machines that are busy for long, up to half of what is free',
+      'a donor without unmet demand drains machines that are busy for long, up to half of its free CPUs',
       {
         loads: [
           partitionLoad(
@@ -225,7 +229,7 @@
       (a) => a.length === 5 && a.every((x) => x.kind === 'transfer' && x.toPartition === 'p1' && x.drain),
     ],
     [
-      'one whose own work waits keeps them',
+      'a donor with unmet demand keeps machines that are busy for long',
       {
         loads: [
           partitionLoad(
@@ -247,8 +251,8 @@
       (a) => a.length === 0,
     ],
     [
-      // Nights on which new machines of one kind came up late or never: what was asked for next was of the same kind.
-      'a kind of machine that comes up late is asked for in another zone',
+      // On some nights, new machines of one kind came up late or never, and the next requests were for the same kind.
+      'if a kind of machine boots late, its type is requested in another zone',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 4 })], [])],
         machines: ['i-1', 'i-2'].map((id) => fleetMachine(id, { booting: true, ageMs: 40_000 })),
@@ -257,7 +261,7 @@
         a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.zone === 'b' && x.request.spot),
     ],
     [
-      'or of another type, where that is not much dearer',
+      'if a kind of machine boots late, another type is requested if it is not much more expensive',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 32, zones: ['a'] })], [])],
         machines: ['i-1', 'i-2', 'i-3'].map((id) => fleetMachine(id, { booting: true, ageMs: 40_000 })),
@@ -265,7 +269,7 @@
       (a) => a.length > 0 && a.every((x) => x.kind === 'scale-out' && x.request.type === 'large'),
     ],
     [
-      'one late machine among many says nothing of its kind',
+      'a single late machine among many does not change which kind is requested',
       {
         loads: [partitionLoad('p0', [demand({ tasks: 4 })], [])],
         machines: [
@@ -279,8 +283,9 @@
       (a) => a.length === 1 && a[0]?.kind === 'scale-out' && a[0].request.zone === 'a',
     ],
     [
-      // One partition's idle work held a thousand CPUs while another's urgent work waited: their whole work took as long.
-      'urgent work of one partition counts for more than idle work of another',
+      // Idle-priority work of one partition held a thousand CPUs while urgent work of another waited, because all work of the one
+      // would have taken as long as all work of the other.
+      'a machine is drained from idle-priority work of one partition for urgent work of another',
       {
         loads: [
           partitionLoad(
@@ -297,8 +302,8 @@
         a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].toPartition === 'p1',
     ],
     [
-      // Twice a second a partition's machines went out for normal work and others came in for its urgent work.
-      'a partition that has no room for its urgent work lends nothing for less urgent work',
+      // Twice a second, machines of a partition were transferred away for normal work and others to it for its urgent work.
+      'a partition with unmet urgent demand gives no machine to less urgent work',
       {
         loads: [
           partitionLoad(
@@ -314,7 +319,7 @@
       (a) => !a.some((x) => x.kind === 'transfer' && x.toPartition === 'p1'),
     ],
     [
-      'what was just moved stays',
+      'a machine that was just transferred is not transferred again',
       {
         loads: [
           partitionLoad('p0', [], [machineLoad('i-1', { idleMs: 4000 })]),
@@ -326,8 +331,9 @@
       (a) => a.length === 0,
     ],
     [
-      // Tasks stopped on a draining machine wait for a moment: they had every drain of their partition taken back.
-      'a drain out of the fleet goes on while others have room for what waits',
+      // Tasks that are stopped on a draining machine are pending for a moment, which caused every drain of the partition to be
+      // revoked.
+      'a drain to the cloud continues while other machines have resources for the pending tasks',
       {
         loads: [
           partitionLoad(
@@ -344,7 +350,7 @@
       (a) => a.length === 0,
     ],
     [
-      'a drain out of the fleet is taken back once something waits that nobody has room for',
+      'a drain to the cloud is revoked once other machines lack resources for pending tasks',
       {
         loads: [
           partitionLoad(
@@ -363,7 +369,7 @@
         a.length === 1 && a[0]?.kind === 'transfer' && a[0].machine === 'i-1' && a[0].toPartition === 'p0',
     ],
     [
-      'a drain that the work since has made wrong is taken back',
+      'a drain for another partition is revoked once later work has made it useless',
       {
         loads: [
           partitionLoad(
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -21,7 +21,7 @@
 const CPUS = 4;
 const FIRST_OWNER_EPOCH = 100;
 const SECOND_OWNER_EPOCH = 200;
-/** Machines were recorded before either owner had the partition. */
+/** The machines were recorded before either owner had the partition. */
 const RECORD_REVISION = 50;
 const VALUE_BYTES = 4096;
 
@@ -37,7 +37,7 @@
   return jobSpec(`job-${n}`, { tasks: TASKS_PER_JOB, memoryGb: 1 });
 }
 
-/** A worker as far as its reports go. */
+/** The part of a worker's state that its heartbeats contain. */
 interface Worker {
   sequence: number;
   token: number;
@@ -49,7 +49,7 @@
     names.map((n) => [n, { sequence: 0, token: 0, tasks: new Map() }]),
   );
 
-  /** Each machine reports once, and takes what it is answered. */
+  /** Each machine sends one heartbeat and starts the tasks in its answer. */
   heartbeatAll(core: PartitionCore, now: number): void {
     for (const [machine, worker] of this.workers) {
       const heartbeat: Heartbeat = {
@@ -65,7 +65,7 @@
         ...{ token: worker.token, preemptionNoticeS: null, tasks: [...worker.tasks.values()] },
       };
       const answer = core.handleHeartbeat(heartbeat, now);
-      assert.ok(answer, `${machine} is not answered`);
+      assert.ok(answer, `${machine} got no answer`);
       worker.token = answer.token;
       for (const c of answer.commands) {
         assert.equal(c.op, 'start', `${c.op} of ${c.ref}/${c.index}`);
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Every task that is on some machine, as often as it is. */
+  /** The tasks on all machines. A task on several machines occurs several times. */
   tasks(): string[] {
     return [...this.workers.values()].flatMap((w) => [...w.tasks.keys()]);
   }
@@ -117,11 +117,11 @@
   };
 }
 
-test('more than four thousand machines: filled, told of, planned for, and taken over with nothing lost', () => {
+test('more than four thousand machines are filled, reported in one frame, planned for and taken over without losing a task', () => {
   const fleet = new Fleet();
   const firstOwner = createOwner(FIRST_OWNER_EPOCH, 0);
   fleet.heartbeatAll(firstOwner, 1000);
-  // They have shown its token by the next report; then nothing of an earlier owner can be anywhere.
+  // By the next heartbeat, all machines have shown its token, so nothing that an earlier owner ordered can be in effect.
   fleet.heartbeatAll(firstOwner, 4000);
   firstOwner.tick(4500, 4500);
   fleet.heartbeatAll(firstOwner, 7000);
@@ -149,20 +149,24 @@
   assert.equal(
     load.demands.reduce((sum, d) => sum + d.tasks, 0),
     0,
-    `the team is at its limit, so none of the ${waiting} that wait is asked for`,
+    `the team is at its limit, so none of the ${waiting} pending tasks counts as demand`,
+  );
+  assert.deepEqual(
+    planCapacity(fleetSnapshotOf(load, 8000)),
+    [],
+    'no machine is provisioned, transferred or returned',
   );
-  assert.deepEqual(planCapacity(fleetSnapshotOf(load, 8000)), [], 'nothing to rent, move or return');
 
   const secondOwner = createOwner(SECOND_OWNER_EPOCH, 9000);
   assert.equal(secondOwner.unconfirmedCount, MACHINES);
   fleet.heartbeatAll(secondOwner, 10_000);
   fleet.heartbeatAll(secondOwner, 13_000);
-  assert.equal(secondOwner.unconfirmedCount, 0, 'all machines have spoken');
-  assert.deepEqual(fleet.tasks().sort(), started.sort(), 'what ran goes on, and nothing is started twice');
+  assert.equal(secondOwner.unconfirmedCount, 0, 'all machines have sent heartbeats to the new owner');
+  assert.deepEqual(fleet.tasks().sort(), started.sort(), 'running tasks continue, and none is started twice');
   assert.equal(secondOwner.counters.lost, 0);
 });
 
-test('the list of assigned machines goes on in more values, each within its limit', () => {
+test('the list of assigned machines is split into several values, each within the size limit', () => {
   const values = new Map<string, string[]>();
   const replica = {
     assignedInKey: (key: string) => values.get(key) ?? [],
--- a/test/leader/partition-assignment.test.ts
+++ b/test/leader/partition-assignment.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { splitTeams } from '../../src/coordination/leader/partition-assignment';
 
-test('teams are split by what they are guaranteed', () => {
+test('teams are split into partitions with similar totals of guaranteed CPUs', () => {
   const team = (name: string, cpus: number): Parameters<typeof splitTeams>[0][number] => ({
     name,
     guaranteed: { cpus, accelerators: 0 },
