--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -12,7 +12,7 @@
 export const MIN_TRANSFER_INTERVAL_MS = 6000;
 /** A machine that has been booting for more than this many times the boot time of its type is booting late. */
 const LATE_BOOT_RATIO = 1.7;
-/** A machine that is silent for longer than this does not count as capacity. A transfer or a lost heartbeat takes less. */
+/** A machine that is silent for longer than this does not count as capacity. Transfers and lost heartbeats take less. */
 const MAX_SILENT_MS = 8000;
 /** If more than this share of a partition's machines is silent, the cause is the owner, which receives no heartbeats. */
 const MAX_UNRESPONSIVE_RATIO = 0.25;
@@ -24,7 +24,7 @@
   partition: string;
   /** Seconds until the machine can take tasks in its present partition. */
   readyInS: number;
-  /** The machine may have got tasks since its owner's last load, or was just transferred, and stays in its partition for now. */
+  /** Whether it may have got tasks since its owner's last load or was just transferred. It then stays in its partition for now. */
   recentlyChanged: boolean;
 }
 
@@ -38,7 +38,7 @@
   readonly loadOf = new Map<string, MachineLoad>();
   /** Number of machines in use or being provisioned, by zone. */
   readonly machinesByZone = new Map<string, number>();
-  /** No partition has had a submission for more than NO_SUBMISSIONS_S. */
+  /** Whether no partition has had a submission for more than NO_SUBMISSIONS_S. */
   readonly noRecentSubmissions: boolean;
   /** The share of machines that boot late or never, by kind. Holds only kinds with a share above MIN_LATE_BOOT_RATIO. */
   readonly lateBootRatios: ReadonlyMap<string, number>;
--- a/src/coordination/fleet/fleet-snapshot.ts
+++ b/src/coordination/fleet/fleet-snapshot.ts
@@ -6,7 +6,7 @@
 export interface MachineKind {
   type: string;
   zone: string;
-  /** True: at the spot price, and the cloud may reclaim the machine. False: on demand. */
+  /** True for a machine at the spot price, which the cloud may reclaim; false for an on-demand machine. */
   spot: boolean;
 }
 
--- a/src/coordination/fleet/machine-rebalancer.ts
+++ b/src/coordination/fleet/machine-rebalancer.ts
@@ -11,7 +11,7 @@
   type PlannedPartition,
 } from './planned-partition';
 
-/** A recipient gets machines only if it needs at least this many times as long as the donor, and at least this long. */
+/** A recipient gets machines only if its work takes at least this many times as long as the donor's, and at least this long. */
 const MIN_COMPLETION_TIME_RATIO = 1.3;
 const MIN_COMPLETION_TIME_S = 8;
 /** Draining leaves resources unused, so only machines whose last task ends soon are drained, and few at a time. */
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -27,7 +27,7 @@
 /** Within this time, runs on other machines show whether a quarantined machine or a job is at fault. */
 const MAX_QUARANTINE_MS = 8000;
 
-/** Returns unusable machines to the cloud, whatever the demand. */
+/** Scales in unusable machines, whatever the demand. */
 export function scaleInUnhealthy(plan: CapacityPlan): void {
   for (const machine of plan.snapshot.machines) {
     const reason = machine.deprovisioning ? null : unhealthyReason(machine, plan);
@@ -47,7 +47,7 @@
   return MAX_BOOT_TIME_RATIO * bootS * 1000 + BOOT_TIME_MARGIN_MS;
 }
 
-/** Silence towards all owners. To its present owner alone, a machine that fell silent during a handover was never silent. */
+/** Time since a heartbeat to any owner. To its present owner, a machine that fell silent during a handover was never silent. */
 function silentMs({ id, sinceHeartbeatMs }: FleetMachine, { loadOf }: CapacityPlan): number {
   return Math.max(sinceHeartbeatMs, loadOf.get(id)?.sinceHeartbeatMs ?? 0);
 }
@@ -56,7 +56,7 @@
   return Math.max(MAX_SILENT_MS, snapshot.leaseMs + LEASE_MARGIN_MS);
 }
 
-/** Returns machines that boot late to the cloud, once no partition has recent submissions or any demand. */
+/** Scales in machines that boot late, once no partition has recent submissions or any demand. */
 export function scaleInLateBooting(plan: CapacityPlan): void {
   if (!plan.noRecentSubmissions || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0))
     return;
@@ -66,7 +66,7 @@
   }
 }
 
-/** Returns idle machines to the cloud that no demand of this round has needed. */
+/** Scales in idle machines that no demand of this round has needed. */
 export function scaleInIdle(plan: CapacityPlan): void {
   const transferred = plan.transferredMachines();
   for (const machine of plan.emptyPool) {
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -22,7 +22,7 @@
 const MAX_PROVISION_REQUESTS_PER_ROUND = 400;
 /** On-demand machines cost more, and are requested once work would take more than this many times its target time. */
 const ON_DEMAND_DELAY_RATIO = 2;
-/** A kind of machine of which all boot late counts as more expensive by this many times its price. */
+/** A kind of machine that always boots late counts as more expensive by this multiple of its price. */
 const LATE_BOOT_COST_RATIO = 1.5;
 /** The minimum CPUs and duration that a task counts for in estimates. */
 const MIN_TASK_CPUS = 0.1;
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -24,7 +24,7 @@
   | { kind: 'provisioned'; machines: string[] }
   /** The cloud currently has no machine of this kind. */
   | { kind: 'capacity-exhausted' }
-  /** No response, a malformed one or one of another status. The cloud may still carry the request out. */
+  /** The response is missing, malformed or of another status. The cloud may still carry the request out. */
   | { kind: 'unknown' };
 
 const REQUEST_TIMEOUT_MS = 4000;
@@ -57,13 +57,13 @@
     return this.limiter.take(this.options.clock.steady(), 1);
   }
 
-  /** Fetches the machine types that the cloud offers. Resolves to null if there is no response or a malformed one. */
+  /** Fetches the machine types that the cloud offers. Resolves to null if the response is missing, malformed or an error. */
   async fetchCatalog(): Promise<MachineType[] | null> {
     const response = await this.call('GET', cloudPaths.catalog);
     return response?.status === 200 ? this.checkParsed(parseCatalog(response.body), 'catalog') : null;
   }
 
-  /** Fetches all pages of the machine list. Resolves to null if a page did not arrive or was malformed. */
+  /** Fetches all pages of the machine list. Resolves to null if the response for a page is missing, malformed or an error. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     let after = '';
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Starts the term of a claim by this controller that was applied although its response was lost. Otherwise, no controller
+   * Starts the term of a claim by this controller that was applied although its response was lost. Without this, no controller
    * would lead for as long as this process lives. The claim was conditional on the current session lease, so a leader record
    * that names this member and is newer than its membership belongs to this process.
    */
--- a/src/coordination/leader/machine-deprovisioner.ts
+++ b/src/coordination/leader/machine-deprovisioner.ts
@@ -48,7 +48,7 @@
     if (removed) for (const id of machines) this.deps.registry.markTerminated(id);
   }
 
-  /** Number of machines returned since the previous call, by reason. Resets the counts. */
+  /** Number of machines returned since the previous call, by reason. Retries count again. Resets the counts. */
   takeCountsByReason(): Record<string, number> {
     const counts = Object.fromEntries(this.countsByReason);
     this.countsByReason.clear();
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -41,7 +41,7 @@
     });
   }
 
-  /** Registers machines that are listed but not recorded, and marks recorded machines that are no longer listed as terminated. */
+  /** Registers machines that are listed but not recorded, and marks as terminated those that are recorded but no longer listed. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number, now: number): void {
     const { registry, history } = this.deps;
     const names = new Set<string>();
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Marks machines as terminated whose absence from the list proves it. A list lags behind, so it may not show a new machine
+   * Marks as terminated the machines whose absence from the list proves that they are gone. A list lags behind, so it may not show a new machine
    * yet. A machine that was listed stays listed until it is terminated, so its absence is proof once its first listing is older
    * than any list can be.
    */
--- a/src/coordination/leader/machine-provisioner.ts
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -40,7 +40,7 @@
   /** Requests the machines of scale-out actions. Calls are limited, so machines of one kind share calls across partitions. */
   requestMachines(actions: readonly FleetAction[]): void {
     for (const [key, { kind, partitions }] of groupByKind(actions)) {
-      // The cloud may have only a few machines again of a kind that was exhausted before. One call shows whether it does.
+      // The cloud may have only a few machines of a kind that was exhausted before. A single call shows whether it has any.
       const maxCalls = this.exhaustedUntil.has(key) ? 1 : MAX_CALLS_PER_KIND;
       const count = Math.min(maxCalls * MAX_MACHINES_PER_CALL, partitions.length);
       for (let i = 0; i < count && this.deps.cloud.tryAcquireCall(); i += MAX_MACHINES_PER_CALL)
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -58,7 +58,7 @@
   owner: string;
   /** The partition's current epoch, 0 if the partition is to be created. */
   epoch: number;
-  /** The present owner whose session lease has expired, null if there is none. */
+  /** The previous owner if its session lease has expired and it has not rejoined, else null. */
   failedOwner: string | null;
 }
 
