--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -41,7 +41,7 @@
     });
   }
 
-  /** Registers machines that are listed but not recorded, and marks as terminated those that are recorded but no longer listed. */
+  /** Registers machines that are listed but not recorded, and marks recorded machines as terminated that are not listed any more. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number, now: number): void {
     const { registry, history } = this.deps;
     const names = new Set<string>();
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Marks as terminated the machines whose absence from the list proves that they are gone. A list lags behind, so it may not show a new machine
-   * yet. A machine that was listed stays listed until it is terminated, so its absence is proof once its first listing is older
-   * than any list can be.
+   * Marks machines as terminated if their absence from the list proves that they are gone. A list lags behind, so it may not
+   * show a new machine yet. A machine that was listed stays listed until it is terminated, so its absence is proof once its
+   * first listing is older than any list can be.
    */
   private markUnlisted(names: ReadonlySet<string>, requestedAt: number, now: number): void {
     const { settings, replica, registry, history } = this.deps;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -89,7 +89,7 @@
     id: 'p0',
     epoch,
     teams: [team],
-    types: () => types,
+    machineTypes: () => types,
     specOfClosedJob: () => undefined,
     options,
     assignedMachines: new Set(names),
@@ -129,7 +129,7 @@
   assert.equal(started.length, MACHINES * CPUS, 'every machine is full');
   assert.equal(new Set(started).size, started.length, 'no task is on two machines');
 
-  const load = firstOwner.load(8000);
+  const load = firstOwner.currentLoad(8000);
   assert.equal(load.machines.length, MACHINES);
   const frame: PeerMessage = {
     ...{
