--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -24,7 +24,7 @@
   partition: string;
   /** Seconds until the machine can take tasks in its present partition. */
   readyInS: number;
-  /** Whether it may have got tasks since its owner's last load or was just transferred. It then stays in its partition. */
+  /** Whether it may have got tasks since its owner's last load or was just transferred. It stays in its partition for now. */
   recentlyChanged: boolean;
 }
 
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -41,7 +41,7 @@
     });
   }
 
-  /** Registers machines that are listed but not recorded, and marks recorded machines as terminated that are not listed any more. */
+  /** Registers listed machines that are not recorded, and marks recorded machines as terminated that are no longer listed. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number, now: number): void {
     const { registry, history } = this.deps;
     const names = new Set<string>();
--- a/test/fleet/autoscaler.test.ts
+++ b/test/fleet/autoscaler.test.ts
@@ -20,7 +20,7 @@
   const busy = { tasks: 4, freeCpus: 0, freeMemoryGb: 8, emptyInS: 60 };
   const cases: [string, Partial<FleetSnapshot>, (actions: ReturnType<typeof planCapacity>) => boolean][] = [
     [
-      'a partition without machines and demand needs no action',
+      'a partition without machines or demand needs no action',
       { loads: [partitionLoad('p0', [], [])] },
       (a) => a.length === 0,
     ],
@@ -149,7 +149,7 @@
       (a) => a.length === 0,
     ],
     [
-      'an idle machine of another partition is transferred instead of provisioning a new one',
+      'an idle machine of another partition is transferred, and none is provisioned',
       {
         loads: [
           partitionLoad('p0', [], [machineLoad('i-1', { idleMs: 4000 })]),
@@ -285,7 +285,7 @@
     [
       // Idle-priority work of one partition held a thousand CPUs while urgent work of another waited, because all work of the one
       // would have taken as long as all work of the other.
-      'a machine is drained from idle-priority work of one partition for urgent work of another',
+      'a machine with idle-priority work of one partition is drained for urgent work of another',
       {
         loads: [
           partitionLoad(
