--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -10,7 +10,7 @@
 import { SubmissionBatcher } from '../../storage/submission-batcher';
 import { StateStoreClient } from '../../storage/state-store-client';
 import { type StoreTransport } from '../../storage/store-connection';
-import { type Balancing } from '../balancing/balancing';
+import { type LoadBalancing } from '../balancing/balancing';
 import { CloudClient, type CloudTransport } from '../leader/cloud-client';
 import { Leader } from '../leader/leader';
 import { LeaseExtensions } from '../membership/lease-extension';
@@ -42,7 +42,7 @@
   /** Unique to this process: no other controller and no earlier process of this one ever had it. */
   processIncarnation: string;
   /** Null: load is not balanced beyond what placement and planning do. */
-  balancing: Balancing | null;
+  balancing: LoadBalancing | null;
 }
 
 /** One controller. It acts only after `start`, and from then on for as long as the process lives. */
@@ -69,7 +69,7 @@
     private readonly log: Log,
     private readonly dependencies: ControllerDependencies,
   ) {
-    this.maxStalenessMs = maxStalenessMs(settings.leaseMs, settings.cancelMs);
+    this.maxStalenessMs = maxStalenessMs(settings.workerLeaseMs, settings.cancellationDeadlineMs);
     this.stateStore = this.createStateStore();
     this.replica = new ReplicaView(this.stateStore.replica, log);
     this.leaseExtensions = new LeaseExtensions(this.peers(), clock.steady());
@@ -82,12 +82,12 @@
     this.statusPublisher = this.createStatusPublisher();
     this.jobService = this.createJobService();
     this.replica.events.subscribe((event) => this.partitions.forwardReplicaEvent(event));
-    this.stateStore.replica.batches.subscribe(() => this.reconcilePartitions());
+    this.stateStore.replica.snapshots.subscribe(() => this.reconcilePartitions());
   }
 
   /** Joins the cluster and starts all timers. */
   start(): void {
-    void this.stateStore.follow();
+    void this.stateStore.followChanges();
     this.membership.send({ kind: 'join' });
     // Asks for the machine types at once: without them no submission can be taken.
     this.leader.send({ kind: 'tick' });
@@ -119,7 +119,7 @@
       alive: this.membership.alive(),
       leading: this.leader.leading,
       revision: this.stateStore.replica.revision,
-      store: { ...this.stateStore.counters, changes: this.stateStore.changesByKind },
+      store: { ...this.stateStore.counters, changes: this.stateStore.requestedWritesByKind },
       users: this.jobService.counters,
       took: this.metrics.summary(),
       partitions: [...this.partitions.values()].map((partition) => partition.core.statusSummary()),
@@ -128,7 +128,7 @@
   }
 
   /** How load is balanced: the whole fleet where this controller leads, else who does. */
-  private balanceStatus({ fleet }: Balancing): object {
+  private balanceStatus({ fleet }: LoadBalancing): object {
     const leader = this.replica.leader?.member ?? null;
     const moves = [...this.partitions.values()].flatMap(
       ({ balancing }) => balancing?.movesInProgress() ?? [],
@@ -149,7 +149,7 @@
   private reconcilePartitions(): void {
     if (!this.stateStore.replica.synced) return;
     this.partitions.reconcile();
-    this.heartbeats.ownersChanged();
+    this.heartbeats.handleOwnerChanges();
   }
 
   private tick(): void {
@@ -169,7 +169,7 @@
 
   private createStateStore(): StateStoreClient {
     const { settings, clock, log, dependencies, metrics } = this;
-    const { requestRate, writeRate } = settings.stateStore;
+    const { requestRate, writeRate } = settings.stateStoreLimits;
     const rates = {
       requestRate,
       writeRate,
@@ -283,7 +283,7 @@
 
   private createJobService(): JobService {
     const { settings, clock, dependencies } = this;
-    const { valueBytes, txnOps } = settings.stateStore;
+    const { valueBytes, txnOps } = settings.stateStoreLimits;
     const { processIncarnation } = dependencies;
     const limits = { valueBytes, txnOps, processIncarnation };
     const batcher = new SubmissionBatcher(
--- a/src/coordination/fleet/fleet-snapshot.ts
+++ b/src/coordination/fleet/fleet-snapshot.ts
@@ -1,4 +1,4 @@
-import { type MachineRequest, type MachineType } from '../../protocol/cloud';
+import { type ProvisionRequest, type MachineType } from '../../protocol/cloud';
 import { type PartitionLoad } from '../../protocol/peers';
 import { type Policy } from '../../protocol/policy';
 
@@ -48,7 +48,7 @@
 
 /** A planned change of one machine of the fleet. */
 export type FleetAction =
-  | { kind: 'scale-out'; partition: string; request: MachineRequest }
+  | { kind: 'scale-out'; partition: string; request: ProvisionRequest }
   /** With `drain`, the machine may be in use and is drained first. A transfer to its own partition revokes a drain. */
   | { kind: 'transfer'; machine: string; fromPartition: string; toPartition: string; drain: boolean }
   /** With `force`, the machine is returned to the cloud although it may be in use. */
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -1,4 +1,4 @@
-import { type MachineRequest, type MachineType } from '../../protocol/cloud';
+import { type ProvisionRequest, type MachineType } from '../../protocol/cloud';
 import { PRIORITIES } from '../../protocol/jobs';
 import { type Demand } from '../../protocol/peers';
 import { countFitting } from '../partition/resources';
@@ -164,9 +164,9 @@
   { demand, tasks }: PendingDemand,
   missingCpus: number,
   onDemandAllowed: boolean,
-): MachineRequest | null {
+): ProvisionRequest | null {
   const spotOptions = onDemandAllowed ? [true, false] : [true];
-  let best: MachineRequest | null = null;
+  let best: ProvisionRequest | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of plan.snapshot.types.values()) {
     const taskCount = Math.min(countFitting(type, demand), tasks);
@@ -188,7 +188,7 @@
 /** Price per useful CPU, including the surcharge for kinds that boot late. */
 function costOf(
   { lateBootRatios, machinesByZone }: CapacityPlan,
-  request: MachineRequest,
+  request: ProvisionRequest,
   type: MachineType,
   usefulCpus: number,
 ): number {
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -10,7 +10,7 @@
   parseProvisioned,
   provisionBody,
   type ListedMachine,
-  type MachineRequest,
+  type ProvisionRequest,
   type MachineType,
 } from '../../protocol/cloud';
 
@@ -80,7 +80,7 @@
   }
 
   /** Requests machines. `requestId` must differ from the ids of all earlier requests. */
-  async provision(requestId: string, request: MachineRequest): Promise<ProvisionResult> {
+  async provision(requestId: string, request: ProvisionRequest): Promise<ProvisionResult> {
     const response = await this.call('POST', cloudPaths.provision, provisionBody(requestId, request));
     const status = response?.status ?? null;
     const machines = response?.status === 200 ? parseProvisioned(response.body) : null;
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -4,6 +4,7 @@
 import { type Write } from '../../protocol/store';
 import { type PartitionStore } from './partition-store';
 
+/** The member that becomes the owner of the partition. */
 export interface HandoverTarget {
   member: string;
   /** Incarnation of the member's record. */
@@ -11,9 +12,10 @@
 }
 
 /**
- * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to false
- * if the partition stays here: no attempt can be applied any more. An attempt whose response was lost may be applied seconds later,
- * and tasks started meanwhile would be unknown to the new owner.
+ * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to true
+ * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition stays here.
+ * Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and tasks
+ * started in the meantime would be unknown to the new owner.
  */
 export async function handOverPartition(
   store: PartitionStore,
@@ -24,12 +26,12 @@
   const partitionKey = keys.partition(store.partition);
   const put: Write = { put: partitionKey, value: { ...record, owner: member, incarnation } };
   const targetUnchanged = { key: keys.member(member), revision: incarnation };
-  for (let unsure = false; ;) {
+  for (let outcomeUnknown = false; ;) {
     const result = await store.transact([targetUnchanged], [put], RequestPriority.Decision);
     const takenOver = result.kind === 'conflict' && result.failed.includes(partitionKey);
     if (result.kind === 'applied' || takenOver) return true;
-    if (result.kind === 'conflict' || (result.kind === 'refused' && !unsure)) return false;
-    unsure ||= result.kind === 'unknown';
+    if (result.kind === 'conflict' || (result.kind === 'refused' && !outcomeUnknown)) return false;
+    outcomeUnknown ||= result.kind === 'unknown';
     await store.waitToRetry();
   }
 }
