--- a/src/coordination/fleet/fleet-snapshot.ts
+++ b/src/coordination/fleet/fleet-snapshot.ts
@@ -31,7 +31,7 @@
   failed: boolean;
   /** How long its partition's owner has quarantined it; 0 if it is not quarantined. */
   quarantinedMs: number;
-  /** Time since this leader last ordered its transfer to another partition; Infinity if it never did. */
+  /** Time since this leader last ordered its transfer or a drain to the cloud; Infinity if it never did. */
   sinceTransferMs: number;
 }
 
