--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -3,39 +3,39 @@
 import { type FleetMachine } from './fleet-snapshot';
 import { type MachineCapacity, type PlannedPartition } from './planned-partition';
 
-/** An idle machine is kept this long: demand varies, and a new machine must boot and fetch images first. */
+/** An idle machine is kept this long, because demand varies and a new machine must boot and fetch images first. */
 const MAX_IDLE_MS = { spot: 18_000, onDemand: 6000 };
 const MAX_IDLE_WITHOUT_SUBMISSIONS_MS = 4000;
-/** Without submissions, this many times the CPUs that a surplus machine's tasks use must be free on other machines. */
+/** Without submissions, other machines must have this many times the CPUs free that a surplus machine's tasks use. */
 const MIN_FREE_CAPACITY_RATIO = 1.5;
 /** A spot machine with at least this share of its CPUs free counts as nearly empty. */
 const NEARLY_EMPTY_RATIO = 0.7;
 /** A machine that will be empty sooner than this is not drained. */
 const MIN_REMAINING_RUN_S = 12;
-/** The share of a partition's machines in use that may be drained in one round. */
+/** Without submissions, the share of a partition's machines with tasks that may be drained in one round. */
 const MAX_SURPLUS_DRAIN_RATIO = 0.1;
-/** A machine that boots for this many times what its type states, and the margin, never comes up. */
+/** A machine that boots for longer than this many times the boot time of its type, plus the margin, is given up. */
 const MAX_BOOT_TIME_RATIO = 3;
 const BOOT_TIME_MARGIN_MS = 15_000;
-/** Boot time of machines of an unknown type. */
+/** Assumed boot time of machines of an unknown type. */
 const DEFAULT_BOOT_S = 60;
-/** A machine is charged for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
+/** The cloud charges for a machine for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
 const MIN_CHARGED_MS = 60_000;
 const MAX_SILENT_MS = 30_000;
-/** Leases of a silent machine's tasks have certainly expired this long after their time. */
+/** The leases of a silent machine's tasks have certainly expired this long after the lease time. */
 const LEASE_MARGIN_MS = 5000;
-/** Within this time it shows elsewhere whether a quarantined machine or a job is at fault. */
+/** Within this time, runs on other machines show whether a quarantined machine or a job is at fault. */
 const MAX_QUARANTINE_MS = 8000;
 
-/** Gives machines back that are of no use, whatever the demand. */
-export function scaleInBroken(plan: CapacityPlan): void {
+/** Scales in unusable machines, whatever the demand. */
+export function scaleInUnhealthy(plan: CapacityPlan): void {
   for (const machine of plan.snapshot.machines) {
-    const reason = machine.deprovisioning ? null : brokenReason(machine, plan);
+    const reason = machine.deprovisioning ? null : unhealthyReason(machine, plan);
     if (reason) plan.scaleIn(machine, reason, true);
   }
 }
 
-function brokenReason(machine: FleetMachine, plan: CapacityPlan): string | null {
+function unhealthyReason(machine: FleetMachine, plan: CapacityPlan): string | null {
   if (machine.failed) return 'failed';
   if (machine.quarantinedMs > MAX_QUARANTINE_MS) return 'fails every task';
   if (machine.booting && machine.ageMs > maxBootMs(machine, plan)) return 'never came up';
@@ -47,7 +47,7 @@
   return MAX_BOOT_TIME_RATIO * bootS * 1000 + BOOT_TIME_MARGIN_MS;
 }
 
-/** By all owners' heartbeats: to its present owner, a machine that fell silent during a handover was never silent. */
+/** Time since a heartbeat to any owner. To its present owner, a machine that fell silent during a handover was never silent. */
 function silentMs({ id, sinceHeartbeatMs }: FleetMachine, { loadOf }: CapacityPlan): number {
   return Math.max(sinceHeartbeatMs, loadOf.get(id)?.sinceHeartbeatMs ?? 0);
 }
@@ -56,40 +56,41 @@
   return Math.max(MAX_SILENT_MS, snapshot.leaseMs + LEASE_MARGIN_MS);
 }
 
-/** Gives machines back that boot late, once no partition has any demand. */
+/** Scales in machines that boot late, once no partition has recent submissions or any demand. */
 export function scaleInLateBooting(plan: CapacityPlan): void {
-  if (!plan.quiet || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0)) return;
+  if (!plan.noRecentSubmissions || plan.partitions.some(({ pendingDemands }) => pendingDemands.length > 0))
+    return;
   for (const machine of plan.snapshot.machines) {
     if (machine.id === '' || machine.deprovisioning || machine.ageMs <= MIN_CHARGED_MS) continue;
     if (plan.isLateBooting(machine)) plan.scaleIn(machine, 'boots too long', true);
   }
 }
 
-/** Gives idle machines back that no demand of this round has needed. */
+/** Scales in idle machines that no demand of this round has needed. */
 export function scaleInIdle(plan: CapacityPlan): void {
   const transferred = plan.transferredMachines();
   for (const machine of plan.emptyPool) {
     const load = plan.loadOf.get(machine.id);
     if (!load || load.sinceHeartbeatMs < 0 || transferred.has(machine.id)) continue;
-    if (load.idleMs > maxIdleMs(machine, plan.quiet)) plan.scaleIn(machine, 'idle', false);
+    if (load.idleMs > maxIdleMs(machine, plan.noRecentSubmissions)) plan.scaleIn(machine, 'idle', false);
   }
 }
 
-function maxIdleMs({ spot }: MachineCapacity, quiet: boolean): number {
-  if (quiet) return MAX_IDLE_WITHOUT_SUBMISSIONS_MS;
+function maxIdleMs({ spot }: MachineCapacity, noRecentSubmissions: boolean): number {
+  if (noRecentSubmissions) return MAX_IDLE_WITHOUT_SUBMISSIONS_MS;
   return spot ? MAX_IDLE_MS.spot : MAX_IDLE_MS.onDemand;
 }
 
-/** Drains the most expensive machines whose tasks fit on others of their partition, while no partition lacks any. */
+/** Drains the most expensive machines whose tasks fit on others of their partition, while no partition has unmet demand. */
 export function drainSurplus(plan: CapacityPlan): void {
-  // What one partition has in surplus, another with unmet demand gets by rebalancing.
+  // Rebalancing transfers the surplus of one partition to another with unmet demand.
   if (plan.partitions.some(({ hasUnmetDemand }) => hasUnmetDemand)) return;
   const transferred = plan.transferredMachines();
   for (const partition of plan.partitions)
     if (!isGrowing(plan, partition)) drainSurplusOf(plan, partition, transferred);
 }
 
-/** Whether machines are about to come up. Those that boot late do not count, as some never come up. */
+/** Whether machines of the partition are about to come up. Those that boot late do not count, because some never come up. */
 function isGrowing(plan: CapacityPlan, { load }: PlannedPartition): boolean {
   return plan.snapshot.machines.some(
     (machine) => machine.partition === load.partition && machine.booting && !plan.isLateBooting(machine),
@@ -104,13 +105,15 @@
   const running = machines.filter(({ id }) => !transferred.has(id) && plan.tasksOn(id) > 0);
   let freeCpus =
     running.reduce((sum, { free }) => sum + free.cpus, 0) - drainingTaskCpus(plan, load.machines);
-  // Without submissions more than the tasks' CPUs must be free, as some is needed by what is restarted next.
-  const minFreeRatio = plan.quiet ? MIN_FREE_CAPACITY_RATIO : 1;
-  let drainsLeft = plan.quiet ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO)) : 1;
+  // Without submissions, more CPUs than the tasks use must be free, because tasks that are restarted next need some of them.
+  const minFreeRatio = plan.noRecentSubmissions ? MIN_FREE_CAPACITY_RATIO : 1;
+  let drainsLeft = plan.noRecentSubmissions
+    ? Math.max(1, Math.ceil(running.length * MAX_SURPLUS_DRAIN_RATIO))
+    : 1;
   for (const machine of mostExpensiveFirst(running)) {
     const usedCpus = machine.type.cpus - machine.free.cpus;
-    // While jobs still come only on-demand and nearly empty machines are worth draining.
-    if (!plan.quiet && machine.spot && !isNearlyEmpty(machine)) continue;
+    // While jobs are still submitted, only on-demand machines and nearly empty machines are worth draining.
+    if (!plan.noRecentSubmissions && machine.spot && !isNearlyEmpty(machine)) continue;
     if (freeCpus - machine.free.cpus < minFreeRatio * usedCpus) continue;
     if (plan.emptyInS(machine.id) < MIN_REMAINING_RUN_S) continue;
     if (drainsLeft-- <= 0) break;
@@ -129,7 +132,7 @@
   return free.cpus >= NEARLY_EMPTY_RATIO * type.cpus;
 }
 
-/** Machines with free CPUs, by the price of these. */
+/** Machines with free CPUs, in descending order of the price of these CPUs. */
 function mostExpensiveFirst(machines: readonly MachineCapacity[]): MachineCapacity[] {
   return machines.filter((machine) => idleCost(machine) > 0).sort((a, b) => idleCost(b) - idleCost(a));
 }
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -12,22 +12,22 @@
   type PlannedPartition,
 } from './planned-partition';
 
-/** Within how many seconds pending work is meant to be completed, by priority. */
+/** Target time for the completion of pending work, by priority. */
 const TARGET_COMPLETION_S = [15, 15, 30, 50] as const;
 const DEFAULT_TARGET_COMPLETION_S = 60;
-/** A transfer takes one redirected heartbeat, and another that shows the new owner the machine. */
+/** A transfer takes one heartbeat that is redirected, and another that shows the machine to its new owner. */
 const TRANSFER_DURATION_S = 6;
-/** What a round leaves over is planned in the next one. */
+/** Limits of one round. Demand that is left over is planned for in the next round. */
 const MAX_TRANSFERS_PER_ROUND = 60;
 const MAX_PROVISION_REQUESTS_PER_ROUND = 400;
-/** On-demand machines cost more: they are requested once work would take this many times as long as meant. */
+/** On-demand machines cost more, and are requested once work would take more than this many times its target time. */
 const ON_DEMAND_DELAY_RATIO = 2;
-/** A kind of machine that always boots late counts as more expensive by this share of its price. */
+/** A kind of machine that always boots late counts as more expensive by this multiple of its price. */
 const LATE_BOOT_COST_RATIO = 1.5;
-/** The least that a task counts for when work is estimated. */
+/** The minimum CPUs and duration that a task counts for in estimates. */
 const MIN_TASK_CPUS = 0.1;
 const MIN_TASK_DURATION_S = 5;
-/** Makes the zone with fewer machines the cheaper one where prices are equal. */
+/** At equal prices, makes the zone with fewer machines the cheaper one. */
 const ZONE_TIE_BREAK_COST = 1e-6;
 
 /** A demand that lacks resources, and its partition. */
@@ -36,12 +36,13 @@
   pending: PendingDemand;
 }
 
-/** Finds machines for all pending demands, most urgent first: empty machines of the fleet, else new ones. */
+/** Finds machines for all pending demands, most urgent first: empty machines of the fleet, or else new ones. */
 export function scaleOut(plan: CapacityPlan): void {
   for (let priority = 0; priority < PRIORITIES.length; priority++) {
     const demands = demandsOfPriority(plan, priority);
-    for (const { partition, pending } of demands) partition.queuedCpuSeconds += cpuSecondsOf(pending.demand);
-    // One machine for each in turn, so that no demand takes all machines that are ready soon.
+    for (const { partition, pending } of demands)
+      partition.outstandingCpuSeconds += expectedCpuSeconds(pending.demand);
+    // Adds one machine for each demand in turn, so that no demand takes all machines that are ready soon.
     let open = demands;
     while (open.length > 0 && !isRoundFull(plan))
       open = open.filter(({ partition, pending }) => addOneMachine(plan, partition, pending));
@@ -56,7 +57,7 @@
   );
 }
 
-function cpuSecondsOf({ tasks, cpus, expectedS }: Demand): number {
+function expectedCpuSeconds({ tasks, cpus, expectedS }: Demand): number {
   return tasks * cpus * Math.max(expectedS, MIN_TASK_DURATION_S);
 }
 
@@ -66,7 +67,7 @@
   return transfers >= MAX_TRANSFERS_PER_ROUND || others >= MAX_PROVISION_REQUESTS_PER_ROUND;
 }
 
-/** Adds the empty machine that is ready first, else a new one. False: the demand is met, or nothing can be added. */
+/** Adds the empty machine that is ready first, else a new one. Returns false if the demand is met or none can be added. */
 function addOneMachine(plan: CapacityPlan, partition: PlannedPartition, pending: PendingDemand): boolean {
   // Machines that were added for other demands of this partition may have resources left.
   placeOnMachines(partition.machines, pending);
@@ -83,14 +84,14 @@
   demand: Demand,
 ): EmptyMachine | null {
   let first: EmptyMachine | null = null;
-  let firstS = Number.POSITIVE_INFINITY;
+  let firstReadyS = Number.POSITIVE_INFINITY;
   for (const machine of plan.emptyPool) {
     const isLocal = machine.partition === load.partition;
     if (!canRun(demand, machine) || (!isLocal && machine.recentlyChanged)) continue;
     const readyS = isLocal
       ? machine.readyInS
       : Math.max(TRANSFER_DURATION_S, machine.readyInS) + TRANSFER_DURATION_S;
-    if (readyS < firstS) [first, firstS] = [machine, readyS];
+    if (readyS < firstReadyS) [first, firstReadyS] = [machine, readyS];
   }
   return first;
 }
@@ -110,16 +111,16 @@
     plan.actions.push({ kind: 'transfer', machine, fromPartition, toPartition, drain: false });
 }
 
-/** Requests a machine from the cloud unless the partition will do without. False: none is requested. */
+/** Plans a request for a machine unless the partition can do without. Returns false if none is requested. */
 function requestMachine(plan: CapacityPlan, partition: PlannedPartition, pending: PendingDemand): boolean {
   const { demand, tasks } = pending;
   const targetS = TARGET_COMPLETION_S[demand.priority] ?? DEFAULT_TARGET_COMPLETION_S;
   const suitableCpus = cpusSuitableFor(demand, partition);
-  // What the suitable machines complete in time needs no new ones.
-  const neededCpus = (plan.snapshot.policy.headroom * partition.queuedCpuSeconds) / targetS;
+  // Work that the suitable machines complete in time needs no new ones.
+  const neededCpus = (plan.snapshot.policy.headroom * partition.outstandingCpuSeconds) / targetS;
   const missingCpus = Math.min(tasks * countedCpus(demand), neededCpus - suitableCpus);
   if (missingCpus <= 0) return false;
-  const isLate = partition.queuedCpuSeconds / targetS > ON_DEMAND_DELAY_RATIO * suitableCpus;
+  const isLate = partition.outstandingCpuSeconds / targetS > ON_DEMAND_DELAY_RATIO * suitableCpus;
   const spotOnly = suitableCpus > 0 && demand.spot && prefersSpot(plan, demand, isLate);
   const request = cheapestRequest(plan, pending, missingCpus, !spotOnly);
   const type = request && plan.snapshot.types.get(request.type);
@@ -139,14 +140,14 @@
   return machines.reduce((sum, machine) => sum + (canRun(demand, machine) ? machine.type.cpus : 0), 0);
 }
 
-/** Whether a demand rather waits for spot machines, by its class's policy; under 'balanced' the lowest priority always does. */
+/** Whether a demand waits for spot machines, by the policy of its class. Under 'balanced', the lowest priority always waits. */
 function prefersSpot(plan: CapacityPlan, demand: Demand, isLate: boolean): boolean {
   const price = plan.snapshot.policy.classes[demand.workload]?.price ?? 'balanced';
   const isLowest = demand.priority === PRIORITIES.length - 1;
   return price === 'cheap' || (price === 'balanced' && (isLowest || !isLate));
 }
 
-/** Counts a machine as the partition's, with the tasks of this demand that it takes. */
+/** Adds a machine to a partition, with as many tasks of this demand as it can take. */
 function addMachine(
   partition: PlannedPartition,
   pending: PendingDemand,
@@ -157,14 +158,14 @@
   partition.machines.push({ id, free, type, zone, spot });
 }
 
-/** A request for the kind of machine that costs least for what is missing; null: the cloud has none that suits. */
+/** A request for the kind of machine that costs least for the missing CPUs; null if the cloud has no suitable kind. */
 function cheapestRequest(
   plan: CapacityPlan,
   { demand, tasks }: PendingDemand,
   missingCpus: number,
   onDemandAllowed: boolean,
 ): ProvisionRequest | null {
-  const waysToBuy = onDemandAllowed ? [true, false] : [true];
+  const spotOptions = onDemandAllowed ? [true, false] : [true];
   let best: ProvisionRequest | null = null;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const type of plan.snapshot.types.values()) {
@@ -173,7 +174,7 @@
     const taskCpus = countedCpus(demand);
     const usefulCpus = Math.min(taskCount * taskCpus, Math.max(missingCpus, taskCpus));
     for (const zone of type.zones) {
-      for (const spot of waysToBuy) {
+      for (const spot of spotOptions) {
         const request = { type: type.name, zone, spot, count: 1 };
         if (!allowsMachineKind(demand, request) || plan.snapshot.capacityExhausted(request)) continue;
         const cost = costOf(plan, request, type, usefulCpus);
@@ -184,7 +185,7 @@
   return best;
 }
 
-/** Price of a useful CPU, with what late boots cost. */
+/** Price per useful CPU, including the surcharge for kinds that boot late. */
 function costOf(
   { lateBootRatios, machinesByZone }: CapacityPlan,
   request: ProvisionRequest,
@@ -192,6 +193,6 @@
   usefulCpus: number,
 ): number {
   const price = request.spot ? type.spotPrice : type.price;
-  const rate = price * (1 + LATE_BOOT_COST_RATIO * (lateBootRatios.get(kindKey(request)) ?? 0));
-  return rate / usefulCpus + (machinesByZone.get(request.zone) ?? 0) * ZONE_TIE_BREAK_COST;
+  const adjustedPrice = price * (1 + LATE_BOOT_COST_RATIO * (lateBootRatios.get(kindKey(request)) ?? 0));
+  return adjustedPrice / usefulCpus + (machinesByZone.get(request.zone) ?? 0) * ZONE_TIE_BREAK_COST;
 }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -17,11 +17,11 @@
 
 const MACHINES = 4200;
 const JOBS = 30;
-const TASKS_A_JOB = 700;
+const TASKS_PER_JOB = 700;
 const CPUS = 4;
 const FIRST_OWNER_EPOCH = 100;
 const SECOND_OWNER_EPOCH = 200;
-/** Machines were recorded before either owner had the partition. */
+/** The machines were recorded before either owner had the partition. */
 const RECORD_REVISION = 50;
 const VALUE_BYTES = 4096;
 
@@ -34,10 +34,10 @@
 const names = Array.from({ length: MACHINES }, (_, i) => `i-${String(i).padStart(6, '0')}`);
 
 function job(n: number): JobSpec {
-  return jobSpec(`job-${n}`, { tasks: TASKS_A_JOB, memoryGb: 1 });
+  return jobSpec(`job-${n}`, { tasks: TASKS_PER_JOB, memoryGb: 1 });
 }
 
-/** A worker as far as its reports go. */
+/** The part of a worker's state that its heartbeats contain. */
 interface Worker {
   sequence: number;
   token: number;
@@ -49,7 +49,7 @@
     names.map((n) => [n, { sequence: 0, token: 0, tasks: new Map() }]),
   );
 
-  /** Each machine reports once, and takes what it is answered. */
+  /** Each machine sends one heartbeat and starts the tasks in its answer. */
   heartbeatAll(core: PartitionCore, now: number): void {
     for (const [machine, worker] of this.workers) {
       const heartbeat: Heartbeat = {
@@ -65,7 +65,7 @@
         ...{ token: worker.token, preemptionNoticeS: null, tasks: [...worker.tasks.values()] },
       };
       const answer = core.handleHeartbeat(heartbeat, now);
-      assert.ok(answer, `${machine} is not answered`);
+      assert.ok(answer, `${machine} got no answer`);
       worker.token = answer.token;
       for (const c of answer.commands) {
         assert.equal(c.op, 'start', `${c.op} of ${c.ref}/${c.index}`);
@@ -75,19 +75,19 @@
     }
   }
 
-  /** Every task that is on some machine, as often as it is. */
+  /** The tasks on all machines. A task on several machines occurs several times. */
   tasks(): string[] {
     return [...this.workers.values()].flatMap((w) => [...w.tasks.keys()]);
   }
 }
 
-function ownedBy(version: number, now: number): PartitionCore {
+function createOwner(epoch: number, now: number): PartitionCore {
   const cpus = MACHINES * CPUS;
   const team = { name: 't', guaranteed: { cpus, accelerators: 0 }, limit: { cpus, accelerators: 0 } };
   const options = { heartbeatIntervalMs: 3000, leaseMs: 19_000, valueBytes: 32_768, objectives: [] };
   const core = new PartitionCore({
     id: 'p0',
-    epoch: version,
+    epoch,
     teams: [team],
     machineTypes: () => types,
     specOfClosedJob: () => undefined,
@@ -95,7 +95,7 @@
     assignedMachines: new Set(names),
   });
   for (const id of names) core.upsertMachine(id, record, RECORD_REVISION, now);
-  const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_A_JOB };
+  const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_PER_JOB };
   for (let n = 0; n < JOBS; n++)
     core.openJob({ spec: job(n), acceptedAt: n, revision: RECORD_REVISION, progress }, now);
   core.tick(now, now);
@@ -106,7 +106,7 @@
   const history = new FleetHistory();
   history.recordLoad(load, now, now);
   const recorded = names.map((id): [string, { record: MachineRecord }] => [id, { record }]);
-  const machines = history.fleet(recorded, now);
+  const machines = history.fleetMachines(recorded, now);
   return {
     types,
     loads: [load],
@@ -117,19 +117,19 @@
   };
 }
 
-test('more than four thousand machines: filled, told of, planned for, and taken over with nothing lost', () => {
+test('more than four thousand machines are filled, reported in one frame, planned for and taken over without losing a task', () => {
   const fleet = new Fleet();
-  const first = ownedBy(FIRST_OWNER_EPOCH, 0);
-  fleet.heartbeatAll(first, 1000);
-  // They have shown its token by the next report; then nothing of an earlier owner can be anywhere.
-  fleet.heartbeatAll(first, 4000);
-  first.tick(4500, 4500);
-  fleet.heartbeatAll(first, 7000);
+  const firstOwner = createOwner(FIRST_OWNER_EPOCH, 0);
+  fleet.heartbeatAll(firstOwner, 1000);
+  // By the next heartbeat, all machines have shown its token, so nothing that an earlier owner ordered can be in effect.
+  fleet.heartbeatAll(firstOwner, 4000);
+  firstOwner.tick(4500, 4500);
+  fleet.heartbeatAll(firstOwner, 7000);
   const started = fleet.tasks();
   assert.equal(started.length, MACHINES * CPUS, 'every machine is full');
   assert.equal(new Set(started).size, started.length, 'no task is on two machines');
 
-  const load = first.currentLoad(8000);
+  const load = firstOwner.currentLoad(8000);
   assert.equal(load.machines.length, MACHINES);
   const frame: PeerMessage = {
     ...{
@@ -145,24 +145,28 @@
   const bytes = encodePeerMessage(frame);
   assert.ok(bytes.length < MAX_FRAME_BYTES / 4, `${bytes.length} bytes`);
   assert.deepEqual(JSON.parse(JSON.stringify(decodePeerMessage(bytes))), JSON.parse(JSON.stringify(frame)));
-  const waiting = JOBS * TASKS_A_JOB - started.length;
+  const waiting = JOBS * TASKS_PER_JOB - started.length;
   assert.equal(
     load.demands.reduce((sum, d) => sum + d.tasks, 0),
     0,
-    `the team is at its limit, so none of the ${waiting} that wait is asked for`,
+    `the team is at its limit, so none of the ${waiting} pending tasks counts as demand`,
+  );
+  assert.deepEqual(
+    planCapacity(fleetSnapshotOf(load, 8000)),
+    [],
+    'no machine is provisioned, transferred or returned',
   );
-  assert.deepEqual(planCapacity(fleetSnapshotOf(load, 8000)), [], 'nothing to rent, move or return');
 
-  const second = ownedBy(SECOND_OWNER_EPOCH, 9000);
-  assert.equal(second.unconfirmedCount, MACHINES);
-  fleet.heartbeatAll(second, 10_000);
-  fleet.heartbeatAll(second, 13_000);
-  assert.equal(second.unconfirmedCount, 0, 'all machines have spoken');
-  assert.deepEqual(fleet.tasks().sort(), started.sort(), 'what ran goes on, and nothing is started twice');
-  assert.equal(second.counters.lost, 0);
+  const secondOwner = createOwner(SECOND_OWNER_EPOCH, 9000);
+  assert.equal(secondOwner.unconfirmedCount, MACHINES);
+  fleet.heartbeatAll(secondOwner, 10_000);
+  fleet.heartbeatAll(secondOwner, 13_000);
+  assert.equal(secondOwner.unconfirmedCount, 0, 'all machines have sent heartbeats to the new owner');
+  assert.deepEqual(fleet.tasks().sort(), started.sort(), 'running tasks continue, and none is started twice');
+  assert.equal(secondOwner.counters.lost, 0);
 });
 
-test('the list of assigned machines goes on in more values, each within its limit', () => {
+test('the list of assigned machines is split into several values, each within the size limit', () => {
   const values = new Map<string, string[]>();
   const replica = {
     assignedMachinesInKey: (key: string) => values.get(key) ?? [],
