--- a/src/cli/balance-command.ts
+++ b/src/cli/balance-command.ts
@@ -1,6 +1,6 @@
 import { API_PATHS } from '../protocol/api-paths';
 import { type LoadSummary } from '@heathbridge/load-balancer';
-import { EXIT_CODES, withUsageErrors, requestWithRetries, type ClientOptions, type Output } from './client';
+import { EXIT_CODES, reportUsageErrors, requestWithRetries, type ClientOptions, type Output } from './client';
 import { PRIORITIES } from '../protocol/jobs';
 
 /** The part of `GET /status` that tells of load. */
@@ -29,8 +29,8 @@
 }
 
 /** Shows how load is spread, and what is moved and why, as the leader knows it. */
-export function balance({ server, json }: ClientOptions, output: Output): Promise<number> {
-  return withUsageErrors(output, async () => {
+export function showBalance({ server, json }: ClientOptions, output: Output): Promise<number> {
+  return reportUsageErrors(output, async () => {
     const response = await requestWithRetries('GET', API_PATHS.status, undefined, server, output);
     if (!response) return EXIT_CODES.unreachable;
     const { member, balance: status } = (response.body ?? {}) as StatusResponse;
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -43,7 +43,7 @@
 
 /** Submits a job that a file describes (`-`: standard input). Safe to repeat: a job is known by its ref. */
 export function submit(file: string, options: ClientOptions, output: Output): Promise<number> {
-  return withUsageErrors(output, async () => {
+  return reportUsageErrors(output, async () => {
     let job: unknown;
     try {
       job = JSON.parse(readFileSync(file === '-' ? 0 : file, 'utf8'));
@@ -55,13 +55,13 @@
 }
 
 export function status(ref: string, options: ClientOptions, output: Output): Promise<number> {
-  return withUsageErrors(output, () =>
+  return reportUsageErrors(output, () =>
     requestJob('GET', `${API_PATHS.jobs}/${requireJobRef(ref)}`, undefined, options, output),
   );
 }
 
 export function cancel(ref: string, options: ClientOptions, output: Output): Promise<number> {
-  return withUsageErrors(output, () =>
+  return reportUsageErrors(output, () =>
     requestJob('POST', `${API_PATHS.jobs}/${requireJobRef(ref)}/cancel`, {}, options, output),
   );
 }
@@ -72,7 +72,7 @@
 }
 
 /** Runs a command; words that are wrong end it with the code for that. */
-export async function withUsageErrors(output: Output, act: () => Promise<number>): Promise<number> {
+export async function reportUsageErrors(output: Output, act: () => Promise<number>): Promise<number> {
   try {
     return await act();
   } catch (error) {
--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { balance } from './balance-command';
+import { showBalance } from './balance-command';
 import { cancel, EXIT_CODES, status, submit, type ClientOptions } from './client';
 import { readFeatures, readSettings, startService, VERSION, type ServiceOptions } from '../startup/service';
 import { exitWithError } from '../startup/settings-files';
@@ -53,7 +53,7 @@
     (ref: string, options: ClientOptions) => setExitCode(cancel(ref, options, output)),
   );
   withClientOptions(program.command('balance').description('show load, and what is moved and why')).action(
-    (options: ClientOptions) => setExitCode(balance(options, output)),
+    (options: ClientOptions) => setExitCode(showBalance(options, output)),
   );
   return program;
 }
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -54,7 +54,7 @@
     this.pacer = new WorkPacer({
       minIntervalMs,
       maxIntervalMs: MAX_PLAN_INTERVAL_RATIO * minIntervalMs,
-      share: PLANNING_TIME_RATIO,
+      maxTimeShare: PLANNING_TIME_RATIO,
     });
   }
 
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -2,7 +2,7 @@
 import type { Server } from 'node:http';
 import { parseAddress } from '../../transport/address';
 import { type Clock } from '../../transport/clock';
-import { MAX_PENDING_CONNECTIONS, servePlainRequests } from '../../transport/request-server';
+import { MAX_PENDING_CONNECTIONS, createRequestServer } from '../../transport/request-server';
 import { HttpClient } from '../../transport/http-client';
 import { type Log } from '../../transport/log';
 import { ProcessHealth } from '../../transport/process-health';
@@ -43,7 +43,7 @@
     balancing,
   });
   const health = new ProcessHealth();
-  clock.schedule(HEALTH_WATCH_DELAY_MS, () => health.watch(clock));
+  clock.schedule(HEALTH_WATCH_DELAY_MS, () => health.startMonitoring(clock));
   const dependencies: ApiDependencies = {
     jobService: controller.jobService,
     receiveHeartbeat: (heartbeat, reply) => controller.receiveHeartbeat(heartbeat, reply),
@@ -51,9 +51,9 @@
     status: () => ({ ...controller.status(), process: health.summary() }),
     log,
   };
-  const plainServer = servePlainRequests({
+  const plainServer = createRequestServer({
     route: plainRoutes(dependencies),
-    generalServer: memoize(() => loadExpressServer(dependencies)),
+    fallbackServer: memoize(() => loadExpressServer(dependencies)),
     maxBodyBytes: MAX_BODY_BYTES,
   });
   plainServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -93,7 +93,7 @@
     this.leader.send({ kind: 'tick' });
     schedulePeriodic(this.clock, TICK_INTERVAL_MS, () => this.tick());
     schedulePeriodic(this.clock, STATUS_INTERVAL_MS, () => this.statusPublisher.publishStatus());
-    this.clock.schedule(METRICS_LOAD_DELAY_MS, () => this.metrics.load());
+    this.clock.schedule(METRICS_LOAD_DELAY_MS, () => this.metrics.loadHistograms());
   }
 
   /** Takes a worker's heartbeat; it is replied to exactly once, at once or within a few seconds. */
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -38,7 +38,7 @@
   private readonly loadPacer = new WorkPacer({
     minIntervalMs: LOAD_INTERVAL_MS.min,
     maxIntervalMs: LOAD_INTERVAL_MS.max,
-    share: LOAD_TIME_RATIO,
+    maxTimeShare: LOAD_TIME_RATIO,
   });
   private readonly loadPublishedAt = new Map<string, number>();
 
--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -51,7 +51,7 @@
 
   /** Takes one call of the request limit; false: none is left at present. */
   tryAcquireCall(): boolean {
-    return this.limiter.take(this.options.clock.steady(), 1);
+    return this.limiter.tryTake(this.options.clock.steady(), 1);
   }
 
   /** The machine types that the cloud offers; null: no response, or a malformed one. */
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -43,7 +43,7 @@
   private readonly pacer = new WorkPacer({
     minIntervalMs: MIN_PLANNING_INTERVAL_MS,
     maxIntervalMs: MAX_PLANNING_INTERVAL_MS,
-    share: PLANNING_TIME_RATIO,
+    maxTimeShare: PLANNING_TIME_RATIO,
   });
   private hasNewLoads = false;
   private plannedAt = Number.NEGATIVE_INFINITY;
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -1,4 +1,4 @@
-import { pause, type Clock } from '../../transport/clock';
+import { sleep, type Clock } from '../../transport/clock';
 import { initialWriteMayBeRetried } from '../../storage/fleet-edit';
 import { type ReplicaView } from '../../storage/replica-view';
 import { RequestPriority } from '../../storage/request-queue';
@@ -55,7 +55,7 @@
         outcomeUnknown ||= result.kind === 'unknown';
         if (await this.replicaShows(result)) break;
       }
-      await pause(this.deps.clock, RETRY_DELAY_MS);
+      await sleep(this.deps.clock, RETRY_DELAY_MS);
     }
     if (outcomeUnknown) return;
     for (const write of writes) if ('put' in write) this.settledKeys.add(write.put);
--- a/src/coordination/partition/partition-store.ts
+++ b/src/coordination/partition/partition-store.ts
@@ -1,4 +1,4 @@
-import { pause, type Clock } from '../../transport/clock';
+import { sleep, type Clock } from '../../transport/clock';
 import { type ReplicaView } from '../../storage/replica-view';
 import { type StateStoreClient, type TransactionResult } from '../../storage/state-store-client';
 import { type RequestPriority } from '../../storage/request-queue';
@@ -55,6 +55,6 @@
 
   /** Resolves when it is time for the next attempt. */
   waitToRetry(): Promise<void> {
-    return pause(this.options.clock, RETRY_INTERVAL_MS);
+    return sleep(this.options.clock, RETRY_INTERVAL_MS);
   }
 }
--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -1,7 +1,7 @@
 import { type Subscription } from 'rxjs';
 import { KEY_PREFIX } from '../protocol/keys';
 import { parseScan, parseWatch, storePaths, type Entry } from '../protocol/store';
-import { pause, type Clock } from '../transport/clock';
+import { sleep, type Clock } from '../transport/clock';
 import { type Log } from '../transport/log';
 import { RequestPriority, type RequestQueue } from './request-queue';
 import { logIfMalformed, responseWith, type StoreConnection, type StoreTransport } from './store-connection';
@@ -58,7 +58,7 @@
     const { clock } = this.deps;
     while (!this.closed) {
       if (this.filled || (await this.fill())) await this.watchOnce();
-      else await pause(clock, FILL_RETRY_MS);
+      else await sleep(clock, FILL_RETRY_MS);
     }
   }
 
@@ -82,7 +82,7 @@
       response?.status === STATUS_OK ? logIfMalformed(log, parseWatch(response.body), 'watch') : null;
     if (watched === null) {
       if (response?.status === STATUS_COMPACTED) this.filled = replica.synced = false;
-      return pause(clock, WATCH_RETRY_MS);
+      return sleep(clock, WATCH_RETRY_MS);
     }
     const respondedAt = clock.steady();
     connection.noteResponse();
--- a/src/storage/request-queue.ts
+++ b/src/storage/request-queue.ts
@@ -138,12 +138,12 @@
 
   private admit({ priority, writes }: QueuedRequest, now: number): boolean {
     const reserve = this.requestLimiter.burst * REQUEST_RESERVE_RATIO[priority];
-    if (!this.requestLimiter.take(now, 1, reserve)) return false;
+    if (!this.requestLimiter.tryTake(now, 1, reserve)) return false;
     // Session leases are never held back: losing one costs more than a request too many.
     if (writes === 0 || priority === RequestPriority.Lease) return true;
     const writeReserve =
       priority === RequestPriority.Progress ? this.writeLimiter.burst * PROGRESS_WRITE_RESERVE_RATIO : 0;
-    return this.writeLimiter.take(now, writes, writeReserve);
+    return this.writeLimiter.tryTake(now, writes, writeReserve);
   }
 }
 
--- a/src/storage/store-connection.ts
+++ b/src/storage/store-connection.ts
@@ -1,4 +1,4 @@
-import { pause, type Clock } from '../transport/clock';
+import { sleep, type Clock } from '../transport/clock';
 import { type HttpResponse } from '../transport/http-client';
 import { type Log } from '../transport/log';
 import { type Metrics } from '../transport/metrics';
@@ -87,7 +87,7 @@
       this.counters.throttled++;
       this.queue.backOff(writes);
       if (now + MIN_REPEAT_MS >= deadline) return 'expired';
-      await pause(this.clock, THROTTLED_PAUSE_MS);
+      await sleep(this.clock, THROTTLED_PAUSE_MS);
     }
   }
 
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -32,7 +32,7 @@
 }
 
 /** Resolves after `ms` steady milliseconds. */
-export function pause(clock: Clock, ms: number): Promise<void> {
+export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.schedule(ms, resolve));
 }
 
--- a/src/transport/metrics.ts
+++ b/src/transport/metrics.ts
@@ -35,7 +35,7 @@
   }
 
   /** From now on values go into histograms, and those recorded before as well. */
-  load(): void {
+  loadHistograms(): void {
     const samples = this.earlySamples ?? [];
     this.earlySamples = null;
     for (const [operation, ms] of samples) this.record(operation, ms);
@@ -43,7 +43,7 @@
 
   /** A summary for each operation. */
   summary(): Record<string, LatencySummary> {
-    if (this.earlySamples) this.load();
+    if (this.earlySamples) this.loadHistograms();
     const summaries: Record<string, LatencySummary> = {};
     for (const [operation, histogram] of this.histograms) summaries[operation] = summarize(histogram);
     return summaries;
--- a/src/transport/process-health.ts
+++ b/src/transport/process-health.ts
@@ -20,7 +20,7 @@
   private readonly eventLoop = { lastDelayMs: 0, longestDelayMs: 0, heldUp: 0 };
 
   /** Begins to observe; the returned function ends that. */
-  watch(clock: Clock): () => void {
+  startMonitoring(clock: Clock): () => void {
     const observer = new PerformanceObserver((list) => {
       for (const { duration } of list.getEntries()) this.recordCollection(duration);
     });
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -15,7 +15,7 @@
    * Takes `count` tokens if that leaves at least `reserve` in the bucket; false if it does not. More than a full bucket is
    * never there: a request for more is granted when the bucket is full, and leaves a debt.
    */
-  take(now: number, count: number, reserve = 0): boolean {
+  tryTake(now: number, count: number, reserve = 0): boolean {
     this.refill(now);
     if (this.tokens < Math.min(count + reserve, this.burst)) return false;
     this.tokens -= count;
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -23,11 +23,11 @@
   | { kind: 'direct'; handle: PlainHandler };
 
 /** Who handles the requests of a server. */
-export interface PlainServerOptions {
+export interface RequestServerOptions {
   /** Null: the general server handles it. */
   route: (request: PlainRequest) => PlainRoute | null;
   /** Serves whatever is not plain. Called only when such a request comes, as loading it would delay the start. */
-  generalServer: () => Promise<Server>;
+  fallbackServer: () => Promise<Server>;
   maxBodyBytes: number;
 }
 
@@ -55,7 +55,7 @@
  * users, is plain and read here, straight from the socket, at a small part of the cost of a general HTTP server. A connection
  * whose next request is anything else is handed to the general server with what was read of it.
  */
-export function servePlainRequests(options: PlainServerOptions): NetServer {
+export function createRequestServer(options: RequestServerOptions): NetServer {
   const queue = new NewestFirstQueue(() => performance.now(), setImmediate);
   const shared: SharedState = { options, queue, heads: new PlainHeadCache() };
   return createNetServer((socket) => {
@@ -66,7 +66,7 @@
 
 /** What the connections of one server share. */
 interface SharedState {
-  options: PlainServerOptions;
+  options: RequestServerOptions;
   queue: NewestFirstQueue;
   heads: PlainHeadCache;
 }
@@ -98,12 +98,13 @@
     const { options, heads } = this.shared;
     const headEnd = this.buffered.indexOf(HEAD_END);
     if (headEnd < 0) {
-      if (this.buffered.length > MAX_HEAD_BYTES) this.handToGeneralServer();
+      if (this.buffered.length > MAX_HEAD_BYTES) this.handToFallbackServer();
       return;
     }
     const request = heads.parse(this.buffered.toString('latin1', 0, headEnd));
     const route = request && options.route(request);
-    if (!request || !route || request.contentLength > options.maxBodyBytes) return this.handToGeneralServer();
+    if (!request || !route || request.contentLength > options.maxBodyBytes)
+      return this.handToFallbackServer();
     const bodyStart = headEnd + HEAD_END.length;
     const bodyEnd = bodyStart + request.contentLength;
     // Bodies mostly come with their heads; otherwise the head is read again once the rest is here.
@@ -111,7 +112,7 @@
     const body = this.buffered.toString('utf8', bodyStart, bodyEnd);
     // The general server says in its own words what is wrong with the body.
     if (route.kind === 'direct' && request.contentLength > 0 && !isJson(body))
-      return this.handToGeneralServer();
+      return this.handToFallbackServer();
     this.buffered = this.buffered.subarray(bodyEnd);
     this.handle(route, body, request.closeConnection);
   }
@@ -136,13 +137,13 @@
     else this.readNext();
   }
 
-  private handToGeneralServer(): void {
+  private handToFallbackServer(): void {
     const { socket } = this;
     // Nothing more is read meanwhile.
     this.handling = true;
     socket.off('data', this.onData);
     socket.pause();
-    void this.shared.options.generalServer().then((general) => {
+    void this.shared.options.fallbackServer().then((general) => {
       socket.off('error', this.onError);
       if (socket.destroyed) return;
       if (this.buffered.length > 0) socket.unshift(this.buffered);
--- a/src/transport/work-pacer.ts
+++ b/src/transport/work-pacer.ts
@@ -5,7 +5,7 @@
   /** It is repeated after this long at the latest, however much it costs. */
   maxIntervalMs: number;
   /** The share of the time that the work may take. */
-  share: number;
+  maxTimeShare: number;
 }
 
 /**
@@ -25,8 +25,8 @@
 
   /** Notes when the work began and ended, in steady milliseconds. */
   record(startedAt: number, endedAt: number): void {
-    const { minIntervalMs, maxIntervalMs, share } = this.options;
-    const intervalMs = (endedAt - startedAt) / share;
+    const { minIntervalMs, maxIntervalMs, maxTimeShare } = this.options;
+    const intervalMs = (endedAt - startedAt) / maxTimeShare;
     this.nextAt = startedAt + Math.min(maxIntervalMs, Math.max(minIntervalMs, intervalMs));
   }
 }
--- a/test/cluster/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { coefficientOfVariation } from '@heathbridge/load-balancer';
-import { balance } from '../../src/cli/balance-command';
+import { showBalance } from '../../src/cli/balance-command';
 import { EXIT_CODES } from '../../src/cli/client';
 import { type FakeWorker } from '../standin/fake-worker';
 import { LoopbackCluster } from '../standin/loopback';
@@ -268,7 +268,7 @@
       out: (line: string) => void lines.push(line),
       err: (line: string) => void lines.push(line),
     };
-    const code = await balance({ server, json: false }, output);
+    const code = await showBalance({ server, json: false }, output);
     said.push(`${code}: ${lines.join('\n')}`);
   }
   return said;
--- a/test/support/api-fixture.ts
+++ b/test/support/api-fixture.ts
@@ -12,7 +12,7 @@
 import { SubmissionBatcher } from '../../src/storage/submission-batcher';
 import { type Clock } from '../../src/transport/clock';
 import { Metrics } from '../../src/transport/metrics';
-import { servePlainRequests } from '../../src/transport/request-server';
+import { createRequestServer } from '../../src/transport/request-server';
 import { settle, VirtualTime } from '../standin/clock';
 import { FakeStateStore } from '../standin/store';
 import { SMALL_TYPE } from './machine-types';
@@ -112,8 +112,8 @@
     const dependencies = await this.dependencies();
     const general = createServer(createExpressApp(dependencies));
     this.general = general;
-    this.server = servePlainRequests({
-      generalServer: () => Promise.resolve(general),
+    this.server = createRequestServer({
+      fallbackServer: () => Promise.resolve(general),
       maxBodyBytes: MAX_BODY_BYTES,
       route: plainRoutes(dependencies),
     });
--- a/test/transport/rate-limiter.test.ts
+++ b/test/transport/rate-limiter.test.ts
@@ -4,11 +4,11 @@
 
 test('a limiter keeps its rate, and its reserve for what is urgent', () => {
   const limiter = new RateLimiter(10, 5);
-  assert.equal(limiter.take(0, 5), true);
-  assert.equal(limiter.take(0, 1), false);
-  assert.equal(limiter.take(100, 1), true);
-  assert.equal(limiter.take(400, 1, 3), false);
-  assert.equal(limiter.take(400, 1), true);
+  assert.equal(limiter.tryTake(0, 5), true);
+  assert.equal(limiter.tryTake(0, 1), false);
+  assert.equal(limiter.tryTake(100, 1), true);
+  assert.equal(limiter.tryTake(400, 1, 3), false);
+  assert.equal(limiter.tryTake(400, 1), true);
   limiter.drain(500);
-  assert.equal(limiter.take(500, 1), false);
+  assert.equal(limiter.tryTake(500, 1), false);
 });
--- a/test/transport/work-pacer.test.ts
+++ b/test/transport/work-pacer.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { WorkPacer } from '../../src/transport/work-pacer';
 
-const OPTIONS = { minIntervalMs: 500, maxIntervalMs: 2500, share: 0.1 };
+const OPTIONS = { minIntervalMs: 500, maxIntervalMs: 2500, maxTimeShare: 0.1 };
 
 test('repeated work waits longer the more it cost, within its bounds', async (t) => {
   const cases: { name: string; costMs: number; dueAfterMs: number }[] = [
@@ -38,7 +38,7 @@
         now += cost;
       }
       while (!pacer.isDue(now)) now += 1;
-      assert.ok(worked <= OPTIONS.share * now + 1e-6, `${worked} of ${now} ms`);
+      assert.ok(worked <= OPTIONS.maxTimeShare * now + 1e-6, `${worked} of ${now} ms`);
     }),
   );
 });
