--- a/src/boot.ts
+++ b/src/boot.ts
@@ -2,8 +2,8 @@
 import { join } from 'node:path';
 import { Script } from 'node:vm';
 
-// Starts the packed program with the code that V8 kept for it at build time (see tools/bundle.mjs). Should
-// V8 not accept that code, it compiles the source as usual.
+// Starts the bundled program with the V8 code cache written at build time (see tools/bundle.mjs). If V8 rejects the cache,
+// it compiles the source as usual.
 const path = join(__dirname, 'bundle.js');
 const script = new Script(readFileSync(path, 'utf8'), {
   filename: path,
--- a/src/cli/balance-command.ts
+++ b/src/cli/balance-command.ts
@@ -3,7 +3,7 @@
 import { EXIT_CODES, reportUsageErrors, requestWithRetries, type ClientOptions, type Output } from './client';
 import { PRIORITIES } from '../protocol/jobs';
 
-/** The part of `GET /status` that tells of load. */
+/** The load balancing part of a response to `GET /status`. */
 interface BalanceStatus {
   leader: string | null;
   moves: RunningMove[];
@@ -28,7 +28,7 @@
   balance?: BalanceStatus;
 }
 
-/** Shows how load is spread, and what is moved and why, as the leader knows it. */
+/** Prints the distribution of load, and what is moved and why, as known to the leader. */
 export function showBalance({ server, json }: ClientOptions, output: Output): Promise<number> {
   return reportUsageErrors(output, async () => {
     const response = await requestWithRetries('GET', API_PATHS.status, undefined, server, output);
@@ -50,34 +50,31 @@
   member: string | undefined,
   status: BalanceStatus | undefined,
 ): string | null {
-  if (member === undefined) return `${server}: this is no controller`;
+  if (member === undefined) return `${server}: not a controller`;
   if (!status) return `${member} does not balance load: the feature is off`;
   if (status.fleet) return null;
   return status.leader === null || status.leader === member
-    ? `${member} does not lead, and nobody does now; try again later`
+    ? `${member} does not lead, and no other controller does now; try again later`
     : `${member} does not lead: ask ${status.leader}`;
 }
 
 function statusLines({ fleet, moves }: BalanceStatus): string[] {
   if (!fleet) return [];
-  const shownLines = fleet.partitions.flatMap(({ summary, ageMs }) => partitionLines(summary, ageMs));
+  const lines = fleet.partitions.flatMap(({ summary, ageMs }) => partitionLines(summary, ageMs));
   const { allowed, refused, refusals } = fleet.machineMoves;
-  shownLines.push(
-    `machines between partitions: ${allowed} moved, ${refused} refused${formatRefusals(refusals)}`,
-  );
-  for (const { fault, count } of fleet.droppedSummaries)
-    shownLines.push(`summaries dropped: ${count} ${fault}`);
+  lines.push(`machines between partitions: ${allowed} moved, ${refused} refused${formatRefusals(refusals)}`);
+  for (const { fault, count } of fleet.droppedSummaries) lines.push(`summaries dropped: ${count} ${fault}`);
   for (const { move, task, source, target, cause, state } of moves)
-    shownLines.push(`move ${move}: ${task} from ${source} to ${target}, ${state}, for ${cause}`);
-  return shownLines;
+    lines.push(`move ${move}: ${task} from ${source} to ${target}, ${state}, for ${cause}`);
+  return lines;
 }
 
 function partitionLines(summary: LoadSummary, ageMs: number): string[] {
   const { partition, cpus, freeCpus, largestFreeCpus, trendPerS, moves, refusals, teams } = summary;
   const trend = `${trendPerS >= 0 ? '+' : ''}${trendPerS.toFixed(1)}`;
-  const first = `${partition}: ${formatWhole(cpus)} CPUs, ${formatWhole(freeCpus)} free, ${formatWhole(largestFreeCpus)} on one machine`;
+  const capacity = `${partition}: ${formatWhole(cpus)} CPUs, ${formatWhole(freeCpus)} free, ${formatWhole(largestFreeCpus)} on one machine`;
   return [
-    `${first}; work ${trend} CPU s/s; told ${(ageMs / 1000).toFixed(1)} s ago`,
+    `${capacity}; work ${trend} CPU s/s; told ${(ageMs / 1000).toFixed(1)} s ago`,
     `  running ${formatByPriority(summary.running)}; waiting ${formatByPriority(summary.waiting)} (CPU s)`,
     ...teams.map(
       (t) => `  team ${t.team}: running ${formatWhole(t.running)}, waiting ${formatWhole(t.waiting)} CPU s`,
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -1,4 +1,4 @@
-/** The commands for users: each sends one request to a controller, again and again until it gets a final response. */
+/** Commands for users. Each sends one request to a controller and retries it until a final response arrives. */
 import { API_PATHS } from '../protocol/api-paths';
 import { readFileSync } from 'node:fs';
 import { type HttpResponse, HttpClient } from '../transport/http-client';
@@ -12,7 +12,7 @@
   json: boolean;
 }
 
-/** Where a command writes its lines. */
+/** Receives the lines that a command writes to standard output and standard error. */
 export interface Output {
   out: (line: string) => void;
   err: (line: string) => void;
@@ -22,7 +22,7 @@
 const MAX_ATTEMPT_COUNT = 5;
 const RETRY_DELAY_MS = 1000;
 
-/** A command line that cannot be carried out; its message names the word that is wrong. */
+/** An invalid command line. The message names the argument that is wrong. */
 class UsageError extends Error {
   readonly code = 'ERR_USAGE';
 
@@ -41,7 +41,7 @@
   pipeline?: { ref: string; state: string; because: string | null; failed: boolean };
 }
 
-/** Submits a job that a file describes (`-`: standard input). Safe to repeat: a job is known by its ref. */
+/** Submits the job described by a file (`-`: standard input). Safe to repeat, because a job is identified by its ref. */
 export function submit(file: string, options: ClientOptions, output: Output): Promise<number> {
   return reportUsageErrors(output, async () => {
     let job: unknown;
@@ -71,10 +71,10 @@
   return ref;
 }
 
-/** Runs a command; words that are wrong end it with the code for that. */
-export async function reportUsageErrors(output: Output, act: () => Promise<number>): Promise<number> {
+/** Runs a command and returns its exit code. A usage error is written to standard error and has an exit code of its own. */
+export async function reportUsageErrors(output: Output, command: () => Promise<number>): Promise<number> {
   try {
-    return await act();
+    return await command();
   } catch (error) {
     if (!(error instanceof UsageError)) throw error;
     output.err(`heathbridge: ${error.message}`);
@@ -83,8 +83,10 @@
 }
 
 /**
- * Asks until there is an answer that will not change by asking again. Null: there was none, which has been said on standard
- * error.
+ * Repeats a request until its response is one that a retry would not change. Returns null if no attempt had such a response,
+ * after reporting that on standard error.
+ *
+ * @throws (as a rejection) UsageError if `server` is not an IPv4 address and a port.
  */
 export async function requestWithRetries(
   method: string,
@@ -129,7 +131,7 @@
   const content = (response.body ?? {}) as JobResponse;
   if (json) out(JSON.stringify(content));
   if (response.status >= 400) {
-    err(`heathbridge: ${content.error ?? `refused with ${response.status}`}`);
+    err(`heathbridge: ${content.error ?? `request refused with status ${response.status}`}`);
     return EXIT_CODES.refused;
   }
   if (!json) out(describeJob(content));
--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -58,12 +58,12 @@
   return program;
 }
 
-/** Does what the words on the command line ask for. */
+/** Runs the command that the command line names. */
 export function runCommandLine(): void {
   const program = createProgram();
   const commandName = process.argv[2] ?? '';
   const names = [...program.commands.map((c) => c.name()), 'help'];
   if (/^[a-z]/.test(commandName) && !names.includes(commandName))
-    exitWithError(`no command '${commandName}', only ${names.join(', ')}`);
+    exitWithError(`unknown command '${commandName}', expected one of: ${names.join(', ')}`);
   program.parse();
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,25 +1,23 @@
 import { startService, type ServiceOptions } from './startup/service';
 
-/** The build loads the program once without running it, to keep its compiled code. */
+/** Option with which the build loads the program without running it, to cache its compiled code. */
 const WARM_UP_OPTION = '--warm-up';
 
 /**
- * The platform starts the service with nothing but its settings, and a file of features perhaps: then what reads command lines
- * is not loaded.
+ * Parses the arguments with which the platform starts the service: its settings and, optionally, a features file. For these
+ * the command line parser is not loaded. Returns null for any other arguments.
  */
-function parseServeArguments(commandLineWords: readonly string[]): ServiceOptions | null {
-  const [option, value, ...rest] = commandLineWords;
+function parseServeArguments(args: readonly string[]): ServiceOptions | null {
+  const [option, value, ...rest] = args;
   if (option === '--features' && value !== undefined) {
     const options = parseServeArguments(rest);
     return options?.features === undefined && options ? { ...options, features: value } : null;
   }
-  return commandLineWords.length === 2 && option === '--config' && value !== undefined
-    ? { config: value }
-    : null;
+  return args.length === 2 && option === '--config' && value !== undefined ? { config: value } : null;
 }
 
-const commandLineWords = process.argv.slice(2);
-const serviceOptions = parseServeArguments(commandLineWords);
+const args = process.argv.slice(2);
+const serviceOptions = parseServeArguments(args);
 if (serviceOptions !== null) startService(serviceOptions);
-else if (!commandLineWords.includes(WARM_UP_OPTION))
+else if (!args.includes(WARM_UP_OPTION))
   void import('./cli/command-line').then(({ runCommandLine }) => runCommandLine());
--- a/src/startup/service.ts
+++ b/src/startup/service.ts
@@ -5,7 +5,7 @@
 import { parseSettings, type Settings } from '../protocol/settings';
 import { serve } from '../coordination/controller/api-server';
 import { type OptionalFeatures } from './optional-features';
-import { readSettingsFile, exitWithError } from './settings-files';
+import { readOrExit, exitWithError } from './settings-files';
 
 export const VERSION = '0.2.0';
 
@@ -17,7 +17,7 @@
 
 const NO_FEATURES: OptionalFeatures = { balancing: null };
 
-/** The platform's settings and the operators' policy; the first thing that is wrong with them ends the start. */
+/** Reads the platform's settings and the operators' policy. The first error in them ends the process. */
 export function readSettings({ config, policy }: ServiceOptions): { settings: Settings; policy: Policy } {
   let settings: Settings;
   try {
@@ -27,11 +27,11 @@
   }
   return {
     settings,
-    policy: readSettingsFile(() => (policy === undefined ? DEFAULT_POLICY : loadPolicy(policy))),
+    policy: readOrExit(() => (policy === undefined ? DEFAULT_POLICY : loadPolicy(policy))),
   };
 }
 
-/** What implements features is loaded only where a file switches some on. */
+/** Reads the features file, if one is given. The implementation of the features is loaded only then. */
 export async function readFeatures(path: string | undefined): Promise<OptionalFeatures> {
   if (path === undefined) return NO_FEATURES;
   const { loadOptionalFeatures } = await import('./optional-features');
@@ -47,7 +47,7 @@
 
 function runController(settings: Settings, policy: Policy, features: OptionalFeatures): void {
   const log = openLog(settings.member);
-  // What gets here is a defect; the process goes on, for its partition would stand still without it.
+  // An error that gets here is a defect. The process continues, because its partition would stand still without it.
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
   const teams = settings.teams.map((t) => `${t.name} ${t.guaranteed.cpus}/${t.limit.cpus}`).join(', ');
--- a/src/startup/settings-files.ts
+++ b/src/startup/settings-files.ts
@@ -1,13 +1,13 @@
 const BAD_SETTINGS_EXIT_CODE = 2;
 
-/** Ends the program with the code for bad settings and one line that says why. */
+/** Ends the process with the exit code for invalid settings, after writing the reason to standard error as one line. */
 export function exitWithError(reason: string): never {
   process.stderr.write(`heathbridge: ${reason}\n`);
   process.exit(BAD_SETTINGS_EXIT_CODE);
 }
 
-/** Reads a file that is needed to go on; what is wrong with it ends the program. */
-export function readSettingsFile<T>(read: () => T): T {
+/** Returns the result of `read`, which reads a required file. An error that it throws ends the process. */
+export function readOrExit<T>(read: () => T): T {
   try {
     return read();
   } catch (error) {
--- a/src/transport/actor.ts
+++ b/src/transport/actor.ts
@@ -1,16 +1,15 @@
 import { Subject } from 'rxjs';
 
 /**
- * An actor owns its state; others reach it through `send` alone. Messages are handled one at a time, in the order in which
- * they were sent: one sent while another is being handled waits for its turn. `send` returns once the message is handled,
- * unless another one was being handled.
+ * Owns its state, which other code reaches only through `send`. Messages are handled one at a time, in the order in which
+ * they were sent. `send` handles the message before it returns; while another message is being handled, it only queues it.
  */
 export abstract class Actor<Message> {
   private readonly mailbox = new Subject<Message>();
   private readonly pending: Message[] = [];
   private draining = false;
 
-  /** `onFailure` is told what `receive` throws; the next message is handled as if nothing had happened. */
+  /** `onFailure` receives the errors that `receive` throws; the next message is then handled as usual. */
   protected constructor(private readonly onFailure: (error: unknown) => void) {
     this.mailbox.subscribe((message) => {
       this.pending.push(message);
@@ -30,7 +29,7 @@
       try {
         this.receive(next);
       } catch (error) {
-        // One bad message must not end the process.
+        // A message whose handling fails must not end the process.
         this.onFailure(error);
       }
     }
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -1,10 +1,10 @@
-/** Where a server listens or is reached. */
+/** The address on which a server listens or is reached. */
 export interface SocketAddress {
   host: string;
   port: number;
 }
 
-/** Reads `host:port`, of which the settings have checked the form. */
+/** Parses `host:port`, a form that the settings have already checked. */
 export function parseAddress(address: string): SocketAddress {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,13 +1,13 @@
 /**
- * The two clocks of a process, passed in so that tests can run them. Values of the two are never mixed: the wall clock may
- * be set, the steady clock only goes forward.
+ * The steady (monotonic) clock and the wall clock of a process, injected so that tests can control time. Values of the two
+ * must not be mixed: the wall clock may be set, whereas the steady clock only goes forward.
  */
 export interface Clock {
-  /** Steady milliseconds since some moment of this process, for timeouts and leases. */
+  /** Milliseconds of the steady clock since an arbitrary moment of this process, for timeouts and leases. */
   steady(): number;
-  /** Time of day, for what people read and what outlives the process. */
+  /** Time of day, for values that people read and values that outlive the process. */
   wallClock(): Date;
-  /** Runs `action` once, after `ms` steady milliseconds; the returned function cancels it. */
+  /** Runs `action` once, after `ms` steady milliseconds. The returned function cancels it. */
   schedule(ms: number, action: () => void): () => void;
 }
 
@@ -21,7 +21,7 @@
   },
 };
 
-/** Runs `action` every `ms` steady milliseconds, first after `ms`; the returned function ends that. */
+/** Runs `action` every `ms` steady milliseconds, first after `ms`. The returned function stops the repetition. */
 export function schedulePeriodic(clock: Clock, ms: number, action: () => void): () => void {
   const runAndReschedule = (): void => {
     cancel = clock.schedule(ms, runAndReschedule);
@@ -36,5 +36,5 @@
   return new Promise((resolve) => clock.schedule(ms, resolve));
 }
 
-/** Steady clocks of two machines drift apart by up to this share of the time (PROTOCOL, "The protocols"). */
+/** Largest drift between the steady clocks of two machines, as a share of the time elapsed (PROTOCOL, "The protocols"). */
 export const MAX_CLOCK_DRIFT_RATIO = 0.0005;
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -2,14 +2,14 @@
 import { createConnection, type Socket } from 'node:net';
 import { ResponseReader } from './http-response';
 
-/** A whole response. */
+/** A complete HTTP response. */
 export interface HttpResponse {
   status: number;
   /** The parsed body, or undefined if it was not JSON. */
   body: unknown;
 }
 
-/** Characters that a path may hold as they stand: any other would end the request line early. */
+/** A path without characters that must be escaped, which would end the request line early. */
 const SAFE_PATH_PATTERN = /^[\x21-\x7e]+$/;
 
 /** A request that waits for a connection or for its response. */
@@ -21,13 +21,14 @@
 }
 
 /**
- * Sends requests to one server over a few kept connections, one at a time on each. Written on plain sockets, because a
- * general client costs a small controller a large part of its processor time (see "Libraries" in docs/design.md).
+ * Sends requests to one server over a small pool of keep-alive connections, one at a time on each. Uses plain sockets,
+ * because a general HTTP client costs a small controller a large part of its processor time (see "Libraries" in
+ * docs/design.md).
  */
 export class HttpClient {
   private readonly host: string;
   private readonly port: number;
-  /** The connection used last is used first, so that those not needed any more can time out. */
+  /** The most recently used connection is reused first, so that connections no longer needed can time out. */
   private readonly idleConnections: Connection[] = [];
   private readonly openConnections = new Set<Connection>();
   private readonly pendingCalls: PendingCall[] = [];
@@ -42,7 +43,7 @@
     this.port = port;
   }
 
-  /** Ends all connections, which would keep the process alive; requests under way and later ones resolve to null. */
+  /** Closes all connections, which would keep the process alive. Pending and later requests resolve to null. */
   close(): void {
     this.closed = true;
     for (const call of this.pendingCalls.splice(0)) call.finish(null);
@@ -50,8 +51,8 @@
   }
 
   /**
-   * Sends a request, with `body` as JSON unless it is undefined. Resolves to null if no whole response came within
-   * `timeoutMs`: the request may have been carried out, or may yet be.
+   * Sends a request, with `body` as JSON unless it is undefined. Resolves to null if no complete response arrives within
+   * `timeoutMs`; the server may then have carried out the request, or may still do so.
    *
    * @throws (as a rejection) TypeError if the path holds characters that must be escaped.
    */
@@ -86,7 +87,7 @@
     return `${head}Content-Type: application/json\r\nContent-Length: ${length}\r\n\r\n${payload}`;
   }
 
-  /** Gives pending calls to idle connections, or to new ones as long as there may be more. */
+  /** Starts pending calls on idle connections, or on new ones up to `maxConnections`. */
   private dispatchPending(): void {
     while (this.pendingCalls.length > 0) {
       const connection = this.idleConnections.pop() ?? this.connect();
@@ -98,11 +99,11 @@
   private connect(): Connection | null {
     if (this.openConnections.size >= this.maxConnections) return null;
     const connection = new Connection(createConnection(this.port, this.host), {
-      free: () => {
+      onIdle: () => {
         this.idleConnections.push(connection);
         this.dispatchPending();
       },
-      ended: () => {
+      onClosed: () => {
         this.openConnections.delete(connection);
         const i = this.idleConnections.indexOf(connection);
         if (i >= 0) this.idleConnections.splice(i, 1);
@@ -113,7 +114,7 @@
     return connection;
   }
 
-  /** The connection of a call that has timed out would carry a late response, so it is ended. */
+  /** Resolves a call to null and closes its connection, on which the late response would otherwise arrive. */
   private timeOut(call: PendingCall): void {
     const i = this.pendingCalls.indexOf(call);
     if (i >= 0) this.pendingCalls.splice(i, 1);
@@ -122,14 +123,14 @@
   }
 }
 
-/** What a connection tells its client. */
+/** Callbacks of a connection to its client. */
 interface ConnectionListener {
-  /** It may carry another request. */
-  free: () => void;
-  ended: () => void;
+  /** The connection can carry another request. */
+  onIdle: () => void;
+  onClosed: () => void;
 }
 
-/** One connection with at most one request under way. */
+/** A connection with at most one request in flight. */
 class Connection {
   private call: PendingCall | null = null;
   private reader = new ResponseReader();
@@ -145,7 +146,7 @@
     socket.on('close', () => {
       this.call?.finish(null);
       this.call = null;
-      listener.ended();
+      listener.onClosed();
     });
   }
 
@@ -164,7 +165,7 @@
   }
 
   private onData(bytes: Buffer): void {
-    // No request is under way: whatever this is, the next response could not be told from it.
+    // No request is in flight: the next response could not be told apart from these bytes.
     if (!this.call) return this.destroy();
     const progress = this.reader.push(bytes);
     if (progress === 'malformed') this.destroy();
@@ -180,7 +181,7 @@
     const { status, body, keepAlive } = this.reader;
     const call = this.call;
     this.call = null;
-    if (keepAlive) this.listener.free();
+    if (keepAlive) this.listener.onIdle();
     else this.destroy();
     call?.finish({ status, body: parseJson(body) });
   }
--- a/src/transport/http-response.ts
+++ b/src/transport/http-response.ts
@@ -2,7 +2,7 @@
 const LINE_END = Buffer.from('\r\n');
 const MAX_HEAD_BYTES = 16 * 1024;
 const MAX_CHUNK_LINE_BYTES = 1024;
-/** Far beyond what the servers here send: a broken one must not fill the memory. */
+/** Far more than the servers used here send. A faulty server must not exhaust the memory. */
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 const STATUS_LINE_PATTERN = /^HTTP\/1\.([01]) ([1-5][0-9]{2})(?: |$)/;
 const STATUS_NO_CONTENT = 204;
@@ -11,7 +11,7 @@
 /** `more`: bytes are missing. `complete`: `status` and `body` hold the response. `malformed`: the connection is unusable. */
 export type ReadProgress = 'more' | 'complete' | 'malformed';
 
-/** How the end of a body is marked. */
+/** How the end of a body is determined. */
 type Framing = { kind: 'length'; length: number } | { kind: 'chunked' } | { kind: 'until-close' };
 
 interface Head {
@@ -21,22 +21,22 @@
 }
 
 /**
- * Reads one HTTP/1.1 response from the bytes of a connection, however they are split. Kept to what a JSON service may send:
- * bodies with a length, in chunks, or up to the end of the connection; interim responses are skipped.
+ * Parses one HTTP/1.1 response from the bytes of a connection, however they are split. Supports what a JSON service may
+ * send: bodies with a length, in chunks, or up to the end of the connection. Skips interim (1xx) responses.
  */
 export class ResponseReader {
   status = 0;
   body: Buffer = Buffer.alloc(0);
   /** Whether the connection may carry another request after this response. */
   keepAlive = false;
-  /** Whether bytes came after the response, though there was no other request. */
+  /** Whether bytes followed the response although no other request had been sent. */
   hasTrailingBytes = false;
   private head: Head | null = null;
   private buffered: Buffer = Buffer.alloc(0);
   private readonly chunks: Buffer[] = [];
   private chunksLength = 0;
 
-  /** Takes the next bytes of the connection. Not to be called again after `complete` or `malformed`. */
+  /** Parses the next bytes of the connection. Must not be called again after `complete` or `malformed`. */
   push(bytes: Buffer): ReadProgress {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
     if (this.head === null) {
@@ -46,7 +46,7 @@
     return this.readBody(this.head as unknown as Head);
   }
 
-  /** The server has ended the connection, which completes a body without a length. */
+  /** Handles the end of the connection by the server, which completes a body without a length. */
   end(): ReadProgress {
     if (this.head?.framing.kind !== 'until-close') return 'malformed';
     return this.finish(this.buffered, this.buffered.length);
@@ -59,7 +59,7 @@
       const head = parseHead(this.buffered.toString('latin1', 0, end));
       if (head === null) return 'malformed';
       this.buffered = this.buffered.subarray(end + HEAD_END.length);
-      // Interim responses come before the real one.
+      // Interim responses precede the final one.
       if (head.status < 200) continue;
       this.head = head;
       return 'complete';
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Fields after the last chunk are skipped, up to an empty line. */
+  /** Skips the fields after the last chunk, up to an empty line. */
   private readTrailer(start: number): ReadProgress {
     for (let from = start; ;) {
       const lineEnd = this.buffered.indexOf(LINE_END, from);
@@ -135,7 +135,7 @@
     const value = line.slice(colon + 1).trim();
     switch (line.slice(0, colon).toLowerCase()) {
       case 'content-length':
-        // Two lengths that differ leave open where the next response begins.
+        // Two different lengths make it ambiguous where the next response begins.
         if (!/^[0-9]{1,8}$/.test(value) || (length !== null && length !== Number(value))) return null;
         length = Number(value);
         break;
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -1,12 +1,12 @@
 import pino from 'pino';
 
-/** A structured log: one JSON object a line, with the fields first and a message. */
+/** A structured log with one JSON object per line, the fields before the message. */
 export type Log = pino.Logger;
 
 const LEVELS = ['error', 'info', 'debug'];
 const STANDARD_ERROR_FD = 2;
 
-/** The process's log on standard error, at the level that LOG_LEVEL names (error, info or debug), else at info. */
+/** Opens the process log on standard error, at the level named by LOG_LEVEL (error, info or debug), otherwise at info. */
 export function openLog(member: string): Log {
   const level = process.env['LOG_LEVEL'] ?? 'info';
   return pino(
--- a/src/transport/metrics.ts
+++ b/src/transport/metrics.ts
@@ -2,11 +2,11 @@
 
 const US_PER_MS = 1000;
 const MAX_DURATION_US = 60_000 * US_PER_MS;
-/** How many values are kept until the histograms are loaded; later ones are dropped. */
+/** Number of values buffered until the histograms are loaded; further values are dropped. */
 const MAX_EARLY_SAMPLES = 2000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** How long one operation took, over the life of the process. */
+/** Latencies of one operation over the life of the process. */
 export interface LatencySummary {
   count: number;
   p50Ms: number;
@@ -16,15 +16,15 @@
 }
 
 /**
- * How long operations take, for the operators. The library of histograms is loaded when they are first needed, not at the
- * start of the process, where the time to load it would delay the first responses.
+ * Latency histograms of operations, for the operators. The histogram library is loaded on first use, not at the start of the
+ * process, where loading it would delay the first responses.
  */
 export class Metrics {
   private readonly histograms = new Map<string, Histogram>();
   /** Values recorded before the histograms are loaded; null afterwards. */
   private earlySamples: [operation: string, ms: number][] | null = [];
 
-  /** Records that an operation took `ms`; values are kept between a microsecond and a minute. */
+  /** Records that an operation took `ms`, limited to the range from a microsecond to a minute. */
   record(operation: string, ms: number): void {
     if (this.earlySamples) {
       if (this.earlySamples.length < MAX_EARLY_SAMPLES) this.earlySamples.push([operation, ms]);
@@ -34,14 +34,14 @@
     this.histogram(operation).recordValue(us);
   }
 
-  /** From now on values go into histograms, and those recorded before as well. */
+  /** Moves the values recorded so far into histograms; later values go there directly. */
   loadHistograms(): void {
     const samples = this.earlySamples ?? [];
     this.earlySamples = null;
     for (const [operation, ms] of samples) this.record(operation, ms);
   }
 
-  /** A summary for each operation. */
+  /** The latencies by operation. */
   summary(): Record<string, LatencySummary> {
     if (this.earlySamples) this.loadHistograms();
     const summaries: Record<string, LatencySummary> = {};
@@ -50,8 +50,8 @@
   }
 
   private histogram(operation: string): Histogram {
-    const known = this.histograms.get(operation);
-    if (known) return known;
+    const existing = this.histograms.get(operation);
+    if (existing) return existing;
     // eslint-disable-next-line @typescript-eslint/no-require-imports
     const { build } = require('hdr-histogram-js') as typeof import('hdr-histogram-js');
     const histogram = build({
--- a/src/transport/newest-first-queue.ts
+++ b/src/transport/newest-first-queue.ts
@@ -1,46 +1,47 @@
-/** How long requests are answered at a stretch before the sockets are read again. */
+/** How long requests are answered before the sockets are read again. */
 const WORK_SLICE_MS = 5;
-/** So many connections are accepted in a row before the next stretch: about as much work, so neither waits for the other. */
-const MAX_ACCEPTS_PER_ROUND = 16;
+/** Connections accepted in a row before the next slice: about as much work, so neither has to wait for the other. */
+const MAX_CONSECUTIVE_ACCEPTS = 16;
 
 interface PendingRequest {
-  /** Whether its sender still waits for the response. */
+  /** Whether the sender still waits for the response. */
   isAlive: () => boolean;
   run: () => void;
 }
 
 /**
- * Requests that wait for their turn, the newest first, behind the connections that wait to be accepted.
+ * Queue of requests that are answered newest first, after the connections that wait to be accepted.
  *
- * After a start or a failover more workers send heartbeats than can be answered in time. First in, first out, every response
- * would come just after its sender has given up and asked elsewhere, and none would arrive for as long as that goes on; the
- * newest request is the one whose sender certainly still listens. Between two stretches of work the sockets are read, so
- * requests that were given up are recognised and cost nothing more. Node accepts one connection each time it polls the
- * sockets: were requests answered meanwhile, workers would wait longer to be accepted than they wait for a response.
+ * After a start or a failover more workers send heartbeats than can be answered in time. In first-in, first-out order every
+ * response would come just after its sender has given up and asked another controller, so none would be received for as long
+ * as the overload lasts. The sender of the newest request is the one that is certainly still waiting. The sockets are read
+ * between two slices of work, so abandoned requests are recognised and cost nothing more. Node accepts one connection each
+ * time it polls the sockets: if requests were answered in between, workers would wait longer to be accepted than they wait
+ * for a response.
  */
 export class NewestFirstQueue {
-  /** The first requests of their connections. */
+  /** Requests that are the first of their connections. */
   private readonly firstRequests: PendingRequest[] = [];
   private readonly laterRequests: PendingRequest[] = [];
   private scheduled = false;
   private connectionAccepted = false;
-  private acceptsInARow = 0;
+  private consecutiveAccepts = 0;
 
-  /** `now`: steady milliseconds. `defer` runs an action after the sockets have been read. */
+  /** `now` returns steady milliseconds. `defer` runs an action after the sockets have been read. */
   constructor(
     private readonly now: () => number,
     private readonly defer: (action: () => void) => void,
   ) {}
 
-  /** A connection was accepted: more may wait behind it. */
+  /** Notes that a connection was accepted; further connections that wait are accepted before requests are answered. */
   onConnectionAccepted(): void {
     this.connectionAccepted = true;
     this.scheduleRound();
   }
 
   /**
-   * Adds a request. `first`: nothing was answered on this connection yet. Its sender has waited longest, whatever it has
-   * sent since, so it goes before the others.
+   * Adds a request. `first` means that nothing was answered on its connection yet. Its sender has then waited longest,
+   * whatever it has sent since, so the request goes before the others.
    */
   add(isAlive: () => boolean, run: () => void, first = false): void {
     const queue = first ? this.firstRequests : this.laterRequests;
@@ -56,17 +57,17 @@
 
   private runRound(): void {
     this.scheduled = false;
-    if (this.connectionAccepted && ++this.acceptsInARow < MAX_ACCEPTS_PER_ROUND) {
+    if (this.connectionAccepted && ++this.consecutiveAccepts < MAX_CONSECUTIVE_ACCEPTS) {
       this.connectionAccepted = false;
       return this.scheduleRound();
     }
     this.connectionAccepted = false;
-    this.acceptsInARow = 0;
-    this.runForASlice();
+    this.consecutiveAccepts = 0;
+    this.runSlice();
     if (this.firstRequests.length + this.laterRequests.length > 0) this.scheduleRound();
   }
 
-  private runForASlice(): void {
+  private runSlice(): void {
     const sliceEnd = this.now() + WORK_SLICE_MS;
     for (let request = this.takeNewest(); request; request = this.takeNewest()) {
       if (!request.isAlive()) continue;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -3,17 +3,17 @@
 import { type Clock } from './clock';
 
 /*
- * Frames between controllers: four bytes of length, big endian, and as many bytes of content, over TCP.
+ * Frame format between controllers, over TCP: a four-byte big-endian length, followed by that many bytes of content.
  */
 
-/** The largest frame between controllers: the load of some forty thousand machines. */
+/** The largest frame between controllers: the load of about forty thousand machines. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
 const LENGTH_BYTES = 4;
-/** A connection on which nothing was received for so long is opened anew: a cut connection reports no error. */
+/** A connection on which nothing was received for longer is reopened, because a cut connection reports no error. */
 const SILENCE_LIMIT_MS = 3000;
 const RECONNECT_MS = 500;
-/** Frames are dropped while a peer has not taken this much. */
+/** Frames are dropped while at least this much sent to a peer is still buffered. */
 const MAX_UNSENT_BYTES = 256 * 1024;
 
 /** Calls `onFrame` with the content of each frame; ends the connection at a frame that is too large. */
@@ -41,17 +41,17 @@
   socket.write(Buffer.concat([length, content]));
 }
 
-/** Where to listen for peers and who is told what comes. */
+/** Listen address and callbacks of a server for peers. */
 export interface PeerServerOptions {
   host: string;
   port: number;
-  /** Called with each frame; `reply` sends a frame back on the same connection, unless it has ended. */
+  /** Called with the content of each frame. `reply` sends a frame back on the same connection, unless it is closed. */
   onFrame: (content: Buffer, reply: (content: Buffer) => void) => void;
-  /** The server could not listen, or has stopped doing so. */
+  /** Called if the server cannot listen or stops listening because of an error. */
   onError: (error: Error) => void;
 }
 
-/** Takes frames from the other controllers until the returned server is closed. */
+/** Receives frames from the other controllers until the returned server is closed. */
 export function listenForPeers({ host, port, onFrame, onError }: PeerServerOptions): Server {
   const server = createServer((socket) => {
     socket.setNoDelay(true);
@@ -67,7 +67,7 @@
   return server;
 }
 
-/** One outgoing connection to a peer, opened again after it breaks. Frames sent while it is down are dropped. */
+/** An outgoing connection to a peer, reopened after it fails. Frames sent while it is down are dropped. */
 export class PeerLink {
   private readonly host: string;
   private readonly port: number;
@@ -77,7 +77,7 @@
   private lastReceivedAt: number;
   private cancelReconnect: (() => void) | null = null;
 
-  /** `address`: host and port. `onFrame` is called with the content of each frame that the peer sends back. */
+  /** `address` is `host:port`. `onFrame` is called with the content of each frame that the peer sends back. */
   constructor(
     address: string,
     private readonly clock: Clock,
@@ -90,16 +90,16 @@
     this.open();
   }
 
-  /** Sends a frame, or drops it if the peer cannot be reached or does not take what was sent before. */
+  /** Sends a frame, or drops it if the peer is not connected or does not read the frames sent before. */
   send(content: Buffer): void {
     if (this.clock.steady() - this.lastReceivedAt > SILENCE_LIMIT_MS) this.socket?.destroy();
-    // What a silent peer does not take must not pile up here.
+    // Frames for a peer that does not read must not accumulate here.
     if (this.connected && this.socket && this.socket.writableLength < MAX_UNSENT_BYTES) {
       writeFrame(this.socket, content);
     }
   }
 
-  /** Ends the connection for good. */
+  /** Closes the connection; it is not reopened. */
   close(): void {
     this.closed = true;
     this.cancelReconnect?.();
--- a/src/transport/plain-request.ts
+++ b/src/transport/plain-request.ts
@@ -3,17 +3,17 @@
 const REQUEST_LINE_PATTERN = /^(GET|POST) ([\x21-\x7e]+) HTTP\/1\.1$/;
 const JSON_CONTENT_TYPE_PATTERN = /^application\/json(?:;\s*charset=utf-8)?$/i;
 
-/** The head of a plain request: GET or POST, HTTP/1.1, a JSON body of known length or none. */
+/** Head of a plain request, the kind parsed in this file: GET or POST, HTTP/1.1, with a JSON body of known length or none. */
 export interface PlainRequest {
   method: string;
   path: string;
-  /** Bytes of the body; 0 if there is none. */
+  /** Length of the body in bytes; 0 if there is none. */
   contentLength: number;
-  /** The sender wants the connection closed after the response. */
+  /** Whether the sender wants the connection closed after the response. */
   closeConnection: boolean;
 }
 
-/** Reads a head; null if it holds anything that a plain request does not, and is thus for a general server to read. */
+/** Parses a head; null if it contains anything that a plain request does not, in which case a general server must parse it. */
 export function parsePlainHead(text: string): PlainRequest | null {
   const lines = text.split('\r\n');
   const [, method, path] = REQUEST_LINE_PATTERN.exec(lines[0] ?? '') ?? [];
@@ -47,14 +47,14 @@
   return request;
 }
 
-/** Keeps the heads that were parsed: a worker sends the same few all day, and parsing is a good part of a heartbeat's cost. */
+/** Caches parsed heads, since a worker always sends the same few and parsing is a large part of the cost of a heartbeat. */
 export class PlainHeadCache {
   private readonly cached = new Map<string, PlainRequest>();
 
-  /** As `parsePlainHead`. The result may be shared with other calls and must not be changed. */
+  /** Same as `parsePlainHead`. The result may be shared with other calls and must not be modified. */
   parse(text: string): PlainRequest | null {
-    const known = this.cached.get(text);
-    if (known) return known;
+    const cachedRequest = this.cached.get(text);
+    if (cachedRequest) return cachedRequest;
     const request = parsePlainHead(text);
     if (request?.method === 'POST' && text.length <= MAX_CACHED_HEAD_LENGTH) {
       if (this.cached.size >= MAX_CACHED_HEADS) this.cached.clear();
--- a/src/transport/process-health.ts
+++ b/src/transport/process-health.ts
@@ -2,24 +2,24 @@
 import { schedulePeriodic, type Clock } from './clock';
 
 const EVENT_LOOP_CHECK_INTERVAL_MS = 1000;
-/** A timer that fires later than this was held up: by this process's own work, or by a processor that it did not get. */
+/** A timer that fires later than this was held up by the process's own work or by a lack of processor time. */
 const EVENT_LOOP_DELAY_LIMIT_MS = 100;
 const BYTES_PER_MB = 1024 * 1024;
 
-/** The state of the process, shown as it is in `GET /status`. */
+/** Resource use of the process, included unchanged in `GET /status`. */
 export interface HealthSummary {
   memory: { residentMb: number; heapMb: number; externalMb: number };
   collections: { count: number; totalMs: number; longestMs: number };
-  /** How late a timer fired that is due once a second. */
+  /** How late a timer that is due once a second has fired, and how often it was held up. */
   eventLoop: { lastDelayMs: number; longestDelayMs: number; heldUp: number };
 }
 
-/** Memory, garbage collection and delay of the event loop of this process, for the operators. */
+/** Measures memory, garbage collection and event loop delay of this process, for the operators. */
 export class ProcessHealth {
   private readonly collections = { count: 0, totalMs: 0, longestMs: 0 };
   private readonly eventLoop = { lastDelayMs: 0, longestDelayMs: 0, heldUp: 0 };
 
-  /** Begins to observe; the returned function ends that. */
+  /** Starts to measure. The returned function stops that. */
   startMonitoring(clock: Clock): () => void {
     const observer = new PerformanceObserver((list) => {
       for (const { duration } of list.getEntries()) this.recordCollection(duration);
@@ -37,14 +37,14 @@
     };
   }
 
-  /** A garbage collection took `ms`. */
+  /** Records a garbage collection that took `ms`. */
   recordCollection(ms: number): void {
     this.collections.count++;
     this.collections.totalMs += ms;
     this.collections.longestMs = Math.max(this.collections.longestMs, ms);
   }
 
-  /** A timer fired `lateMs` after it was due; less than nothing counts as in time. */
+  /** Records that a timer fired `lateMs` after it was due; a negative value counts as 0. */
   recordTimerDelay(lateMs: number): void {
     const delayMs = Math.max(0, lateMs);
     this.eventLoop.lastDelayMs = delayMs;
@@ -62,7 +62,7 @@
   }
 }
 
-/** Megabytes to one decimal place. */
+/** Converts bytes to megabytes, rounded to one decimal place. */
 function toMb(bytes: number): number {
   return Math.round((10 * bytes) / BYTES_PER_MB) / 10;
 }
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,9 +1,9 @@
-/** A token bucket. Time is passed in, in milliseconds of one clock, so the class holds no timer. */
+/** A token bucket. Callers pass the time, in milliseconds of one clock, so the class needs no timer. */
 export class RateLimiter {
   private tokens: number;
   private lastRefillAt = Number.NEGATIVE_INFINITY;
 
-  /** `ratePerS` tokens come each second; the bucket holds `burst` and starts full. */
+  /** `ratePerS` tokens are added each second. The bucket holds at most `burst` tokens and starts full. */
   constructor(
     readonly ratePerS: number,
     readonly burst: number,
@@ -12,8 +12,8 @@
   }
 
   /**
-   * Takes `count` tokens if that leaves at least `reserve` in the bucket; false if it does not. More than a full bucket is
-   * never there: a request for more is granted when the bucket is full, and leaves a debt.
+   * Takes `count` tokens if that leaves at least `reserve` in the bucket; otherwise takes none and returns false. A request
+   * for more than a full bucket is granted when the bucket is full, and may leave a negative balance.
    */
   tryTake(now: number, count: number, reserve = 0): boolean {
     this.refill(now);
@@ -22,7 +22,7 @@
     return true;
   }
 
-  /** Empties the bucket: the other side has said that requests come too fast. */
+  /** Empties the bucket, after the server has answered that requests arrive too fast. */
   drain(now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.tokens, 0);
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -6,27 +6,27 @@
 /** A response to a plain request. */
 export interface PlainResponse {
   status: number;
-  /** JSON. */
+  /** JSON text. */
   body: string;
-  /** Seconds after which the sender may come back. */
+  /** Seconds after which the sender may retry. */
   retryAfterS?: number | undefined;
 }
 
-/** Takes the body of a request and calls `respond` exactly once, at once or later. */
-export type PlainHandler = (body: string, response: (response: PlainResponse) => void) => void;
+/** Handles the body of a request and calls `respond` exactly once, immediately or later. */
+export type PlainHandler = (body: string, respond: (response: PlainResponse) => void) => void;
 
 /** How a plain request is handled. */
 export type PlainRoute =
-  /** In turn, the newest request first (see NewestFirstQueue). */
+  /** Queued, newest request first (see NewestFirstQueue). */
   | { kind: 'queued'; handle: PlainHandler }
-  /** As soon as it is read. */
+  /** Handled as soon as it is read. */
   | { kind: 'direct'; handle: PlainHandler };
 
-/** Who handles the requests of a server. */
+/** Handlers and limits of a request server. */
 export interface RequestServerOptions {
-  /** Null: the general server handles it. */
+  /** Returns the route of a plain request, or null if the fallback server handles it. */
   route: (request: PlainRequest) => PlainRoute | null;
-  /** Serves whatever is not plain. Called only when such a request comes, as loading it would delay the start. */
+  /** Returns the general HTTP server for all other requests; called when one comes, as loading it would delay the start. */
   fallbackServer: () => Promise<Server>;
   maxBodyBytes: number;
 }
@@ -45,15 +45,16 @@
 ]);
 
 /**
- * Connections that may wait to be accepted. They are accepted in their order, so if there were more of them than a second's
- * work, each would be given up by the time it is its turn; one that finds no place costs nothing and comes again.
+ * Size of the listen backlog. Connections are accepted in order of arrival, so with a backlog of more than a second's work
+ * every sender would have given up before its connection is accepted. A connection that finds the backlog full costs nothing
+ * and is tried again.
  */
 export const MAX_PENDING_CONNECTIONS = 128;
 
 /**
- * A server for one port and all callers. What comes all the time, heartbeats of workers, submissions and status queries of
- * users, is plain and read here, straight from the socket, at a small part of the cost of a general HTTP server. A connection
- * whose next request is anything else is handed to the general server with what was read of it.
+ * Creates the server for one port and all callers. The frequent requests (heartbeats of workers, submissions and status
+ * queries of users) are plain and are parsed here directly from the socket, at a small part of the cost of a general HTTP
+ * server. A connection whose next request is anything else is handed to the fallback server, with the bytes read so far.
  */
 export function createRequestServer(options: RequestServerOptions): NetServer {
   const queue = new NewestFirstQueue(() => performance.now(), setImmediate);
@@ -64,14 +65,14 @@
   });
 }
 
-/** What the connections of one server share. */
+/** State shared by the connections of one server. */
 interface SharedState {
   options: RequestServerOptions;
   queue: NewestFirstQueue;
   heads: PlainHeadCache;
 }
 
-/** One caller's connection, with at most one request being handled. */
+/** A connection of one caller, with at most one request being handled. */
 class PlainConnection {
   private buffered: Buffer = Buffer.alloc(0);
   private handling = false;
@@ -107,10 +108,10 @@
       return this.handToFallbackServer();
     const bodyStart = headEnd + HEAD_END.length;
     const bodyEnd = bodyStart + request.contentLength;
-    // Bodies mostly come with their heads; otherwise the head is read again once the rest is here.
+    // Most bodies arrive together with their heads; otherwise the head is parsed again when more bytes arrive.
     if (this.buffered.length < bodyEnd) return;
     const body = this.buffered.toString('utf8', bodyStart, bodyEnd);
-    // The general server says in its own words what is wrong with the body.
+    // The fallback server answers a malformed body with its own error message.
     if (route.kind === 'direct' && request.contentLength > 0 && !isJson(body))
       return this.handToFallbackServer();
     this.buffered = this.buffered.subarray(bodyEnd);
@@ -139,15 +140,15 @@
 
   private handToFallbackServer(): void {
     const { socket } = this;
-    // Nothing more is read meanwhile.
+    // No further request is read meanwhile.
     this.handling = true;
     socket.off('data', this.onData);
     socket.pause();
-    void this.shared.options.fallbackServer().then((general) => {
+    void this.shared.options.fallbackServer().then((server) => {
       socket.off('error', this.onError);
       if (socket.destroyed) return;
       if (this.buffered.length > 0) socket.unshift(this.buffered);
-      general.emit('connection', socket);
+      server.emit('connection', socket);
       socket.resume();
     });
   }
