--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -16,8 +16,8 @@
   'controller',
 ];
 
-/** Forbids imports from a lower folder of an ordered list to a higher one, and to the folders above them all. */
-function importsPointDown(root, folders, above = []) {
+/** Forbids imports from a folder of an ordered list into a higher one, and into the folders above the whole list. */
+function forbidUpwardImports(root, folders, above = []) {
   return folders.map((folder, index) => ({
     files: [`${root}/${folder}/**/*.ts`],
     rules: {
@@ -26,7 +26,7 @@
         {
           patterns: [...folders.slice(index + 1), ...above].map((higher) => ({
             group: [`**/${higher}/*`],
-            message: `${folder} lies below ${higher}`,
+            message: `${folder} must not import from ${higher}, which is a higher folder`,
           })),
         },
       ],
@@ -34,7 +34,7 @@
   }));
 }
 
-// A package knows nothing of the service, nor of other packages' insides: it declares what it needs of them.
+// A package depends neither on the service nor on the internals of other packages: it declares what it needs of them.
 const packageRules = {
   files: ['packages/*/src/**/*.ts', 'packages/*/test/**/*.ts'],
   languageOptions: {
@@ -47,14 +47,19 @@
     'no-restricted-imports': [
       'error',
       {
-        patterns: [{ group: ['../../*', '../../../*'], message: 'a package imports nothing of the service' }],
+        patterns: [
+          {
+            group: ['../../*', '../../../*'],
+            message: 'a package must not import from the service or from the internals of another package',
+          },
+        ],
       },
     ],
   },
 };
 
 const typeChecked = {
-  // node:test runs what `test` returns by itself.
+  // node:test itself awaits the promise that `test` returns.
   '@typescript-eslint/no-floating-promises': [
     'error',
     { allowForKnownSafeCalls: [{ from: 'package', package: 'node:test', name: 'test' }] },
@@ -72,7 +77,7 @@
   { selector: 'import', format: ['camelCase', 'PascalCase'] },
   { selector: 'typeLike', format: ['PascalCase'] },
   { selector: 'enumMember', format: ['PascalCase'] },
-  // Names that other programs set: headers, environment variables, names of cases in tables.
+  // Names defined by other programs, such as headers and environment variables, and names of cases in tables.
   {
     selector: ['objectLiteralProperty', 'objectLiteralMethod', 'typeProperty'],
     modifiers: ['requiresQuotes'],
@@ -80,7 +85,7 @@
   },
 ];
 
-/** Where messages, settings and stored values are read and written: the form of their keys is set elsewhere. */
+/** For files that read and write messages, settings and stored values, whose key names are defined elsewhere. */
 const serializedNaming = [
   ...naming,
   {
@@ -90,20 +95,20 @@
   { selector: ['variable', 'parameter'], modifiers: ['destructured'], format: null },
 ];
 
-// Themed names of the users' protocol and of older stored values: the codecs of src/protocol map them, once.
+// Names of the public protocol and of older stored values. Only the codecs of src/protocol map them to internal names.
 const WIRE_NAMES =
   '/^(velodromes?|baton|permit|yards?|loaners|recall_s|pieces?|dispatcher|wind_down_s|how_many|hire_order|ledger_rev)$/';
-const wireNamesAreMapped = ['Identifier[name=', 'Literal[value='].map((selector) => ({
+const forbidWireNames = ['Identifier[name=', 'Literal[value='].map((selector) => ({
   selector: `${selector}${WIRE_NAMES}]`,
-  message: 'names of the wire stand in src/protocol alone',
+  message: 'wire names must be used only in src/protocol',
 }));
 
 export default tseslint.config(
   { ignores: ['target/**', 'target-test/**', 'node_modules/**', 'packages/*/index.js'] },
   js.configs.recommended,
   ...tseslint.configs.strict,
-  ...importsPointDown('src', LAYERS),
-  ...importsPointDown('src/coordination', COORDINATION_FOLDERS, ['startup', 'cli']),
+  ...forbidUpwardImports('src', LAYERS),
+  ...forbidUpwardImports('src/coordination', COORDINATION_FOLDERS, ['startup', 'cli']),
   { files: ['**/*.mjs'], languageOptions: { globals: { process: 'readonly', console: 'readonly' } } },
   {
     files: ['src/**/*.ts', 'test/**/*.ts', 'tools/**/*.ts'],
@@ -131,7 +136,7 @@
   {
     files: ['src/**/*.ts', 'packages/*/src/**/*.ts'],
     ignores: ['src/protocol/**'],
-    rules: { 'no-restricted-syntax': ['error', ...wireNamesAreMapped] },
+    rules: { 'no-restricted-syntax': ['error', ...forbidWireNames] },
   },
   {
     files: ['src/**/*.ts', 'packages/*/src/**/*.ts', 'tools/**/*.ts'],
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -1,12 +1,12 @@
 /**
- * Plays the same virtual days with load balancing off and on, over seeds, and writes what they came to as one self-contained
- * HTML report. CONTRIBUTING.md has the recipe.
+ * Simulates the same days with load balancing off and on, for several seeds, and writes the results as one self-contained
+ * HTML report. CONTRIBUTING.md describes how to run it.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
 import { Command } from 'commander';
 import { playBalanceDay } from '../../test/standin/balance-day';
-import { planningCosts } from './planning-cost';
+import { measurePlanningCosts } from './planning-cost';
 import { renderReport } from './report';
 import { VARIANTS, type VariantDays } from './variants';
 
@@ -18,9 +18,9 @@
 }
 
 async function run({ seeds, machines, minutes, out }: Options): Promise<void> {
-  const compared: VariantDays[] = VARIANTS.map((variant) => ({ variant, days: [] }));
+  const results: VariantDays[] = VARIANTS.map((variant) => ({ variant, days: [] }));
   for (let seed = 1; seed <= Number(seeds); seed++) {
-    for (const { variant, days } of compared) {
+    for (const { variant, days } of results) {
       const { balancing } = variant;
       const day = await playBalanceDay({
         ...{ seed, balancing, machines: Number(machines), minutes: Number(minutes), crashAtMs: null },
@@ -30,7 +30,7 @@
       console.log(`seed ${seed}, ${variant.name}: ${day.finished} of ${day.jobs} jobs`);
     }
   }
-  const report = renderReport(compared, planningCosts());
+  const report = renderReport(results, measurePlanningCosts());
   for (const line of report.lines) console.log(line);
   mkdirSync(dirname(out), { recursive: true });
   writeFileSync(out, report.html);
--- a/tools/balance/planning-cost.ts
+++ b/tools/balance/planning-cost.ts
@@ -9,7 +9,7 @@
   type PendingTasks,
 } from '@heathbridge/load-balancer';
 
-/** What one round of planning takes, by the size of the partition. */
+/** The time that one planning round takes for a partition of this size. */
 export interface PlanningCost {
   machines: number;
   tasks: number;
@@ -25,7 +25,7 @@
 const HEARTBEAT_INTERVAL_MS = 2000;
 const LEASE_MS = 12_000;
 
-const NO_MOVES: MoveExecutor = {
+const REJECTING_EXECUTOR: MoveExecutor = {
   reserve: () => false,
   release: () => undefined,
   stop: () => undefined,
@@ -35,17 +35,17 @@
   releaseJobReservation: () => undefined,
 };
 
-function jobView(job: string, priority: number, cpus: number): JobSnapshot {
+function jobSnapshot(job: string, priority: number, cpus: number): JobSnapshot {
   return {
     ...{ job, team: 'north', workload: 'w', priority, resources: { cpus, accelerators: 0, memoryGb: 1 } },
     ...{ image: `image-${job}`, imageGb: 1, expectedS: 200, checkpointIntervalS: 10, checkpointDurationS: 1 },
   };
 }
 
-/** Every machine has a little room, and large jobs wait that fit nowhere: the dearest case that there is. */
+/** A partition with a little free capacity on each machine and pending large jobs that fit nowhere: the most expensive case. */
 function fragmentedPartition(machines: number, tasksPerMachine: number): PartitionSnapshot {
   const cpus = (MACHINE_CPUS - 2) / tasksPerMachine;
-  const spec = jobView('small', 3, cpus);
+  const spec = jobSnapshot('small', 3, cpus);
   const fleet: MachineSnapshot[] = [];
   const tasks = new Map<string, TaskSnapshot[]>();
   for (let i = 0; i < machines; i++) {
@@ -74,7 +74,12 @@
     });
   }
   const pendingJobs: PendingTasks[] = Array.from({ length: PENDING_JOB_COUNT }, (_, i) => ({
-    ...{ spec: jobView(`large-${i}`, 1, MACHINE_CPUS), taskCount: 50, pendingS: 30, withinGuarantee: false },
+    ...{
+      spec: jobSnapshot(`large-${i}`, 1, MACHINE_CPUS),
+      taskCount: 50,
+      pendingS: 30,
+      withinGuarantee: false,
+    },
   }));
   return {
     epoch: 1,
@@ -90,28 +95,28 @@
   return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 }
 
-function timed(action: () => void): number {
-  const started = performance.now();
+function elapsedMs(action: () => void): number {
+  const startedAt = performance.now();
   action();
-  return performance.now() - started;
+  return performance.now() - startedAt;
 }
 
-/** Measures rounds of planning in which nothing comes of the plans, so that each round is the same. */
-export function planningCosts(): PlanningCost[] {
+/** Measures planning rounds whose moves are all rejected, so that every round is the same. */
+export function measurePlanningCosts(): PlanningCost[] {
   const costs: PlanningCost[] = [];
   for (const machines of MACHINE_COUNTS) {
     for (const tasksPerMachine of TASKS_PER_MACHINE_COUNTS) {
       const balancer = new PartitionBalancer({
         ...{ partition: 'p0', priorityCount: 4, settings: balancerSettingsSchema.parse({}) },
-        ...{ snapshot: fragmentedPartition(machines, tasksPerMachine), executor: NO_MOVES },
+        ...{ snapshot: fragmentedPartition(machines, tasksPerMachine), executor: REJECTING_EXECUTOR },
         timeouts: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS, leaseMs: LEASE_MS },
       });
       const rounds = Array.from({ length: ROUND_COUNT }, (_, i) => i);
       costs.push({
         machines,
         tasks: machines * tasksPerMachine,
-        planMs: median(rounds.map((i) => timed(() => balancer.plan(i * HEARTBEAT_INTERVAL_MS)))),
-        summaryMs: median(rounds.map((i) => timed(() => balancer.summary(i * HEARTBEAT_INTERVAL_MS)))),
+        planMs: median(rounds.map((i) => elapsedMs(() => balancer.plan(i * HEARTBEAT_INTERVAL_MS)))),
+        summaryMs: median(rounds.map((i) => elapsedMs(() => balancer.summary(i * HEARTBEAT_INTERVAL_MS)))),
       });
     }
   }
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -3,7 +3,7 @@
 import { type PlanningCost } from './planning-cost';
 import { type VariantDays } from './variants';
 
-/** A report, and its figures as lines of text. */
+/** An HTML report, and its figures as lines of text. */
 export interface Report {
   html: string;
   lines: string[];
@@ -15,30 +15,30 @@
 
 interface Figure {
   name: string;
-  of: (day: BalanceDayResult) => number;
+  measure: (day: BalanceDayResult) => number;
 }
 
 const FIGURES: Figure[] = [
-  { name: 'urgent wait p50, s', of: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.5) },
-  { name: 'urgent wait p95, s', of: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.95) },
-  { name: 'idle wait p50, s', of: (day) => quantile(day.startDelays.get('idle') ?? [], 0.5) },
-  { name: 'idle wait p95, s', of: (day) => quantile(day.startDelays.get('idle') ?? [], 0.95) },
-  { name: 'spread (CV of CPUs in use)', of: (day) => mean(day.spread.map(({ value }) => value)) },
-  { name: 'task moves made', of: (day) => day.moves.completed },
-  { name: 'task moves given up', of: (day) => day.moves.abandoned },
-  { name: 'machine moves', of: (day) => day.machineMoves.allowed },
-  { name: 'work lost, s', of: (day) => day.repeatedWorkS },
-  { name: 'jobs finished', of: (day) => day.finished },
-  { name: 'processor time of the whole day, ms', of: (day) => day.cpuMs },
+  { name: 'urgent wait p50, s', measure: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.5) },
+  { name: 'urgent wait p95, s', measure: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.95) },
+  { name: 'idle wait p50, s', measure: (day) => quantile(day.startDelays.get('idle') ?? [], 0.5) },
+  { name: 'idle wait p95, s', measure: (day) => quantile(day.startDelays.get('idle') ?? [], 0.95) },
+  { name: 'spread (CV of CPUs in use)', measure: (day) => mean(day.spread.map(({ value }) => value)) },
+  { name: 'task moves made', measure: (day) => day.moves.completed },
+  { name: 'task moves given up', measure: (day) => day.moves.abandoned },
+  { name: 'machine moves', measure: (day) => day.machineMoves.allowed },
+  { name: 'work lost, s', measure: (day) => day.repeatedWorkS },
+  { name: 'jobs finished', measure: (day) => day.finished },
+  { name: 'processor time of the whole day, ms', measure: (day) => day.cpuMs },
 ];
 
 function mean(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 }
 
-function deviation(values: readonly number[]): number {
-  const m = mean(values);
-  return Math.sqrt(mean(values.map((value) => (value - m) ** 2)));
+function standardDeviation(values: readonly number[]): number {
+  const average = mean(values);
+  return Math.sqrt(mean(values.map((value) => (value - average) ** 2)));
 }
 
 function plot(title: string, option: echarts.EChartsOption): string {
@@ -59,24 +59,24 @@
   return svg;
 }
 
-function waitsPlot(compared: readonly VariantDays[], priority: string): string {
-  const shares = [0.5, 0.75, 0.9, 0.95, 0.99];
+function startDelayPlot(results: readonly VariantDays[], priority: string): string {
+  const quantiles = [0.5, 0.75, 0.9, 0.95, 0.99];
   return plot(`Seconds until a task of '${priority}' begins`, {
-    xAxis: { type: 'category', data: shares.map((share) => `p${share * 100}`) },
+    xAxis: { type: 'category', data: quantiles.map((fraction) => `p${fraction * 100}`) },
     yAxis: { type: 'value', name: 's' },
-    series: compared.map(({ variant, days }) => {
+    series: results.map(({ variant, days }) => {
       const waits = days.flatMap((day) => day.startDelays.get(priority) ?? []);
-      const data = shares.map((share) => Math.round(quantile(waits, share) * 10) / 10);
+      const data = quantiles.map((fraction) => Math.round(quantile(waits, fraction) * 10) / 10);
       return { name: variant.name, type: 'bar' as const, data };
     }),
   });
 }
 
-function spreadPlot(compared: readonly VariantDays[]): string {
+function spreadPlot(results: readonly VariantDays[]): string {
   return plot('Spread over time: coefficient of variation of CPUs in use, mean of the seeds', {
     xAxis: { type: 'value', name: 's' },
     yAxis: { type: 'value' },
-    series: compared.map(({ variant, days }) => {
+    series: results.map(({ variant, days }) => {
       const bins = new Map<number, number[]>();
       for (const { atMs, value } of days.flatMap((day) => day.spread)) {
         const bin = Math.floor(atMs / SPREAD_BIN_WIDTH_MS);
@@ -106,14 +106,14 @@
   });
 }
 
-/** Renders what was measured; the plots are SVG in the page itself. */
-export function renderReport(compared: readonly VariantDays[], costs: readonly PlanningCost[]): Report {
-  const header = ['figure', ...compared.map(({ variant }) => variant.name)];
-  const rows = FIGURES.map(({ name, of }) => [
+/** Renders the results. The plots are inline SVG. */
+export function renderReport(results: readonly VariantDays[], costs: readonly PlanningCost[]): Report {
+  const header = ['figure', ...results.map(({ variant }) => variant.name)];
+  const rows = FIGURES.map(({ name, measure }) => [
     name,
-    ...compared.map(({ days }) => {
-      const values = days.map(of);
-      return `${mean(values).toFixed(2)} ± ${deviation(values).toFixed(2)}`;
+    ...results.map(({ days }) => {
+      const values = days.map(measure);
+      return `${mean(values).toFixed(2)} ± ${standardDeviation(values).toFixed(2)}`;
     }),
   ]);
   const costHeader = ['machines', 'tasks', 'planning, ms', 'summary, ms'];
@@ -121,12 +121,12 @@
     ...[`${machines}`, `${tasks}`, planMs.toFixed(1), summaryMs.toFixed(1)],
   ]);
   const plots = [
-    spreadPlot(compared),
-    waitsPlot(compared, 'urgent'),
-    waitsPlot(compared, 'idle'),
+    spreadPlot(results),
+    startDelayPlot(results, 'urgent'),
+    startDelayPlot(results, 'idle'),
     costPlot(costs),
   ];
-  const seeds = compared[0]?.days.length ?? 0;
+  const seeds = results[0]?.days.length ?? 0;
   return {
     lines: [header, ...rows, costHeader, ...costRows].map((cells) => `| ${cells.join(' | ')} |`),
     html: `<!doctype html><html lang="en"><meta charset="utf-8"><title>Load balancing off and on</title>
@@ -138,8 +138,8 @@
 }
 
 function table(header: readonly string[], rows: readonly (readonly string[])[]): string {
-  const line = (cells: readonly string[], tag: string): string =>
+  const rowHtml = (cells: readonly string[], tag: string): string =>
     `<tr>${cells.map((cell) => `<${tag}>${cell}</${tag}>`).join('')}</tr>`;
-  const body = rows.map((row) => line(row, 'td')).join('\n');
-  return `<table border="1" cellpadding="4" style="border-collapse: collapse">${line(header, 'th')}\n${body}</table>\n`;
+  const body = rows.map((row) => rowHtml(row, 'td')).join('\n');
+  return `<table border="1" cellpadding="4" style="border-collapse: collapse">${rowHtml(header, 'th')}\n${body}</table>\n`;
 }
--- a/tools/balance/variants.ts
+++ b/tools/balance/variants.ts
@@ -1,14 +1,14 @@
-/** What the comparison of days with and without load balancing plays. */
+/** The variants that the comparison of days with and without load balancing simulates. */
 import { type BalanceDayResult } from '../../test/standin/balance-day';
 
-/** A way of running the service that is compared. */
+/** A configuration of the service in the comparison. */
 export interface Variant {
   name: string;
-  /** Settings of the balancer; null: it is off. */
+  /** Settings of the balancer; null if it is off. */
   balancing: object | null;
 }
 
-/** The days of one variant, one a seed. */
+/** The simulated days of one variant, one per seed. */
 export interface VariantDays {
   variant: Variant;
   days: BalanceDayResult[];
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,5 +1,5 @@
-// Packs the program into a few files and keeps V8's code for the main one beside it. A controller has a small share of a
-// core: reading and compiling some hundred files would cost it seconds at every start.
+// Bundles the program into a few files and writes a V8 code cache for the main one. A controller has a small share of a
+// core: reading and compiling several hundred files would take seconds at every start.
 import { build } from 'esbuild';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -7,77 +7,84 @@
 import { Script } from 'node:vm';
 
 const root = join(import.meta.dirname, '..');
-// What a start does not need is kept out of the main file, to be read only when it is asked for.
-const libraries = ['fengari', 'hdr-histogram-js'];
-const modules = {
+// Libraries and modules that a start does not need. They are kept out of the main file and read on first use.
+const lazyLibraries = ['fengari', 'hdr-histogram-js'];
+const lazyModules = {
   './coordination/requests/express-app': 'express-app',
   './cli/command-line': 'command-line',
   './startup/optional-features': 'optional-features',
 };
-const common = {
+const commonOptions = {
   bundle: true,
   minify: true,
   keepNames: true,
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // The program runs as a script of `vm`, which knows no dynamic import: it becomes a late `require`.
+  // The program runs as a script of `vm`, which does not support dynamic import: it becomes a `require` in the same place.
   supported: { 'dynamic-import': false },
   logLevel: 'error',
-  // Modules that say what they export, so that what is not used is left out: of rxjs, say, all but a tenth.
+  // Prefers ES modules, whose declared exports let unused code be left out: all but a tenth of rxjs, for example.
   mainFields: ['module', 'main'],
   alias: { rxjs: join(root, 'node_modules/rxjs/dist/esm/index.js'), avsc: 'avsc/lib/types' },
 };
 
-const keepApart = {
-  name: 'keep-apart',
+const separateLazyFiles = {
+  name: 'separate-lazy-files',
   setup(build) {
-    const filter = new RegExp(`^(${libraries.join('|')})$|/(express-app|command-line|optional-features)$`);
+    const filter = new RegExp(
+      `^(${lazyLibraries.join('|')})$|/(express-app|command-line|optional-features)$`,
+    );
     build.onResolve({ filter }, ({ path, kind, importer }) => {
-      if (libraries.includes(path)) return { path: `./${path}.js`, external: true };
+      if (lazyLibraries.includes(path)) return { path: `./${path}.js`, external: true };
       const name = path.split('/').pop();
-      const asked = kind === 'dynamic-import' && Object.values(modules).includes(name);
-      return asked && importer !== '' ? { path: `./${name}.js`, external: true } : undefined;
+      const isLazy = kind === 'dynamic-import' && Object.values(lazyModules).includes(name);
+      return isLazy && importer !== '' ? { path: `./${name}.js`, external: true } : undefined;
     });
   },
 };
 
-// Texts in forty languages and tables of character sets that no caller uses make up half of what would be read.
-const leaveOut = {
-  name: 'leave-out',
+// Texts in forty languages and character set tables that no caller uses would be half of the code to read.
+const stubUnusedFiles = {
+  name: 'stub-unused-files',
   setup(build) {
-    // Written in the form of the module that it stands for: `module.exports` in the other one is the whole file's.
-    const empty = (filter, contents) => build.onLoad({ filter }, () => ({ contents, loader: 'js' }));
-    empty(/zod.v4.locales.index\.m?js$/, 'export {}');
-    empty(/zod.v4.locales.index\.cjs$/, 'module.exports = {}');
-    empty(/iconv-lite.encodings.(tables.*|sbcs-data.*|dbcs-data.*)$/, 'module.exports = {}');
-    // Of two thousand media types one is spoken; sorting them all takes longer than anything of ours.
-    const types = { 'application/json': { source: 'iana', charset: 'UTF-8', extensions: ['json'] } };
+    // A stub has the module format of the file that it replaces: in an ES module, `module.exports` is that of the bundle.
+    const stub = (filter, contents) => build.onLoad({ filter }, () => ({ contents, loader: 'js' }));
+    stub(/zod.v4.locales.index\.m?js$/, 'export {}');
+    stub(/zod.v4.locales.index\.cjs$/, 'module.exports = {}');
+    stub(/iconv-lite.encodings.(tables.*|sbcs-data.*|dbcs-data.*)$/, 'module.exports = {}');
+    // Of two thousand media types one is used; sorting them all would take longer than any of the program's own code.
+    const mediaTypes = { 'application/json': { source: 'iana', charset: 'UTF-8', extensions: ['json'] } };
     build.onLoad({ filter: /mime-db.db\.json$/ }, () => ({
-      contents: JSON.stringify(types),
+      contents: JSON.stringify(mediaTypes),
       loader: 'json',
     }));
   },
 };
 
-for (const name of libraries) {
+for (const name of lazyLibraries) {
   const stdin = { contents: `module.exports = require('${name}')`, resolveDir: root };
-  await build({ ...common, stdin, outfile: `target/${name}.js` });
+  await build({ ...commonOptions, stdin, outfile: `target/${name}.js` });
 }
-for (const [path, name] of Object.entries(modules)) {
+for (const [path, name] of Object.entries(lazyModules)) {
   const entryPoints = [join(root, 'src', `${path}.ts`)];
-  await build({ ...common, plugins: [keepApart, leaveOut], entryPoints, outfile: `target/${name}.js` });
+  await build({
+    ...commonOptions,
+    plugins: [separateLazyFiles, stubUnusedFiles],
+    entryPoints,
+    outfile: `target/${name}.js`,
+  });
 }
 await build({
-  ...common,
-  plugins: [keepApart, leaveOut],
+  ...commonOptions,
+  plugins: [separateLazyFiles, stubUnusedFiles],
   entryPoints: [join(root, 'src/main.ts')],
   outfile: 'target/bundle.js',
   banner: { js: '(function (exports, require, module, __filename, __dirname) {' },
   footer: { js: '})' },
 });
 
-// Running it once, with no work to do, makes V8 compile what every start needs.
+// Running the bundle once, with no work to do, makes V8 compile the functions that every start needs.
 const source = readFileSync('target/bundle.js', 'utf8');
 const script = new Script(source, { filename: 'bundle.js' });
 process.argv = [process.argv[0], 'heathbridge', '--warm-up'];
--- a/tools/load/attribution.ts
+++ b/tools/load/attribution.ts
@@ -1,7 +1,7 @@
-/** Sums a processor profile of a controller by cause. The rules name functions and files of the service as compiled. */
+/** Sums a CPU profile of a controller by cause. The patterns match functions and files of the compiled service. */
 import { type Profiler } from 'node:inspector';
 
-/** Why processor time was spent. The first pattern that a sample's stack matches, from the innermost frame out, names it. */
+/** Causes of processor time. A sample has the cause of the first pattern that matches its stack, from the innermost frame out. */
 const CAUSES: readonly { cause: string; frames: RegExp }[] = [
   { cause: 'garbage collection', frames: /^\(garbage collector\)/ },
   { cause: 'recorder', frames: /recorder\.js|node:inspector|inspector_async/ },
@@ -56,10 +56,10 @@
   { cause: 'event loop and timers', frames: /\(program\)|node:internal\/(timers|process)/ },
 ];
 
-/** A heartbeat is a message of the partition actor: its stack also holds the partition's frames. */
+/** Frames of heartbeats. These are messages to the partition actor, so their stacks also contain the partition's frames. */
 const HEARTBEAT_FRAME =
   /heartbeat-handler\.js|handleHeartbeat .*partition-core\.js|(applyHeartbeat|takeCommands|isNewer) .*machine\.js/;
-const PLACEMENT = CAUSES.find((c) => c.cause === 'placement');
+const PLACEMENT_RULE = CAUSES.find((c) => c.cause === 'placement');
 
 type Node = Profiler.ProfileNode;
 
@@ -69,18 +69,18 @@
 
 function causeOf(stack: readonly string[]): string {
   if (stack.some((frame) => HEARTBEAT_FRAME.test(frame)))
-    return stack.some((frame) => PLACEMENT?.frames.test(frame)) ? 'placement' : 'heartbeats';
+    return stack.some((frame) => PLACEMENT_RULE?.frames.test(frame)) ? 'placement' : 'heartbeats';
   for (const frame of stack) {
-    const found = CAUSES.find(({ frames }) => frames.test(frame));
-    if (found) return found.cause;
+    const rule = CAUSES.find(({ frames }) => frames.test(frame));
+    if (rule) return rule.cause;
   }
   return 'other';
 }
 
-/** Milliseconds of processor time by cause, idle time left out; and the functions that took most by themselves. */
+/** Returns milliseconds of processor time by cause, without idle time, and the functions by self time, longest first. */
 export function attribute(profile: Profiler.Profile): {
   causes: Map<string, number>;
-  hottest: [string, number][];
+  topFunctions: [string, number][];
 } {
   const nodes = new Map(profile.nodes.map((node) => [node.id, node]));
   const parents = new Map<number, number>();
@@ -92,8 +92,8 @@
   const functions = new Map<string, number>();
   for (const [id, us] of selfUs) {
     const stack: string[] = [];
-    for (let at: number | undefined = id; at !== undefined; at = parents.get(at))
-      stack.push(frameText(nodes.get(at) as Node));
+    for (let nodeId: number | undefined = id; nodeId !== undefined; nodeId = parents.get(nodeId))
+      stack.push(frameText(nodes.get(nodeId) as Node));
     const ownFrame = stack[0] ?? '';
     if (ownFrame.startsWith('(idle)')) continue;
     const cause = causeOf(stack);
@@ -101,5 +101,5 @@
     functions.set(ownFrame, (functions.get(ownFrame) ?? 0) + us / 1000);
   }
   const byTime = (a: [string, number], b: [string, number]): number => b[1] - a[1];
-  return { causes: new Map([...causes].sort(byTime)), hottest: [...functions].sort(byTime) };
+  return { causes: new Map([...causes].sort(byTime)), topFunctions: [...functions].sort(byTime) };
 }
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -1,6 +1,6 @@
 /**
- * Puts real controllers under the load of a fleet on the loopback interface, records where their processor time and memory
- * go, and prints it by cause. CONTRIBUTING.md has the recipe.
+ * Puts real controllers under the load of a simulated fleet on the loopback interface, records their processor time and
+ * memory, and prints the processor time by cause. CONTRIBUTING.md describes how to run it.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
@@ -30,7 +30,7 @@
 const RECORDING_WRITE_MS = 4000;
 const SHOWN_FUNCTION_COUNT = 25;
 const TEAMS = ['north', 'south', 'west', 'east'];
-const MACHINE_KIND = { label: 'small', cpus: 4, memory: 16 };
+const MACHINE_TYPE = { label: 'small', cpus: 4, memory: 16 };
 
 interface Options {
   controllers: string;
@@ -55,7 +55,7 @@
   const addressOf = (i: number, offset: number): string =>
     `127.0.0.1:${FIRST_CONTROLLER_PORT + 2 * i + offset}`;
   const others = Array.from({ length: controllers }, (_, i) => i).filter((i) => i !== index);
-  const cpus = (machines * MACHINE_KIND.cpus) / TEAMS.length;
+  const cpus = (machines * MACHINE_TYPE.cpus) / TEAMS.length;
   return {
     member: `velodrome-${index}`,
     site: 'a',
@@ -97,7 +97,7 @@
     this.cloud = new FakeCloud({
       time: this.time,
       hooks,
-      machineTypes: [MACHINE_KIND],
+      machineTypes: [MACHINE_TYPE],
       zones,
       maxMachines: machines,
       listLagMs: LIST_LAG_MS,
@@ -105,7 +105,7 @@
       pageMachines: PAGE_ENTRY_COUNT,
     });
     for (let i = 0; i < machines; i++)
-      this.cloud.addMachine(MACHINE_KIND.label, zones[i % 2] as string, true, 0);
+      this.cloud.addMachine(MACHINE_TYPE.label, zones[i % 2] as string, true, 0);
     const sendUserRequest = (path: string, body: object, method: string): Promise<HttpResponse | null> => {
       const index = Math.floor(Math.random() * Number(options.controllers));
       return sendRequest(
@@ -121,8 +121,8 @@
   }
 
   private agentOf(name: string): Agent {
-    const known = this.agents.get(name);
-    if (known) return known;
+    const existing = this.agents.get(name);
+    if (existing) return existing;
     const agent = new Agent({ keepAlive: true, maxSockets: name.startsWith('users') ? 20 : 1 });
     this.agents.set(name, agent);
     return agent;
@@ -161,7 +161,7 @@
     this.controllers.push({ name, port: FIRST_CONTROLLER_PORT + 2 * index, process: child });
   }
 
-  private wait(seconds: number): Promise<void> {
+  private sleep(seconds: number): Promise<void> {
     return new Promise((resolve) => setTimeout(resolve, seconds * 1000));
   }
 
@@ -171,9 +171,9 @@
     serveFake(STORE_PORT, (method, path, body) => this.store.request(method, path, body, () => false));
     serveFake(CLOUD_PORT, (method, path, body) => this.cloud.request(method, path, body));
     for (let i = 0; i < Number(options.controllers); i++) this.startController(i, 0);
-    await this.wait(Number(options.warmUp));
+    await this.sleep(Number(options.warmUp));
     this.users.start(Number(options.jobs));
-    await this.wait(Number(options.seconds));
+    await this.sleep(Number(options.seconds));
     if (options.endLeader) await this.endLeader();
     console.log(`users: ${JSON.stringify(this.users.counters)}, machines ${this.cloud.workers.size}`);
     for (const { name, port } of this.controllers) {
@@ -181,22 +181,22 @@
       console.log(`${name} ${JSON.stringify(status?.body ?? null)}`);
     }
     for (const { process: child } of this.controllers) child.kill('SIGTERM');
-    await this.wait(RECORDING_WRITE_MS / 1000 + (options.heap ? 20 : 0));
+    await this.sleep(RECORDING_WRITE_MS / 1000 + (options.heap ? 20 : 0));
     for (const { name } of this.controllers) this.printRecording(name);
   }
 
-  /** Ends the controller that owns most, starts it again, and looks on while its partitions change hands. */
+  /** Ends the first controller, assumed to own most, and goes on for half as long while its partitions are taken over. */
   private async endLeader(): Promise<void> {
-    const busiest = this.controllers[0] as RunningController;
-    busiest.process.kill('SIGTERM');
-    await this.wait(Number(this.options.seconds) / 2);
+    const first = this.controllers[0] as RunningController;
+    first.process.kill('SIGTERM');
+    await this.sleep(Number(this.options.seconds) / 2);
   }
 
   private printRecording(name: string): void {
     const { out } = this.options;
     const profile = JSON.parse(readFileSync(join(out, `${name}.cpuprofile`), 'utf8')) as Profiler.Profile;
     const recording = JSON.parse(readFileSync(join(out, `${name}.json`), 'utf8')) as Recording;
-    const { causes, hottest } = attribute(profile);
+    const { causes, topFunctions } = attribute(profile);
     const { wallMs, peakRssMb, collections, loopDelayMs } = recording;
     const cpuMs = [...causes.values()].reduce((sum, ms) => sum + ms, 0);
     console.log(`\n${name}: ${cpuMs.toFixed(0)} ms of processor time in ${(wallMs / 1000).toFixed(0)} s`);
@@ -204,8 +204,8 @@
     console.log(`  collections ${JSON.stringify(collections)}, loop delay ${JSON.stringify(loopDelayMs)}`);
     for (const [cause, ms] of causes) console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${cause}`);
     console.log('  by function:');
-    for (const [own, ms] of hottest.slice(0, SHOWN_FUNCTION_COUNT))
-      console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${own}`);
+    for (const [frame, ms] of topFunctions.slice(0, SHOWN_FUNCTION_COUNT))
+      console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${frame}`);
   }
 }
 
--- a/tools/load/recorder.ts
+++ b/tools/load/recorder.ts
@@ -1,6 +1,6 @@
 /**
- * Preloaded into a controller under load: records a processor profile, memory, garbage collections and delays of the event
- * loop, and writes them when the process is told to end. Nothing of it is part of the service.
+ * Preloaded into a controller under load. Records a CPU profile, memory, garbage collections and event loop delays, and
+ * writes them on SIGTERM. Not part of the service.
  */
 import { writeFileSync } from 'node:fs';
 import { Session, type Profiler } from 'node:inspector';
@@ -12,7 +12,7 @@
 const MEMORY_SAMPLE_INTERVAL_MS = 500;
 const NS_PER_MS = 1_000_000;
 
-/** What a recorded controller leaves behind beside its profile. */
+/** The file that is written for a recorded controller in addition to its CPU profile. */
 export interface Recording {
   cpuMs: number;
   wallMs: number;
@@ -43,19 +43,19 @@
 }).observe({ entryTypes: ['gc'] });
 
 const memory: Recording['memory'] = [];
-const mb = (bytes: number): number => Math.round(bytes / 1024 / 102.4) / 10;
+const toMb = (bytes: number): number => Math.round(bytes / 1024 / 102.4) / 10;
 setInterval(() => {
   const { rss, heapUsed, external } = process.memoryUsage();
-  memory.push({ rssMb: mb(rss), heapUsedMb: mb(heapUsed), externalMb: mb(external) });
+  memory.push({ rssMb: toMb(rss), heapUsedMb: toMb(heapUsed), externalMb: toMb(external) });
 }, MEMORY_SAMPLE_INTERVAL_MS).unref();
 
-function write(profile: Profiler.Profile): void {
+function writeRecording(profile: Profiler.Profile): void {
   const cpu = process.cpuUsage();
   const delay = (ns: number): number => Math.round(ns / NS_PER_MS);
   const recording: Recording = {
     cpuMs: (cpu.user + cpu.system) / 1000,
     wallMs: performance.now() - startedAt,
-    peakRssMb: mb(process.resourceUsage().maxRSS * 1024),
+    peakRssMb: toMb(process.resourceUsage().maxRSS * 1024),
     collections,
     loopDelayMs: {
       p50: delay(loopDelay.percentile(50)),
@@ -71,7 +71,7 @@
 
 process.on('SIGTERM', () => {
   session.post('Profiler.stop', (error, result) => {
-    if (!error) write(result.profile);
+    if (!error) writeRecording(result.profile);
     process.exit();
   });
 });
