--- a/test/cli/command-line.test.ts
+++ b/test/cli/command-line.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { SETTINGS } from '../support/settings-file';
 
-test('the program answers for itself and refuses bad settings with code 2', () => {
+test('the program prints its version and help, and ends with code 2 if the settings are invalid', () => {
   const folder = mkdtempSync(join(tmpdir(), 'heathbridge-'));
   const main = join(__dirname, '..', '..', 'src', 'main.js');
   const run = (...args: string[]): ReturnType<typeof spawnSync> =>
--- a/test/load-attribution.test.ts
+++ b/test/load-attribution.test.ts
@@ -8,7 +8,7 @@
 const SRC = 'src';
 const SAMPLE_US = 5000;
 
-/** A frame of the service: the function must still stand in that source file, or the tool's rules name nothing. */
+/** A stack frame of the service. The function must exist in that source file, or the patterns of the tool match nothing. */
 interface Frame {
   functionName: string;
   file: string;
@@ -18,7 +18,7 @@
   return { functionName, file };
 }
 
-/** A profile with one sample, whose stack is given from the outermost frame in. */
+/** Returns a profile with one sample, whose stack is given from the outermost frame to the innermost. */
 function profileOf(stack: readonly Frame[]): Profiler.Profile {
   const nodes = stack.map(({ functionName, file }, i) => ({
     id: i + 1,
@@ -45,14 +45,14 @@
 ];
 
 const cases: [name: string, stack: Frame[], cause: string][] = [
-  ['a heartbeat on its way to its partition', heartbeat, 'heartbeats'],
+  ['routing a heartbeat to its partition', heartbeat, 'heartbeats'],
   [
-    'a heartbeat in the machine that sent it',
+    'applying a heartbeat to its machine',
     [...heartbeat, frame('applyHeartbeat', `${PARTITION}/machine.ts`)],
     'heartbeats',
   ],
   [
-    'commands that answer a heartbeat',
+    'commands in the answer to a heartbeat',
     [...heartbeat, frame('takeCommands', `${PARTITION}/machine.ts`)],
     'heartbeats',
   ],
@@ -66,7 +66,7 @@
     'placement',
   ],
   [
-    'an exit that a heartbeat names',
+    'a task exit reported by a heartbeat',
     [
       ...heartbeat,
       frame('handle', `${PARTITION}/heartbeat-handler.ts`),
@@ -74,22 +74,30 @@
     ],
     'heartbeats',
   ],
-  ['the order of jobs', [frame('schedulingOrder', `${PARTITION}/scheduling-order.ts`)], 'placement'],
+  ['ordering jobs', [frame('schedulingOrder', `${PARTITION}/scheduling-order.ts`)], 'placement'],
   ['writing progress', [frame('writeIfDue', `${PARTITION}/progress-writer.ts`)], 'progress'],
-  ['changed values of progress', [frame('changedValues', `${STORAGE}/progress-slots.ts`)], 'progress'],
-  ['the tick of a controller', [frame('tick', `${CONTROLLER}/controller.ts`)], 'partition tick'],
+  ['finding changed progress values', [frame('changedValues', `${STORAGE}/progress-slots.ts`)], 'progress'],
+  ['a controller tick', [frame('tick', `${CONTROLLER}/controller.ts`)], 'partition tick'],
   [
-    'a status to the other controllers',
+    'publishing a status to other controllers',
     [frame('publishStatus', `${CONTROLLER}/status-publisher.ts`)],
     'frames between controllers',
   ],
   [
-    'a frame of another controller',
+    'receiving a frame from another controller',
     [frame('receiveFrame', `${CONTROLLER}/peer-messenger.ts`)],
     'frames between controllers',
   ],
-  ['the leader', [frame('receive', `${SRC}/coordination/leader/leader.ts`)], "leader's planning"],
-  ['a watch', [frame('publishIfComplete', `${STORAGE}/replica-feed.ts`)], 'watch events and refill'],
+  [
+    'a message to the leader',
+    [frame('receive', `${SRC}/coordination/leader/leader.ts`)],
+    "leader's planning",
+  ],
+  [
+    'publishing watch events',
+    [frame('publishIfComplete', `${STORAGE}/replica-feed.ts`)],
+    'watch events and refill',
+  ],
   ['a submission', [frame('submit', `${REQUESTS}/job-service.ts`)], 'submissions and status queries'],
   [
     'an HTTP call',
@@ -99,13 +107,13 @@
 ];
 
 for (const [name, stack, cause] of cases) {
-  test(`processor time of ${name} counts as ${cause}`, () => {
+  test(`processor time of ${name} is attributed to ${cause}`, () => {
     for (const { functionName, file } of stack)
       assert.match(readFileSync(join(process.cwd(), file), 'utf8'), new RegExp(`\\b${functionName}[(<]`));
     assert.deepEqual([...attribute(profileOf(stack)).causes], [[cause, SAMPLE_US / 1000]]);
   });
 }
 
-test('idle time is left out', () => {
+test('idle time is not attributed', () => {
   assert.equal(attribute(profileOf([frame('(idle)', '')])).causes.size, 0);
 });
--- a/test/startup/features-file.test.ts
+++ b/test/startup/features-file.test.ts
@@ -9,7 +9,7 @@
 
 const root = join(__dirname, '..', '..', '..');
 
-test('the file under deploy is fine, and a broken one ends a start with code 2 and one line', () => {
+test('deploy/features.toml is valid, and an invalid features file ends the process with code 2 and one error line', () => {
   const deployed = join(root, 'deploy', 'features.toml');
   parseFeatures(deployed, readFileSync(deployed, 'utf8'));
   const folder = mkdtempSync(join(tmpdir(), 'heathbridge-'));
@@ -29,19 +29,19 @@
     },
   };
   writeFileSync(config, JSON.stringify(settings));
-  for (const [text, said] of [
+  for (const [text, expectedError] of [
     ['[load_balancer]\nspeed = 3', 'load_balancer.speed: unknown field'],
     ['[load_balancer', 'Invalid TOML'],
   ] as const) {
     writeFileSync(features, text);
     for (const command of [['serve'], ['check'], []]) {
-      const words = [join(root, 'target-test/src/main.js'), ...command, '--features', features];
-      const { status, stderr } = spawnSync(process.execPath, [...words, '--config', config], {
+      const args = [join(root, 'target-test/src/main.js'), ...command, '--features', features];
+      const { status, stderr } = spawnSync(process.execPath, [...args, '--config', config], {
         encoding: 'utf8',
         timeout: 20_000,
       });
       assert.equal(status, EXIT_CODES.usage);
-      assert.match(stderr, new RegExp(`^heathbridge: ${features}: ${said}.*\n$`));
+      assert.match(stderr, new RegExp(`^heathbridge: ${features}: ${expectedError}.*\n$`));
     }
   }
 });
--- a/test/transport/closing.test.ts
+++ b/test/transport/closing.test.ts
@@ -7,45 +7,45 @@
 import { listenForPeers, PeerLink } from '../../src/transport/peer-link';
 import { VirtualTime } from '../standin/clock';
 
-test('a periodic action ends when it is cancelled, also by itself', async () => {
+test('a periodic action stops when it is cancelled, also from within the action', async () => {
   const time = new VirtualTime();
-  const ran: number[] = [];
+  const ranAt: number[] = [];
   const cancel = schedulePeriodic(
     time.clock(() => true),
     100,
     () => {
-      ran.push(time.now);
-      if (ran.length === 3) cancel();
+      ranAt.push(time.now);
+      if (ranAt.length === 3) cancel();
     },
   );
   await time.run(1000);
-  assert.deepEqual(ran, [100, 200, 300]);
+  assert.deepEqual(ranAt, [100, 200, 300]);
 });
 
-test('a closed client ends its requests, and makes no more', async () => {
-  let requests = 0;
+test('a closed client resolves its pending requests to null and sends no more', async () => {
+  let requestCount = 0;
   const server = createServer((socket) => {
-    socket.on('data', () => requests++);
+    socket.on('data', () => requestCount++);
     socket.on('error', () => socket.destroy());
   });
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const client = new HttpClient(`127.0.0.1:${(server.address() as AddressInfo).port}`, 1);
-  const underWay = client.call('GET', '/a', undefined, 60_000);
+  const inFlight = client.call('GET', '/a', undefined, 60_000);
   const pending = client.call('GET', '/b', undefined, 60_000);
   await once(server, 'connection');
   client.close();
-  assert.deepEqual(await Promise.all([underWay, pending]), [null, null]);
+  assert.deepEqual(await Promise.all([inFlight, pending]), [null, null]);
   assert.equal(await client.call('GET', '/c', undefined, 60_000), null);
   server.close();
   await once(server, 'close');
-  assert.ok(requests <= 1, `${requests} requests`);
+  assert.ok(requestCount <= 1, `${requestCount} requests`);
 });
 
-test('a closed link to a peer is not opened again', async () => {
-  let connections = 0;
+test('a closed peer link does not reconnect', async () => {
+  let connectionCount = 0;
   const server: Server = createServer((socket) => {
-    connections++;
+    connectionCount++;
     socket.on('error', () => socket.destroy());
   });
   server.listen(0, '127.0.0.1');
@@ -56,11 +56,11 @@
   await connected;
   link.close();
   await new Promise((resolve) => setTimeout(resolve, 1200));
-  assert.equal(connections, 1);
+  assert.equal(connectionCount, 1);
   server.close();
 });
 
-test('a server for peers replies on the connection of the frame, and can be closed', async () => {
+test('a peer server replies on the connection on which a frame arrived, and can be closed', async () => {
   const server = listenForPeers({
     host: '127.0.0.1',
     port: 0,
@@ -71,7 +71,7 @@
   const { port } = server.address() as AddressInfo;
   const replies: string[] = [];
   const link = new PeerLink(`127.0.0.1:${port}`, systemClock, (content) => replies.push(content.toString()));
-  for (let tries = 0; tries < 100 && replies.length === 0; tries++) {
+  for (let attempt = 0; attempt < 100 && replies.length === 0; attempt++) {
     link.send(Buffer.from('frame'));
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
--- a/test/transport/http-client.test.ts
+++ b/test/transport/http-client.test.ts
@@ -6,14 +6,14 @@
 import fc from 'fast-check';
 import { HttpClient, type HttpResponse } from '../../src/transport/http-client';
 
-/** Long enough for any answer that comes, also on a busy machine. */
-const CALL_MS = 5000;
-/** For answers that never come; such calls run under mocked timers, so that their deadlines come at one moment. */
-const SHORT_CALL_MS = 300;
+/** Long enough for any response that arrives, even on a busy machine. */
+const TIMEOUT_MS = 5000;
+/** For calls without a response. They run under mocked timers, so that their deadlines expire at the same moment. */
+const SHORT_TIMEOUT_MS = 300;
 
-/** A server that sends these bytes, cut at these places, to whoever connects and asks. */
-async function serving(
-  answer: (socket: Socket, asked: string) => void,
+/** Starts a server that calls `answer` with each chunk of data that a connection receives. */
+async function startServer(
+  answer: (socket: Socket, received: string) => void,
 ): Promise<{ server: Server; address: string }> {
   const server = createServer((socket) => {
     socket.on('error', () => socket.destroy());
@@ -23,30 +23,30 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 }
 
-// Whatever Node's own server sends and Node's own client reads, is read here the same.
-test('an answer is the same as from a general client', async () => {
-  const answers = fc.record({
+// HttpClient must read whatever Node's own server sends in the same way as Node's own client.
+test('a response is the same as with the HTTP client of Node', async () => {
+  const generatedResponses = fc.record({
     status: fc.constantFrom(200, 201, 400, 404, 409, 429, 503),
     body: fc.json(),
     chunked: fc.boolean(),
     parts: fc.integer({ min: 1, max: 4 }),
     close: fc.boolean(),
   });
-  let next = { status: 200, body: '', chunked: false, parts: 1, close: false };
+  let nextResponse = { status: 200, body: '', chunked: false, parts: 1, close: false };
   const server = createHttpServer((req, res) => {
     req.resume();
-    if (next.close) res.setHeader('connection', 'close');
-    if (!next.chunked) res.setHeader('content-length', Buffer.byteLength(next.body));
-    res.writeHead(next.status);
-    const bytes = Buffer.from(next.body);
-    const size = Math.ceil(bytes.length / next.parts);
+    if (nextResponse.close) res.setHeader('connection', 'close');
+    if (!nextResponse.chunked) res.setHeader('content-length', Buffer.byteLength(nextResponse.body));
+    res.writeHead(nextResponse.status);
+    const bytes = Buffer.from(nextResponse.body);
+    const size = Math.ceil(bytes.length / nextResponse.parts);
     for (let i = 0; i < bytes.length; i += size) res.write(bytes.subarray(i, i + size));
     res.end();
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const client = new HttpClient(`127.0.0.1:${port}`, 2);
-  const plain = (): Promise<HttpResponse> =>
+  const requestWithNode = (): Promise<HttpResponse> =>
     new Promise((resolve) => {
       request({ host: '127.0.0.1', port, path: '/x', agent: false }, (res) => {
         const chunks: Buffer[] = [];
@@ -61,9 +61,9 @@
     });
   try {
     await fc.assert(
-      fc.asyncProperty(answers, async (answer) => {
-        next = answer;
-        assert.deepEqual(await client.call('GET', '/x', undefined, 2000), await plain());
+      fc.asyncProperty(generatedResponses, async (generated) => {
+        nextResponse = generated;
+        assert.deepEqual(await client.call('GET', '/x', undefined, 2000), await requestWithNode());
       }),
       { numRuns: 60 },
     );
@@ -78,97 +78,97 @@
 
 const CLOSING = 'HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1';
 
-test('connections are kept, shared and given up', async (t) => {
+test('connections are reused, shared and closed', async (t) => {
   const cases: {
     name: string;
-    answer: (socket: Socket, asked: string, nth: number) => void;
+    answer: (socket: Socket, received: string, nth: number) => void;
     calls: number;
     connections: number;
     expected: (number | null)[];
-    most: number;
-    /** The server never answers. */
-    silent?: boolean;
+    maxOpened: number;
+    /** Whether the server never responds. */
+    unresponsive?: boolean;
   }[] = [
     {
-      name: 'one connection serves one call after the other',
+      name: 'one connection serves calls one after the other',
       answer: (s) => void s.write(OK),
       calls: 3,
       connections: 1,
       expected: [200, 200, 200],
-      most: 1,
+      maxOpened: 1,
     },
     {
-      name: 'no answer in time',
+      name: 'no response before the timeout',
       answer: () => undefined,
-      silent: true,
+      unresponsive: true,
       calls: 1,
       connections: 1,
       expected: [null],
-      most: 1,
+      maxOpened: 1,
     },
     {
-      name: 'a call behind one without an answer is given up with it',
+      name: 'a call queued behind one without a response times out as well',
       answer: () => undefined,
-      silent: true,
+      unresponsive: true,
       calls: 2,
       connections: 1,
       expected: [null, null],
-      most: 1,
+      maxOpened: 1,
     },
     {
-      name: 'ended without an answer',
+      name: 'connection ended without a response',
       answer: (s) => void s.end(),
       calls: 2,
       connections: 1,
       expected: [null, null],
-      most: 2,
+      maxOpened: 2,
     },
     {
-      name: 'ended after each answer',
+      name: 'connection ended after each response',
       answer: (s) => void s.end(CLOSING),
       calls: 2,
       connections: 1,
       expected: [200, 200],
-      most: 2,
+      maxOpened: 2,
     },
     {
-      name: 'bytes that nobody asked for',
+      name: 'unsolicited bytes after a response',
       answer: (s) => void s.write(OK + OK),
       calls: 2,
       connections: 1,
       expected: [200, 200],
-      most: 2,
+      maxOpened: 2,
     },
     {
-      name: 'not HTTP',
+      name: 'response that is not HTTP',
       answer: (s) => void s.write('what?\r\n\r\n'),
       calls: 2,
       connections: 1,
       expected: [null, null],
-      most: 2,
+      maxOpened: 2,
     },
   ];
-  for (const { name, answer, calls, connections, expected, most, silent } of cases) {
-    await t.test(name, async (row) => {
+  for (const { name, answer, calls, connections, expected, maxOpened, unresponsive } of cases) {
+    await t.test(name, async (subtest) => {
       let nth = 0;
-      const { server, address } = await serving((socket, asked) => answer(socket, asked, nth++));
+      const { server, address } = await startServer((socket, received) => answer(socket, received, nth++));
       let opened = 0;
       server.on('connection', () => opened++);
       const connected = once(server, 'connection');
       const client = new HttpClient(address, connections);
-      if (silent) row.mock.timers.enable({ apis: ['setTimeout'] });
+      if (unresponsive) subtest.mock.timers.enable({ apis: ['setTimeout'] });
       try {
         const responses = Array.from({ length: calls }, () =>
-          client.call('POST', '/multi', { a: 'ä' }, silent ? SHORT_CALL_MS : CALL_MS),
+          client.call('POST', '/multi', { a: 'ä' }, unresponsive ? SHORT_TIMEOUT_MS : TIMEOUT_MS),
         );
         await connected;
-        if (silent) row.mock.timers.tick(SHORT_CALL_MS);
+        if (unresponsive) subtest.mock.timers.tick(SHORT_TIMEOUT_MS);
         const got = await Promise.all(responses);
         assert.deepEqual(
           got.map((a) => a?.status ?? null),
           expected,
         );
-        assert.ok(opened <= most, `${opened} connections`);
+        assert.ok(opened <= maxOpened, `${opened} connections`);
       } finally {
         client.close();
         server.close();
@@ -177,11 +177,11 @@
   }
 });
 
-test('nobody listens: no answer; a path that would end its line early is refused', async () => {
-  const { server, address } = await serving(() => undefined);
+test('a call resolves to null if no server listens, and rejects a path that would end the request line early', async () => {
+  const { server, address } = await startServer(() => undefined);
   await new Promise((resolve) => server.close(resolve));
   const client = new HttpClient(address, 2);
-  assert.equal(await client.call('GET', '/x', undefined, CALL_MS), null);
-  await assert.rejects(client.call('GET', '/x HTTP/1.1\r\nX: y', undefined, CALL_MS), TypeError);
+  assert.equal(await client.call('GET', '/x', undefined, TIMEOUT_MS), null);
+  await assert.rejects(client.call('GET', '/x HTTP/1.1\r\nX: y', undefined, TIMEOUT_MS), TypeError);
   client.close();
 });
--- a/test/transport/newest-first-queue.test.ts
+++ b/test/transport/newest-first-queue.test.ts
@@ -2,25 +2,29 @@
 import { test } from 'node:test';
 import { NewestFirstQueue } from '../../src/transport/newest-first-queue';
 
-test('reports wait for their turn', async (t) => {
-  type Step = (turns: NewestFirstQueue, log: string[], world: { now: number; gone: Set<string> }) => void;
+test('pending requests are answered newest first, after waiting connections are accepted', async (t) => {
+  type Step = (
+    queue: NewestFirstQueue,
+    log: string[],
+    state: { now: number; abandoned: Set<string> },
+  ) => void;
   const add =
-    (name: string, costs = 1, first = false): Step =>
-    (turns, log, world) =>
-      turns.add(
-        () => !world.gone.has(name),
+    (name: string, costMs = 1, first = false): Step =>
+    (queue, log, state) =>
+      queue.add(
+        () => !state.abandoned.has(name),
         () => {
           log.push(name);
-          world.now += costs;
+          state.now += costMs;
         },
         first,
       );
-  const gone =
+  const abandon =
     (name: string): Step =>
-    (_turns, _log, world) =>
-      void world.gone.add(name);
-  const arrived: Step = (turns) => turns.onConnectionAccepted();
-  // Each row: what happens before each look at the sockets, and who is answered after it.
+    (_queue, _log, state) =>
+      void state.abandoned.add(name);
+  const acceptConnection: Step = (queue) => queue.onConnectionAccepted();
+  // The rounds of each case: what happens before the sockets are read, and which requests are answered after that.
   const cases: [string, [Step[], string[]][]][] = [
     [
       'the newest is answered first',
@@ -31,9 +35,10 @@
         ],
       ],
     ],
-    // Their leases run out first: whoever was just told the new token asks again half a second later.
+    // Workers not answered yet have the leases that expire first: one that was just sent the new token asks again after half a
+    // second.
     [
-      'whoever was not answered yet on its connection goes before the others',
+      'a request on a connection without an answer yet goes before the others',
       [
         [
           [add('a', 1, true), add('b'), add('c', 1, true)],
@@ -41,51 +46,52 @@
         ],
       ],
     ],
-    // A whole fleet behind: answers in order came when nobody listened any more, for half a minute.
-    ['one that was given up costs nothing', [[[add('a'), add('b'), gone('a')], ['b']]]],
+    // With a whole fleet waiting, answers in order of arrival came too late for every sender, for half a minute.
+    ['an abandoned request costs nothing', [[[add('a'), add('b'), abandon('a')], ['b']]]],
     [
-      'between two stretches the sockets are looked at: newer ones go first, those given up meanwhile go',
+      'the sockets are read between two slices: newer requests go first, abandoned ones are dropped',
       [
         [[add('a'), add('b', 5), add('c', 5)], ['c']],
-        [[add('d', 5), gone('b')], ['d']],
+        [[add('d', 5), abandon('b')], ['d']],
         [[], ['a']],
       ],
     ],
-    // Node takes one connection a look: with answers between them, waiting to be taken outlasted the machines' patience.
+    // Node accepts one connection per poll: with answers in between, machines waited to be accepted for longer than they wait
+    // for an answer.
     [
-      'connections that wait are taken before the next answer',
+      'waiting connections are accepted before the next request is answered',
       [
-        [[add('a'), arrived], []],
-        [[arrived], []],
+        [[add('a'), acceptConnection], []],
+        [[acceptConnection], []],
         [[], ['a']],
       ],
     ],
     [
-      'an endless stream of connections does not keep answers back for ever',
+      'an endless stream of connections does not hold back answers forever',
       Array.from({ length: 16 }, (_, i) => [
-        i === 0 ? [add('a'), arrived] : [arrived],
+        i === 0 ? [add('a'), acceptConnection] : [acceptConnection],
         i === 15 ? ['a'] : [],
       ]),
     ],
   ];
-  for (const [name, looks] of cases) {
+  for (const [name, rounds] of cases) {
     await t.test(name, () => {
-      const world = { now: 0, gone: new Set<string>() };
-      let next: (() => void) | null = null;
-      const turns = new NewestFirstQueue(
-        () => world.now,
-        (action) => (next = action),
+      const state = { now: 0, abandoned: new Set<string>() };
+      let deferred: (() => void) | null = null;
+      const queue = new NewestFirstQueue(
+        () => state.now,
+        (action) => (deferred = action),
       );
       const log: string[] = [];
-      for (const [steps, told] of looks) {
+      for (const [steps, answered] of rounds) {
         const before = log.length;
-        for (const step of steps) step(turns, log, world);
-        const action: (() => void) | null = next;
-        next = null;
+        for (const step of steps) step(queue, log, state);
+        const action: (() => void) | null = deferred;
+        deferred = null;
         (action as (() => void) | null)?.();
-        assert.deepEqual(log.slice(before), told);
+        assert.deepEqual(log.slice(before), answered);
       }
-      assert.equal(next, null, 'nothing left to do');
+      assert.equal(deferred, null, 'nothing left to do');
     });
   }
 });
--- a/test/transport/process-health.test.ts
+++ b/test/transport/process-health.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ProcessHealth } from '../../src/transport/process-health';
 
-test('memory, collections and delay of the event loop are told', () => {
+test('the summary contains memory, garbage collections and event loop delay', () => {
   const health = new ProcessHealth();
   health.recordCollection(3);
   health.recordCollection(9);
--- a/test/transport/rate-limiter.test.ts
+++ b/test/transport/rate-limiter.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { RateLimiter } from '../../src/transport/rate-limiter';
 
-test('a limiter keeps its rate, and its reserve for what is urgent', () => {
+test('a limiter keeps to its rate, and keeps the reserve for urgent requests', () => {
   const limiter = new RateLimiter(10, 5);
   assert.equal(limiter.tryTake(0, 5), true);
   assert.equal(limiter.tryTake(0, 1), false);
