--- a/src/startup/service.ts
+++ b/src/startup/service.ts
@@ -47,7 +47,7 @@
 
 function runController(settings: Settings, policy: Policy, features: OptionalFeatures): void {
   const log = openLog(settings.member);
-  // An error that gets here is a defect. The process continues, because its partition would stand still without it.
+  // An error that gets here is a defect. The process continues, because its partition would make no progress without it.
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
   process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled rejection'));
   const teams = settings.teams.map((t) => `${t.name} ${t.guaranteed.cpus}/${t.limit.cpus}`).join(', ');
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -9,12 +9,12 @@
   body: unknown;
 }
 
-/** A path without characters that must be escaped, which would end the request line early. */
+/** Matches paths that need no escaping. Any other character would end the request line early. */
 const SAFE_PATH_PATTERN = /^[\x21-\x7e]+$/;
 
 /** A request that waits for a connection or for its response. */
 interface PendingCall {
-  text: string;
+  requestText: string;
   /** Resolves the caller's promise; calls after the first do nothing. */
   finish: (response: HttpResponse | null) => void;
   finished: boolean;
@@ -63,11 +63,11 @@
     if (this.closed) return Promise.resolve(null);
     return new Promise((resolve) => {
       const call: PendingCall = {
-        text: this.requestText(method, path, body),
+        requestText: this.requestText(method, path, body),
         finished: false,
         finish: () => undefined,
       };
-      const deadline = setTimeout(() => this.timeOut(call), timeoutMs);
+      const deadline = setTimeout(() => this.handleTimeout(call), timeoutMs);
       call.finish = (response): void => {
         if (call.finished) return;
         call.finished = true;
@@ -115,11 +115,11 @@
   }
 
   /** Resolves a call to null and closes its connection, on which the late response would otherwise arrive. */
-  private timeOut(call: PendingCall): void {
+  private handleTimeout(call: PendingCall): void {
     const i = this.pendingCalls.indexOf(call);
     if (i >= 0) this.pendingCalls.splice(i, 1);
     call.finish(null);
-    for (const connection of this.openConnections) connection.abandon(call);
+    for (const connection of this.openConnections) connection.closeIfCarrying(call);
   }
 }
 
@@ -153,10 +153,10 @@
   start(call: PendingCall): void {
     this.call = call;
     this.reader = new ResponseReader();
-    this.socket.write(call.text);
+    this.socket.write(call.requestText);
   }
 
-  abandon(call: PendingCall): void {
+  closeIfCarrying(call: PendingCall): void {
     if (this.call === call) this.socket.destroy();
   }
 
--- a/src/transport/plain-request.ts
+++ b/src/transport/plain-request.ts
@@ -13,7 +13,7 @@
   closeConnection: boolean;
 }
 
-/** Parses a head; null if it contains anything that a plain request does not, in which case a general server must parse it. */
+/** Parses a head. Returns null if it contains anything that a plain request does not; a general server must then parse it. */
 export function parsePlainHead(text: string): PlainRequest | null {
   const lines = text.split('\r\n');
   const [, method, path] = REQUEST_LINE_PATTERN.exec(lines[0] ?? '') ?? [];
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -58,7 +58,7 @@
  */
 export function createRequestServer(options: RequestServerOptions): NetServer {
   const queue = new NewestFirstQueue(() => performance.now(), setImmediate);
-  const shared: SharedState = { options, queue, heads: new PlainHeadCache() };
+  const shared: SharedState = { options, queue, headCache: new PlainHeadCache() };
   return createNetServer((socket) => {
     queue.onConnectionAccepted();
     new PlainConnection(socket, shared);
@@ -69,7 +69,7 @@
 interface SharedState {
   options: RequestServerOptions;
   queue: NewestFirstQueue;
-  heads: PlainHeadCache;
+  headCache: PlainHeadCache;
 }
 
 /** A connection of one caller, with at most one request being handled. */
@@ -96,13 +96,13 @@
 
   private readNext(): void {
     if (this.buffered.length === 0) return;
-    const { options, heads } = this.shared;
+    const { options, headCache } = this.shared;
     const headEnd = this.buffered.indexOf(HEAD_END);
     if (headEnd < 0) {
       if (this.buffered.length > MAX_HEAD_BYTES) this.handToFallbackServer();
       return;
     }
-    const request = heads.parse(this.buffered.toString('latin1', 0, headEnd));
+    const request = headCache.parse(this.buffered.toString('latin1', 0, headEnd));
     const route = request && options.route(request);
     if (!request || !route || request.contentLength > options.maxBodyBytes)
       return this.handToFallbackServer();
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates the same days with load balancing off and on, for several seeds, and writes the results as one self-contained
- * HTML report. CONTRIBUTING.md describes how to run it.
+ * Simulates the same days under virtual time with load balancing off and on, for several seeds, and writes the results as
+ * one self-contained HTML report. CONTRIBUTING.md describes how to run it.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -87,7 +87,7 @@
       taskCompleted: () => undefined,
       leaseExpired: () => undefined,
       runMs: () => Number(options.taskSeconds) * 1000 * (0.5 + Math.random()),
-      deliver: (node, worker, heartbeat) => this.deliverHeartbeat(node, worker, heartbeat),
+      deliver: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex: (name) => Number(name.split('-')[1]),
       controllers: Number(options.controllers),
       heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
@@ -129,13 +129,13 @@
   }
 
   private deliverHeartbeat(
-    node: number,
+    index: number,
     worker: FakeWorker,
     heartbeat: object,
   ): Promise<HttpResponse | null> {
     return sendRequest(
       this.agentOf(worker.name),
-      FIRST_CONTROLLER_PORT + 2 * node,
+      FIRST_CONTROLLER_PORT + 2 * index,
       '/hello',
       heartbeat,
       'POST',
--- a/tools/load/recorder.ts
+++ b/tools/load/recorder.ts
@@ -51,16 +51,16 @@
 
 function writeRecording(profile: Profiler.Profile): void {
   const cpu = process.cpuUsage();
-  const delay = (ns: number): number => Math.round(ns / NS_PER_MS);
+  const toMs = (ns: number): number => Math.round(ns / NS_PER_MS);
   const recording: Recording = {
     cpuMs: (cpu.user + cpu.system) / 1000,
     wallMs: performance.now() - startedAt,
     peakRssMb: toMb(process.resourceUsage().maxRSS * 1024),
     collections,
     loopDelayMs: {
-      p50: delay(loopDelay.percentile(50)),
-      p99: delay(loopDelay.percentile(99)),
-      max: delay(loopDelay.max),
+      p50: toMs(loopDelay.percentile(50)),
+      p99: toMs(loopDelay.percentile(99)),
+      max: toMs(loopDelay.max),
     },
     memory,
   };
