--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -109,7 +109,7 @@
     this.workers.push(
       new SimulatedWorker(
         id,
-        { imageFetchMs: 500, checkpointMs: 1000, leaseMs: LEASE_MS, runMs, checkpointed },
+        { imageFetchMs: 500, checkpointDurationMs: 1000, leaseMs: LEASE_MS, runMs, checkpointed },
         this.now,
       ),
     );
@@ -167,7 +167,7 @@
     const places = new Map<string, string>();
     for (const worker of this.workers) {
       let cpus = 0;
-      for (const key of worker.occupyingTasks()) {
+      for (const key of worker.executingTasks()) {
         assert.ok(!places.has(key), `${key} is on ${places.get(key)} and ${worker.id} at ${this.now}`);
         places.set(key, worker.id);
         cpus += key.startsWith('job-2') ? URGENT.cpus : IDLE.cpus;
--- a/test/cluster/cluster-options.ts
+++ b/test/cluster/cluster-options.ts
@@ -70,8 +70,8 @@
   { name: 'west', cpus: 4, cpus_max: 8 },
 ];
 export const MACHINE_TYPES: readonly FakeMachineType[] = [
-  { label: 'small', cpus: 4, memory: 16 },
-  { label: 'large', cpus: 12, memory: 48 },
+  { label: 'small', cpus: 4, memoryGb: 16 },
+  { label: 'large', cpus: 12, memoryGb: 48 },
 ];
 
 /** The teams with their limits at this size of the cluster. */
--- a/test/cluster/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -80,7 +80,7 @@
         taskStarted: (worker, piece) => this.taskStarted(worker, piece),
         taskCompleted: (piece) => void this.completed.add(piece),
         runMs: (piece) => this.runMs(piece),
-        checkpointMs: (piece) => (this.jobOfTask(piece)?.urgency === 'idle' ? 200 : null),
+        checkpointDurationMs: (piece) => (this.jobOfTask(piece)?.urgency === 'idle' ? 200 : null),
         taskStopped: (piece, ranMs, saved) => {
           if (saved) this.checkpointedMs.set(piece, (this.checkpointedMs.get(piece) ?? 0) + ranMs);
         },
--- a/test/cluster/virtual-cluster.ts
+++ b/test/cluster/virtual-cluster.ts
@@ -3,9 +3,9 @@
 import { DEFAULT_POLICY } from '../../src/protocol/policy';
 import { parseSettings } from '../../src/protocol/settings';
 import { type StoreTransport } from '../../src/storage/store-connection';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 import { FakeCloud } from '../standin/fake-cloud';
-import { type FakeWorker, type FleetHooks } from '../standin/fake-worker';
+import { type FakeWorker, type FakeWorkerHooks } from '../standin/fake-worker';
 import { FakeStateStore } from '../standin/store';
 import {
   controllerIndex,
@@ -84,18 +84,18 @@
     time.at(RULE_CHECK_INTERVAL_MS, () => this.checkPeriodically());
   }
 
-  private fleetHooks(): FleetHooks {
+  private fleetHooks(): FakeWorkerHooks {
     return {
       taskStarted: (worker, taskId) => this.taskStarted(worker, taskId),
       taskCompleted: (taskId) => this.taskCompleted(taskId),
       taskStopped: (taskId, ranMs, saved) => this.taskStopped(taskId, ranMs, saved),
       leaseExpired: () => this.expiredLeases++,
       runMs: (taskId) => this.durations.runMs(taskId),
-      checkpointMs: (taskId) => this.durations.checkpointMs(taskId),
+      checkpointDurationMs: (taskId) => this.durations.checkpointMs(taskId),
       imageFetchMs: (worker, taskId) => this.durations.imageFetchMs(worker, taskId, this.time.now),
-      deliver: (index, worker, heartbeat) => this.network.deliverHeartbeat(index, worker, heartbeat),
+      deliverHeartbeat: (index, worker, heartbeat) => this.network.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex,
-      controllers: this.options.controllers,
+      controllerCount: this.options.controllers,
       heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
       leaseMs: LEASE_MS,
     };
@@ -185,7 +185,7 @@
 
   /** Runs the cluster until this moment of virtual time. */
   async runUntil(end: number): Promise<void> {
-    await settle();
+    await flushPromises();
     await this.time.run(end);
   }
 }
--- a/test/partition/failing-tasks.test.ts
+++ b/test/partition/failing-tasks.test.ts
@@ -3,7 +3,7 @@
 import { type Command } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
+  REVISION_AFTER_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -14,7 +14,7 @@
   [
     'a task that fails is tried again after a pause, and a machine where all fail gets no more',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 8 }));
       let now = 0;
       let commands = partition.heartbeat('m', now);
@@ -26,7 +26,7 @@
       );
       assert.deepEqual(startedTasks(commands), []);
       assert.equal(partition.core.currentLoad(now).machines[0]?.quarantined, true);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       assert.equal(startedTasks(partition.heartbeat('n', (now += 2000))).length, 4);
     },
   ],
@@ -34,7 +34,7 @@
     // Jobs with a mistake fail on every machine. Machines on which other work was done were sent back for it.
     'a job that succeeds nowhere does not put a machine to blame where others succeed',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [good] = partition.heartbeat('m', 0);
       partition.heartbeat('m', 2000, [taskInPhase(good as Command, 'exited', 'done')]);
@@ -55,9 +55,9 @@
   [
     'a machine where several jobs fail that succeed elsewhere is to blame',
     (partition) => {
-      partition.addMachine('good', AFTER_OWNER);
-      partition.addMachine('bad', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 8 }), AFTER_OWNER);
+      partition.addMachine('good', REVISION_AFTER_EPOCH);
+      partition.addMachine('bad', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 8 }), REVISION_AFTER_EPOCH);
       const first = partition.heartbeat('good', 0).filter((c) => c.op === 'start');
       const second = partition.heartbeat('bad', 0).filter((c) => c.op === 'start');
       partition.heartbeat(
@@ -82,7 +82,7 @@
       partition.addJob(jobSpec('job-1', { tasks: 30 }));
       let now = 0;
       for (const id of ['m', 'n', 'o']) {
-        partition.addMachine(id, AFTER_OWNER);
+        partition.addMachine(id, REVISION_AFTER_EPOCH);
         const failed = partition.heartbeat(id, now).filter((c) => c.op === 'start');
         partition.heartbeat(
           id,
@@ -93,7 +93,7 @@
       assert.equal(partition.core.currentLoad(now).machines.filter((m) => m.quarantined).length, 0);
       assert.deepEqual(partition.core.currentLoad(now).demands, [], 'it pauses');
       partition.addJob(jobSpec('job-2', { tasks: 3 }));
-      partition.addMachine('p', AFTER_OWNER);
+      partition.addMachine('p', REVISION_AFTER_EPOCH);
       assert.equal(startedTasks(partition.heartbeat('p', now)).length, 3, 'others have the room');
       let tries = 0;
       for (const until = now + 60_000; now < until; now += 1000) {
@@ -111,7 +111,7 @@
     (partition) => {
       partition.addJob(jobSpec('job-1', { tasks: 40 }));
       const all = ['m', 'n', 'o', 'p', 'q', 'r', 's'];
-      for (const id of all) partition.addMachine(id, AFTER_OWNER);
+      for (const id of all) partition.addMachine(id, REVISION_AFTER_EPOCH);
       const begun = new Map(
         all.map((id) => [id, partition.heartbeat(id, 0).filter((c) => c.op === 'start')]),
       );
@@ -121,7 +121,7 @@
           1000,
           (begun.get(id) ?? []).map((c) => taskInPhase(c, 'exited', 'error')),
         );
-      partition.addMachine('t', AFTER_OWNER);
+      partition.addMachine('t', REVISION_AFTER_EPOCH);
       assert.equal(startedTasks(partition.heartbeat('t', 1500)).length, 4);
     },
     100,
--- a/test/partition/job.test.ts
+++ b/test/partition/job.test.ts
@@ -3,8 +3,8 @@
 import { type Command, type HeartbeatTask } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -15,7 +15,7 @@
   [
     'an exit is forgotten only once its outcome is durable, and done is told once all are',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -28,8 +28,8 @@
   [
     'a cancelled job: nothing starts, what runs is stopped and counts until it is gone',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 4 }));
       const commands = partition.heartbeat('m', 0);
       partition.heartbeat(
@@ -52,8 +52,8 @@
     // Its tasks counted for nobody once the job was done, while one was still being stopped on a machine.
     'a job is done once no other attempt of its tasks is left anywhere',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [first] = partition.heartbeat('m', 0).filter((c) => c.op === 'start');
       partition.core.tick(13_000, 0);
@@ -69,8 +69,8 @@
   [
     'recorded progress is not run again',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 4 }), BEFORE_OWNER, '0-1,3');
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 4 }), REVISION_BEFORE_EPOCH, '0-1,3');
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), ['job-1/2']);
     },
   ],
@@ -79,9 +79,9 @@
     (partition) => {
       const link = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
       const instead = { ...link, reExecutable: true, alternateFor: 'job-1' };
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), AFTER_OWNER, '', 0);
-      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: instead }), AFTER_OWNER + 1);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), REVISION_AFTER_EPOCH, '', 0);
+      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: instead }), REVISION_AFTER_EPOCH + 1);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), [], 'not begun before that is on record');
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
       const begun = partition.heartbeat('m', 2000);
@@ -108,11 +108,16 @@
     'after a take-over such a job goes on if all that was begun is there, and fails if not',
     (partition) => {
       const link = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), BEFORE_OWNER, '', 1);
-      partition.addJob(jobSpec('job-2', { tasks: 2, pipeline: { ...link, ref: 'q' } }), BEFORE_OWNER, '', 1);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: link }), REVISION_BEFORE_EPOCH, '', 1);
+      partition.addJob(
+        jobSpec('job-2', { tasks: 2, pipeline: { ...link, ref: 'q' } }),
+        REVISION_BEFORE_EPOCH,
+        '',
+        1,
+      );
       const live: HeartbeatTask = { ref: 'job-1', index: 0, attempt: 7, phase: 'running', exit: null };
-      partition.heartbeat('m', 0, [live], { token: BEFORE_OWNER * 1024 });
+      partition.heartbeat('m', 0, [live], { token: REVISION_BEFORE_EPOCH * 1024 });
       partition.heartbeat('m', 500, [live]);
       assert.deepEqual([...partition.core.terminalStates], [['job-2', 'failed']]);
     },
--- a/test/partition/machine-transfer.test.ts
+++ b/test/partition/machine-transfer.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
+  REVISION_AFTER_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -13,7 +13,7 @@
   [
     'tasks that can save leave a machine that is to go back to the cloud; others may finish',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
       partition.addJob(jobSpec('job-2', { tasks: 1 }));
       const live = partition.heartbeat('m', 0).map((c) => taskInPhase(c, 'running'));
@@ -35,12 +35,12 @@
   ).map(([name, now, roomElsewhere, expected]): PartitionCase => [
     name,
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
       partition.addJob(jobSpec('job-2', { tasks: 1 }));
       const live = partition.heartbeat('m', 0).map((c) => taskInPhase(c, 'running'));
       partition.heartbeat('m', 1000, live);
-      if (roomElsewhere) partition.addMachine('n', AFTER_OWNER);
+      if (roomElsewhere) partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.heartbeat('n', now - 500);
       partition.core.drainForTransfer('m', 'p1', now);
       assert.deepEqual(
@@ -54,9 +54,9 @@
     // was on its way to another partition.
     'a machine that is on its way elsewhere gets nothing, whatever is told of its record',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       assert.equal(partition.core.cordon('m'), true);
-      partition.addMachine('m', AFTER_OWNER + 1);
+      partition.addMachine('m', REVISION_AFTER_EPOCH + 1);
       partition.addJob(jobSpec('job-1'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
       partition.core.uncordon('m');
@@ -66,7 +66,7 @@
   [
     'an emptied machine is given to the partition that waits for it, unless that is taken back',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.core.drainForTransfer('m', 'p1', 0);
       assert.deepEqual(partition.core.drainedMachines(), [{ id: 'm', toPartition: 'p1' }]);
       partition.addJob(jobSpec('job-1'));
--- a/test/partition/machine.test.ts
+++ b/test/partition/machine.test.ts
@@ -3,8 +3,8 @@
 import { type HeartbeatTask } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   OWNER_EPOCH,
   type PartitionCase,
   PartitionHarness,
@@ -16,7 +16,7 @@
   [
     'a start is given again only after a newer report without it',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 1);
       const late = partition.heartbeat('m', 100, [], { sequence: 1 });
@@ -32,18 +32,21 @@
   [
     'a machine taken over is given nothing before it has seen the new token',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
       partition.addJob(jobSpec('job-1'));
-      assert.deepEqual(startedTasks(partition.heartbeat('m', 0, [], { token: BEFORE_OWNER * 1024 })), []);
+      assert.deepEqual(
+        startedTasks(partition.heartbeat('m', 0, [], { token: REVISION_BEFORE_EPOCH * 1024 })),
+        [],
+      );
       assert.equal(startedTasks(partition.heartbeat('m', 500, [], { token: OWNER_EPOCH * 1024 })).length, 2);
     },
   ],
   [
     'a machine that nobody opened holds nothing up, and gets nothing before it is',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addUnassignedMachine('booting', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 6 }), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addUnassignedMachine('booting', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 6 }), REVISION_BEFORE_EPOCH);
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4, 'begun before, but surely not there');
       assert.deepEqual(startedTasks(partition.heartbeat('booting', 100)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['booting']);
@@ -54,11 +57,11 @@
   [
     'a machine of an earlier owner that comes back from another partition is opened anew',
     (partition) => {
-      partition.assignedByEarlierOwner('m');
-      partition.addUnassignedMachine('n', AFTER_OWNER);
+      partition.recordAssignedByEarlierOwner('m');
+      partition.addUnassignedMachine('n', REVISION_AFTER_EPOCH);
       partition.heartbeat('n', 0);
       assert.deepEqual(partition.core.unassignedMachines(), ['n'], 'the list is written anew, without m');
-      partition.addUnassignedMachine('m', AFTER_OWNER + 1);
+      partition.addUnassignedMachine('m', REVISION_AFTER_EPOCH + 1);
       partition.addJob(jobSpec('job-1'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 1000)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['n', 'm']);
@@ -70,10 +73,10 @@
     // The store's list forgets machines that are gone: trusted after its return, it would hide tasks from a next owner.
     'a machine that left and came back is opened anew',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1'));
       partition.core.removeMachine('m', 0);
-      partition.addUnassignedMachine('m', AFTER_OWNER);
+      partition.addUnassignedMachine('m', REVISION_AFTER_EPOCH);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['m']);
     },
@@ -81,11 +84,11 @@
   [
     'live tasks are adopted, not started again',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       const live: HeartbeatTask = { ref: 'job-1', index: 0, attempt: 7, phase: 'running', exit: null };
-      partition.heartbeat('m', 0, [live], { token: BEFORE_OWNER * 1024 });
+      partition.heartbeat('m', 0, [live], { token: REVISION_BEFORE_EPOCH * 1024 });
       assert.deepEqual(startedTasks(partition.heartbeat('m', 500, [live])), ['job-1/1']);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 600)), []);
     },
@@ -93,8 +96,8 @@
   [
     'a refused start beside the live attempt leaves the task where it is',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -106,7 +109,7 @@
   [
     'a new session ends what was there',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -120,8 +123,8 @@
   [
     'a machine that is gone gives its tasks back',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 2 }));
       partition.heartbeat('m', 0);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 0)), []);
@@ -132,7 +135,7 @@
   [
     'a notice: nothing new, and what can save is told to in time',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -154,9 +157,9 @@
     // Its answers were lost: each start waited there until it was proved absent, again and again.
     'a machine whose reports arrive but that does not hear us gets nothing until it shows a new token',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
-      const silent = AFTER_OWNER * 1024;
+      const silent = REVISION_AFTER_EPOCH * 1024;
       assert.equal(startedTasks(partition.heartbeat('m', 0, [], { token: silent })).length, 1);
       for (const now of [2000, 4000, 6000])
         assert.deepEqual(startedTasks(partition.heartbeat('m', now, [], { token: silent })), []);
@@ -164,7 +167,7 @@
         startedTasks(partition.heartbeat('m', 20_000, [], { agentEpoch: 2, sequence: 1, token: silent })),
         [],
       );
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       assert.equal(startedTasks(partition.heartbeat('n', 20_100)).length, 1, 'it runs elsewhere');
       partition.addJob(jobSpec('job-2', { tasks: 1 }));
       const heard = partition.heartbeat('m', 22_000, [], { agentEpoch: 2, sequence: 2, token: silent + 2 });
@@ -175,7 +178,7 @@
     // Hundreds of machines were given back within seconds of being up: they counted as idle since their rental.
     'a machine is idle from its first report on, not from its rental',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.heartbeat('m', 30_000);
       assert.equal(partition.core.currentLoad(31_000).machines[0]?.idleMs, 1000);
     },
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -7,7 +7,7 @@
 import { keys } from '../../src/protocol/keys';
 import { ReplicaView } from '../../src/storage/replica-view';
 import { StateStoreClient } from '../../src/storage/state-store-client';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 
 type ScriptedResponse = HttpResponse | null;
 
@@ -84,7 +84,7 @@
     await t.test(name, async () => {
       const harness = new PartitionActorHarness(answers);
       harness.actor.send({ kind: 'handover', to: 'b', incarnation: 9 });
-      await settle();
+      await flushPromises();
       await harness.time.run(20_000);
       assert.equal(harness.actor.active, goesOn);
       assert.ok(harness.transactionCount < 200, `${harness.transactionCount} requests in 20 s`);
@@ -107,7 +107,7 @@
       // The move is tried once more with each tick of a real controller; one is enough here.
       harness.time.at(1000, () => (harness.alive = false));
       harness.time.at(4000, () => (harness.alive = true));
-      await settle();
+      await flushPromises();
       await harness.time.run(20_000);
       assert.equal(harness.core.machines.get(MACHINE)?.cordoned, locked);
     });
--- a/test/partition/scheduling.test.ts
+++ b/test/partition/scheduling.test.ts
@@ -3,8 +3,8 @@
 import { type Command, type HeartbeatTask } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -15,7 +15,7 @@
   [
     'tasks start in arrival order up to what fits',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 6 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4);
     },
@@ -23,7 +23,7 @@
   [
     'the more urgent go first, whenever they came',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 4 }));
       partition.addJob(jobSpec('job-2', { tasks: 3, priority: 1 }));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)).sort(), [
@@ -37,7 +37,7 @@
   [
     'room goes first to a job whose image the machine holds, not past one more urgent',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1, image: 'held', cpus: 2 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -53,7 +53,7 @@
   [
     "a team's limit holds over all machines",
     (partition) => {
-      for (const id of ['m', 'n', 'o']) partition.addMachine(id, AFTER_OWNER);
+      for (const id of ['m', 'n', 'o']) partition.addMachine(id, REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 20 }));
       const n = ['m', 'n', 'o'].map((id) => startedTasks(partition.heartbeat(id, 0)).length);
       assert.equal(n[0]! + n[1]! + n[2]!, 8);
@@ -63,7 +63,7 @@
     // A single task of a large job had begun, so it was passed over for four minutes.
     'a large job goes first after a while unless half of what its team may run has begun',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-0', { tasks: 3, priority: 1 }));
       partition.addJob(jobSpec('job-1', { tasks: 40, priority: 3 }));
       const [large, others] = [(c: Command) => c.ref === 'job-1', (c: Command) => c.ref !== 'job-1'];
@@ -84,8 +84,8 @@
   [
     'a guest team without a limit borrows what is free, also while machines are silent',
     (partition) => {
-      partition.addMachine('silent', BEFORE_OWNER);
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 9 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4);
       assert.equal(partition.core.currentLoad(0).demands[0]?.tasks, 5);
@@ -95,8 +95,8 @@
   [
     'together: all in the zone of the first',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER, { zone: 'b' });
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH, { zone: 'b' });
       partition.addJob(jobSpec('job-1', { tasks: 6, singleZone: true }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 4);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 10)), []);
@@ -105,7 +105,7 @@
   [
     'the largest job begins within four minutes, however many smaller and more urgent ones keep coming',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-0', { tasks: 500, expectedS: 900, priority: 3 }));
       let live: HeartbeatTask[] = [];
       let begun: number | null = null;
@@ -123,13 +123,13 @@
   [
     "work within its team's guarantee does not wait for ever behind what others flood it with",
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.core.tick(0, 0);
       partition.addJob(jobSpec('job-1', { tasks: 2, priority: 3 }));
       for (let n = 2; n < 9; n++) partition.addJob(jobSpec(`job-${n}`, { tasks: 8, priority: 2 }));
       assert.ok(!startedTasks(partition.heartbeat('m', 0)).includes('job-1/0'));
       partition.core.tick(30_000, 30_000);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 30_000)).slice(0, 2), ['job-1/0', 'job-1/1']);
     },
   ],
--- a/test/partition/start-watermarks.test.ts
+++ b/test/partition/start-watermarks.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -14,11 +14,11 @@
     // Two tasks of a team with room waited for two minutes beside a free machine.
     'marks are raised past a job that its team limit holds back',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 40 }), AFTER_OWNER, '', 8);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 40 }), REVISION_AFTER_EPOCH, '', 8);
       partition.heartbeat('m', 0);
-      partition.addJob(jobSpec('job-2', { tasks: 10, team: 'u' }), AFTER_OWNER, '0-7', 8);
+      partition.addJob(jobSpec('job-2', { tasks: 10, team: 'u' }), REVISION_AFTER_EPOCH, '0-7', 8);
       assert.equal(partition.core.progress(0).jobs.get('job-2')?.startWatermark, 10);
     },
     4,
@@ -26,9 +26,9 @@
   [
     'tasks beyond the start watermark wait until the store has it; after a take-over they are known to be nowhere',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 4, cpus: 0.5 }), BEFORE_OWNER, '', 2);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 4, cpus: 0.5 }), REVISION_BEFORE_EPOCH, '', 2);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
       const { jobs, watermarksRaised } = partition.core.progress(100);
       assert.equal(watermarksRaised, true);
@@ -46,9 +46,14 @@
     // Start watermarks were raised for tasks that had to wait anyway: a whole lease long nothing new began.
     'after a take-over marks are raised for tasks that were never begun, while others wait for a silent machine',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 40, cpus: 0.1, memoryGb: 0 }), BEFORE_OWNER, '', 20);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
+      partition.addJob(
+        jobSpec('job-1', { tasks: 40, cpus: 0.1, memoryGb: 0 }),
+        REVISION_BEFORE_EPOCH,
+        '',
+        20,
+      );
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
       assert.equal(startedTasks(partition.heartbeat('m', 0))[0], 'job-1/20');
     },
@@ -57,8 +62,8 @@
     // Left out while none of its tasks was out, it lost its start watermark: the next owner took tasks for never begun.
     'a job whose start watermark was raised stays on record though nothing of it runs',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 20, cpus: 0.1 }), AFTER_OWNER, '', 8);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 20, cpus: 0.1 }), REVISION_AFTER_EPOCH, '', 8);
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
       assert.ok((partition.core.progress(0).jobs.get('job-1')?.startWatermark ?? 0) > 8);
     },
--- a/test/partition/unconfirmed-machines.test.ts
+++ b/test/partition/unconfirmed-machines.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -14,9 +14,9 @@
     // Its reports kept coming, each was answered, and each answer counted as a new lease: it never came to an end.
     'a machine that hears nothing of a new owner holds up others for one lease at most',
     (partition) => {
-      partition.addMachine('deaf', BEFORE_OWNER);
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('deaf', REVISION_BEFORE_EPOCH);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       for (let now = 0; now <= 12_000; now += 2000) {
         partition.heartbeat('deaf', now, [], { token: 0 });
         assert.deepEqual(startedTasks(partition.heartbeat('m', now + 100)), []);
@@ -32,9 +32,9 @@
   [
     'one that took an answer meanwhile is waited for',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addMachine('late', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addMachine('late', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       partition.heartbeat('late', 8000, [], { token: 0 });
       partition.core.tick(13_000, 0);
       assert.deepEqual(
@@ -49,9 +49,9 @@
   [
     'while one machine is silent, earlier jobs wait and new ones run',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       partition.addJob(jobSpec('job-2'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), ['job-2/0', 'job-2/1']);
       partition.core.tick(12_000, 0);
@@ -66,7 +66,7 @@
       // What an owner before us may have started counts, wherever it is; else a limit would be exceeded unseen.
       [
         'tasks of the team that nobody has seen since',
-        (partition) => partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
+        (partition) => partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH),
         2,
       ],
       [
@@ -89,7 +89,7 @@
       [
         'a job cancelled while it is silent',
         (partition) => (
-          partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
+          partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH),
           partition.closeJob('job-1', 'cancelled')
         ),
         2,
@@ -98,9 +98,9 @@
   ).map(([what, before, hidden]): PartitionCase => [
     `a silent machine may hide of a team: ${what}`,
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
       before(partition);
       partition.addJob(jobSpec('job-2', { tasks: 20 }));
       assert.equal(
@@ -115,9 +115,14 @@
     // Never begun, they went to one zone while others of the job ran in another, on a machine that had not spoken yet.
     'tasks that must be together wait for all machines to speak, also if they were never begun',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER, { zone: 'b' });
-      partition.addJob(jobSpec('job-1', { tasks: 4, cpus: 0.1, singleZone: true }), BEFORE_OWNER, '', 1);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH, { zone: 'b' });
+      partition.addJob(
+        jobSpec('job-1', { tasks: 4, cpus: 0.1, singleZone: true }),
+        REVISION_BEFORE_EPOCH,
+        '',
+        1,
+      );
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
     },
--- a/test/requests/api-routes.test.ts
+++ b/test/requests/api-routes.test.ts
@@ -30,13 +30,13 @@
     ['an unknown team', post({ crew: 'nobody' }), 422, /unknown team nobody/],
     ['a task that fits nowhere', post({ memory_gb: 64 }), 422, /no allowed machine type/],
     ["a task over its team's limit", post({ cpus: 9 }), 422, /limit/],
-    ['machine types not known yet', post({}), 503, /machine types/, () => (api.types = [])],
+    ['machine types not known yet', post({}), 503, /machine types/, () => (api.machineTypes = [])],
     [
       'a job nobody submitted',
       ['GET', '/v2/runs/job-000412'],
       404,
       /no such job/,
-      () => (api.types = [ONE_ZONE_TYPE]),
+      () => (api.machineTypes = [ONE_ZONE_TYPE]),
     ],
     ['a job of no form', ['GET', '/v2/runs/x'], 404, /no such job/],
     ['the store is closed', post({}), 503, /durable/, () => (api.storeRefuses = true)],
@@ -72,7 +72,7 @@
       ['POST', '/hello', JSON.stringify(HEARTBEAT)],
       421,
       /"dispatcher":"velodrome-2"/,
-      () => (api.reply = { kind: 'redirect', owner: 'velodrome-2' }),
+      () => (api.heartbeatReply = { kind: 'redirect', owner: 'velodrome-2' }),
     ],
     [
       'a report of our machine',
@@ -80,7 +80,7 @@
       200,
       /"baton":7,"orders":\[\{"order":"start","piece":"job-1\/2","try":3\}\]/,
       () =>
-        (api.reply = {
+        (api.heartbeatReply = {
           kind: 'answer',
           token: 7,
           commands: [{ op: 'start', ref: 'job-1', index: 2, attempt: 3 }],
@@ -92,7 +92,7 @@
   for (const [name, [method, path, body], status, shown, prepare] of cases) {
     await t.test(name, async () => {
       prepare?.();
-      const got = await api.ask(method, path, body);
+      const got = await api.request(method, path, body);
       assert.equal(got.status, status, JSON.stringify(got.body));
       if (shown) assert.match(JSON.stringify(got.body), shown);
       if (status === 503 && path.startsWith('/v2')) assert.equal(got.retryAfter, '1');
--- a/test/requests/job-service.test.ts
+++ b/test/requests/job-service.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { StateStoreClient } from '../../src/storage/state-store-client';
 import { VirtualTime } from '../standin/clock';
-import { jobServiceOver, ONE_ZONE_TYPE, SILENT_LOG, SUBMISSION } from '../support/api-fixture';
+import { createJobService, ONE_ZONE_TYPE, SILENT_LOG, SUBMISSION } from '../support/api-fixture';
 
 test('submissions and questions beyond what can wait for the store are shed at once', async () => {
   const never = { call: () => new Promise<never>(() => undefined) };
@@ -11,7 +11,7 @@
     { transport: never, watchTransport: never, clock, log: SILENT_LOG },
     { requestRate: 1e6, writeRate: 1e6, controllers: 1 },
   );
-  const jobService = jobServiceOver(stateStore, clock, () => [ONE_ZONE_TYPE]);
+  const jobService = createJobService(stateStore, clock, () => [ONE_ZONE_TYPE]);
   for (let n = 0; n < 300; n++) void jobService.submit({ ...SUBMISSION, ref: `job-${n}` });
   const answer = await jobService.submit({ ...SUBMISSION, ref: 'job-1000' });
   assert.equal(answer.status, 429);
--- a/test/requests/plain-routes.test.ts
+++ b/test/requests/plain-routes.test.ts
@@ -6,7 +6,7 @@
 const api = new ApiFixture();
 before(() => api.start());
 after(() => api.close());
-api.reply = {
+api.heartbeatReply = {
   kind: 'answer',
   token: 7,
   commands: [{ op: 'start', ref: 'job-1', index: 2, attempt: 3 }],
@@ -14,11 +14,11 @@
 
 // A faster answer must not be another one: whatever is asked, the plain routes and express say the same.
 test('plain routes answer as the general gateway does', async () => {
-  const generalPort = await api.serveGeneral();
+  const generalPort = await api.serveExpressApp();
   const known = { ...SUBMISSION, ref: 'job-777' };
-  assert.equal((await api.ask('POST', '/v2/runs', JSON.stringify(known))).status, 201);
+  assert.equal((await api.request('POST', '/v2/runs', JSON.stringify(known))).status, 201);
   // From now on nothing that is asked changes anything.
-  assert.equal((await api.ask('POST', '/v2/runs/job-777/cancel')).status, 200);
+  assert.equal((await api.request('POST', '/v2/runs/job-777/cancel')).status, 200);
   const field = fc.constantFrom(...Object.keys(SUBMISSION));
   const changed = fc
     .tuple(field, fc.oneof(fc.jsonValue(), fc.constantFrom(1e300, -1, 2 ** 63, 'x'.repeat(300))))
@@ -47,8 +47,8 @@
   await fc.assert(
     fc.asyncProperty(fc.constantFrom('GET', 'POST'), path, body, async (method, to, text) => {
       const content = method === 'POST' ? text : undefined;
-      const plain = await api.ask(method, to, content);
-      assert.deepEqual(plain, await api.ask(method, to, content, generalPort));
+      const plain = await api.request(method, to, content);
+      assert.deepEqual(plain, await api.request(method, to, content, generalPort));
     }),
     { numRuns: 150 },
   );
--- a/test/requests/request-server.test.ts
+++ b/test/requests/request-server.test.ts
@@ -6,7 +6,7 @@
 const api = new ApiFixture();
 before(() => api.start());
 after(() => api.close());
-api.reply = {
+api.heartbeatReply = {
   kind: 'answer',
   token: 7,
   commands: [{ op: 'start', ref: 'job-1', index: 2, attempt: 3 }],
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -5,19 +5,19 @@
 import { VirtualCluster } from '../cluster/virtual-cluster';
 
 /** A virtual day with skewed load, as it is measured and tested with and without balancing. */
-export interface BalanceDayOptions {
+export interface BalanceSimulationOptions {
   seed: number;
   /** Settings of the balancer; null: it is off. */
   balancing: object | null;
   machines: number;
   /** For how long jobs are submitted. */
-  minutes: number;
+  submissionMinutes: number;
   /** The moment at which one controller ends, for some seconds; null: none does. */
   crashAtMs: number | null;
 }
 
 /** What a day came to. */
-export interface BalanceDayResult {
+export interface BalanceSimulationResult {
   violations: string[];
   jobs: number;
   finished: number;
@@ -38,7 +38,7 @@
 const SETTLE_MS = 10_000;
 const DRAIN_MS = 400_000;
 const CRASH_MS = 5000;
-const MACHINE_TYPES = [{ label: 'small', cpus: 4, memory: 16 }];
+const MACHINE_TYPES = [{ label: 'small', cpus: 4, memoryGb: 16 }];
 
 interface StatusView {
   balance?: {
@@ -81,13 +81,16 @@
 }
 
 /** Idle tasks of all run times fill the fleet in pieces; large urgent tasks and a team whose load doubles come on top. */
-function submitJobs(cluster: VirtualCluster, { seed, machines, minutes }: BalanceDayOptions): void {
+function submitJobs(
+  cluster: VirtualCluster,
+  { seed, machines, submissionMinutes }: BalanceSimulationOptions,
+): void {
   const random = prand.xoroshiro128plus(seed);
   const pick = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
   const small = { cpus: 1, image: 'img-0', imageGb: 1, checkpointIntervalS: 10, checkpointDurationS: 1 };
   let n = 0;
-  for (let at = SETTLE_MS; at < minutes * 60_000; at += 10_000) {
-    const doubled = at > minutes * 20_000 && at < minutes * 40_000;
+  for (let at = SETTLE_MS; at < submissionMinutes * 60_000; at += 10_000) {
+    const doubled = at > submissionMinutes * 20_000 && at < submissionMinutes * 40_000;
     for (const team of ['north', 'south']) {
       const most = Math.round(machines * (doubled && team === 'north' ? 0.25 : 0.125));
       const runMs = 40_000 + pick(240_000);
@@ -118,7 +121,9 @@
 }
 
 /** Plays a day. Only the processor time depends on the machine that it is played on. */
-export async function playBalanceDay(options: BalanceDayOptions): Promise<BalanceDayResult> {
+export async function runBalanceSimulation(
+  options: BalanceSimulationOptions,
+): Promise<BalanceSimulationResult> {
   const startDelays = new StartDelays();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
   const cluster = new VirtualCluster(options.seed, {
@@ -131,7 +136,7 @@
     ...(settings ? { balancing: (clock) => createLoadBalancing(settings, clock) } : {}),
   });
   submitJobs(cluster, options);
-  const endMs = options.minutes * 60_000;
+  const endMs = options.submissionMinutes * 60_000;
   const spread: { atMs: number; value: number }[] = [];
   const sample = (): void => {
     spread.push({ atMs: cluster.time.now, value: coefficientOfVariation(usedCpus(cluster)) });
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -7,7 +7,7 @@
 }
 
 /** What fakes need of time, virtual or real. */
-export interface SimulatedTime {
+export interface TimeSource {
   /** Milliseconds since the start. */
   readonly now: number;
   /** Runs `action` at this moment; `cancel` takes it back. */
@@ -16,7 +16,7 @@
 }
 
 /** Virtual time: nothing waits, everything happens in the order of its time. */
-export class VirtualTime implements SimulatedTime {
+export class VirtualTime implements TimeSource {
   now = 0;
   private order = 0;
   private timers: Timer[] = [];
@@ -47,7 +47,7 @@
       this.timers.shift();
       this.now = next.at;
       next.action();
-      if (this.timers[0]?.at !== this.now) await settle();
+      if (this.timers[0]?.at !== this.now) await flushPromises();
     }
     this.now = end;
   }
@@ -71,6 +71,6 @@
 }
 
 /** Lets chains of promises run to where they wait for virtual time again. */
-export async function settle(): Promise<void> {
+export async function flushPromises(): Promise<void> {
   for (let i = 0; i < 3; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/standin/fake-cloud.ts
+++ b/test/standin/fake-cloud.ts
@@ -1,6 +1,6 @@
 import type { HttpResponse } from '../../src/transport/http-client';
-import type { SimulatedTime } from './clock';
-import { FakeWorker, type FleetHooks } from './fake-worker';
+import type { TimeSource } from './clock';
+import { FakeWorker, type FakeWorkerHooks } from './fake-worker';
 import { jsonResponse } from './json-response';
 
 /** Machines on a page of the list unless said otherwise: what one page shows may have changed by the next. */
@@ -11,20 +11,20 @@
   label: string;
   cpus: number;
   /** In GB. */
-  memory: number;
+  memoryGb: number;
 }
 
 /** What a fake cloud has, and how slow it is. */
 export interface FakeCloudOptions {
-  time: SimulatedTime;
-  hooks: FleetHooks;
+  time: TimeSource;
+  hooks: FakeWorkerHooks;
   machineTypes: readonly FakeMachineType[];
   zones: readonly string[];
   maxMachines: number;
   /** The list of machines shows how things stood so long ago. */
   listLagMs: number;
   bootMs: number;
-  pageMachines?: number;
+  machinesPerPage?: number;
 }
 
 /** A machine as the cloud's answers describe it. */
@@ -111,11 +111,11 @@
 
   private catalog(): Promise<HttpResponse> {
     const { machineTypes, bootMs, zones } = this.options;
-    const models = machineTypes.map(({ label, cpus, memory }) => ({
+    const models = machineTypes.map(({ label, cpus, memoryGb }) => ({
       label,
       cpus,
       accelerators: 0,
-      memory_gb: memory,
+      memory_gb: memoryGb,
       local_gb: 50,
       fetch_gb_per_s: 1,
       rate: cpus * 0.05,
@@ -148,11 +148,11 @@
 
   /** A page of the list as it was some time ago. */
   private list(from: string): Promise<HttpResponse> {
-    const { time, listLagMs, pageMachines = DEFAULT_PAGE_MACHINES } = this.options;
+    const { time, listLagMs, machinesPerPage = DEFAULT_PAGE_MACHINES } = this.options;
     this.lists.push({ at: time.now, rows: this.machineRows() });
     const shown = this.lists.filter(({ at }) => at <= time.now - listLagMs).pop();
     const after = (shown?.rows ?? []).filter(({ ref }) => ref > from);
-    const page = after.slice(0, pageMachines);
+    const page = after.slice(0, machinesPerPage);
     return jsonResponse(200, { velodromes: page, truncated: after.length > page.length });
   }
 
--- a/test/standin/fake-worker.ts
+++ b/test/standin/fake-worker.ts
@@ -1,5 +1,5 @@
 import type { HttpResponse } from '../../src/transport/http-client';
-import type { SimulatedTime } from './clock';
+import type { TimeSource } from './clock';
 
 /** Time that an image takes unless a hook says otherwise. */
 const DEFAULT_IMAGE_FETCH_MS = 700;
@@ -33,7 +33,7 @@
 }
 
 /** What surrounds the workers: the network, the run times of tasks, and who is told of them. */
-export interface FleetHooks {
+export interface FakeWorkerHooks {
   /** A task starts to run on a machine; checks of rules belong here. */
   taskStarted: (worker: FakeWorker, taskId: string) => void;
   taskCompleted: (taskId: string) => void;
@@ -43,14 +43,18 @@
   /** Time until a task's image is on a machine. */
   imageFetchMs?: (worker: FakeWorker, taskId: string) => number;
   /** Time that a task needs to write a checkpoint when it is stopped; null: it writes none. */
-  checkpointMs?: (taskId: string) => number | null;
+  checkpointDurationMs?: (taskId: string) => number | null;
   /** A task was stopped after it had run so long here; `saved`: it goes on from there. */
   taskStopped?: (taskId: string, ranMs: number, saved: boolean) => void;
   /** Brings a heartbeat to a controller; null: no answer in time. */
-  deliver: (controller: number, worker: FakeWorker, heartbeat: object) => Promise<HttpResponse | null>;
+  deliverHeartbeat: (
+    controller: number,
+    worker: FakeWorker,
+    heartbeat: object,
+  ) => Promise<HttpResponse | null>;
   /** The index of a controller, from the name in a redirect; null: unknown. */
   controllerIndex: (name: string) => number | null;
-  controllers: number;
+  controllerCount: number;
   heartbeatIntervalMs: number;
   leaseMs: number;
 }
@@ -87,8 +91,8 @@
   private heartbeatDueSoon = false;
 
   constructor(
-    private readonly time: SimulatedTime,
-    private readonly hooks: FleetHooks,
+    private readonly time: TimeSource,
+    private readonly hooks: FakeWorkerHooks,
     { name, type, zone, spot }: MachineProfile,
   ) {
     this.name = name;
@@ -96,7 +100,7 @@
     this.zone = zone;
     this.spot = spot;
     this.leaseRenewedAt = time.now;
-    this.controller = Number(name.slice(-1)) % hooks.controllers;
+    this.controller = Number(name.slice(-1)) % hooks.controllerCount;
     this.loop();
   }
 
@@ -167,7 +171,7 @@
     const sentAt = this.time.now;
     const sentEpoch = this.agentEpoch;
     this.lastHeartbeatAt = sentAt;
-    const response = await this.hooks.deliver(this.controller, this, this.heartbeatBody());
+    const response = await this.hooks.deliverHeartbeat(this.controller, this, this.heartbeatBody());
     this.awaitingResponse = false;
     if (!this.up || this.hung) return;
     if (response?.status !== 200) return this.tryNextController(response);
@@ -189,7 +193,7 @@
     const owner = redirect.dispatcher === undefined ? null : this.hooks.controllerIndex(redirect.dispatcher);
     const redirected = owner !== null && owner !== this.controller;
     const pauseMs = redirected ? REDIRECT_PAUSE_MS : NEXT_CONTROLLER_PAUSE_MS;
-    this.controller = redirected ? owner : (this.controller + 1) % this.hooks.controllers;
+    this.controller = redirected ? owner : (this.controller + 1) % this.hooks.controllerCount;
     this.lastHeartbeatAt = this.time.now + pauseMs - this.hooks.heartbeatIntervalMs;
   }
 
@@ -232,7 +236,7 @@
 
   /** A running task that can write a checkpoint does so if it is given the time; anything else ends at once. */
   private stopTask(taskId: string, task: TaskAttempt, graceS: number): void {
-    const checkpointMs = this.hooks.checkpointMs?.(taskId) ?? null;
+    const checkpointMs = this.hooks.checkpointDurationMs?.(taskId) ?? null;
     if (task.status === 'flushing' && graceS > 0) return;
     if (task.status !== 'running' || checkpointMs === null || checkpointMs > graceS * 1000)
       return this.endTask(taskId, task, 'stopped');
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -6,12 +6,12 @@
 import { join } from 'node:path';
 import { type HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud } from './fake-cloud';
-import { type FleetHooks, type FakeWorker } from './fake-worker';
+import { type FakeWorkerHooks, type FakeWorker } from './fake-worker';
 import { sendRequest, serveFake } from './http-front';
 import { RealTime } from './real-time';
 import { FakeStateStore } from './store';
 
-const MACHINE_TYPE = { label: 'small', cpus: 4, memory: 16 };
+const MACHINE_TYPE = { label: 'small', cpus: 4, memoryGb: 16 };
 const RESPONSE_TIMEOUT_MS = 4000;
 const PAGE_SIZE = 1000;
 const BOOT_MS = 2000;
@@ -26,7 +26,10 @@
   teams: { name: string; cpus: number; cpus_max: number }[];
   /** A file of features; null: none. */
   features: string | null;
-  hooks: Pick<FleetHooks, 'taskStarted' | 'taskCompleted' | 'runMs' | 'checkpointMs' | 'taskStopped'>;
+  hooks: Pick<
+    FakeWorkerHooks,
+    'taskStarted' | 'taskCompleted' | 'runMs' | 'checkpointDurationMs' | 'taskStopped'
+  >;
 }
 
 /** Ports that nobody listens on now. */
@@ -53,12 +56,12 @@
     private readonly options: LoopbackOptions,
     private readonly ports: number[],
   ) {
-    const hooks: FleetHooks = {
+    const hooks: FakeWorkerHooks = {
       ...options.hooks,
       leaseExpired: () => undefined,
-      deliver: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
+      deliverHeartbeat: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex: (name) => Number(name.split('-')[1]),
-      controllers: options.controllers,
+      controllerCount: options.controllers,
       heartbeatIntervalMs: options.heartbeatIntervalMs,
       leaseMs: options.leaseMs,
     };
@@ -70,7 +73,7 @@
       maxMachines: options.machines,
       listLagMs: LIST_LAG_MS,
       bootMs: BOOT_MS,
-      pageMachines: PAGE_SIZE,
+      machinesPerPage: PAGE_SIZE,
     });
     for (let i = 0; i < options.machines; i++) this.cloud.addMachine(MACHINE_TYPE.label, 'a', true, 0);
   }
--- a/test/standin/real-time.ts
+++ b/test/standin/real-time.ts
@@ -1,7 +1,7 @@
-import { type SimulatedTime } from './clock';
+import { type TimeSource } from './clock';
 
 /** The stand-ins' time as it really passes. */
-export class RealTime implements SimulatedTime {
+export class RealTime implements TimeSource {
   private readonly startedAt = performance.now();
   private stopped = false;
 
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -14,7 +14,7 @@
 /** How long what a worker does takes. */
 export interface SimulatedWorkerOptions {
   imageFetchMs: number;
-  checkpointMs: number;
+  checkpointDurationMs: number;
   leaseMs: number;
   /** Run time left of a task. */
   runMs: (ref: string, index: number) => number;
@@ -47,7 +47,7 @@
   }
 
   /** Tasks that take their place on the machine, as the rules count them. */
-  occupyingTasks(): string[] {
+  executingTasks(): string[] {
     const here = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'checkpointing');
     return this.terminated ? [] : here.map(([key]) => key);
   }
@@ -115,13 +115,13 @@
 
   private stop(task: SimulatedTask, graceS: number, now: number): void {
     if (task.phase === 'exited' || (task.phase === 'checkpointing' && graceS > 0)) return;
-    const saves = task.phase === 'running' && this.options.checkpointMs <= graceS * 1000;
+    const saves = task.phase === 'running' && this.options.checkpointDurationMs <= graceS * 1000;
     if (saves) {
       const ranMs = this.options.runMs(task.ref, task.index) - (task.endsAt - now);
       this.options.checkpointed(task.ref, task.index, ranMs);
     }
     task.phase = saves ? 'checkpointing' : 'exited';
     task.exit = saves ? null : 'stopped';
-    task.endsAt = now + this.options.checkpointMs;
+    task.endsAt = now + this.options.checkpointDurationMs;
   }
 }
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -1,5 +1,5 @@
 import type { HttpResponse } from '../../src/transport/http-client';
-import type { SimulatedTime } from './clock';
+import type { TimeSource } from './clock';
 import { jsonResponse } from './json-response';
 
 interface StoredEntry {
@@ -29,7 +29,7 @@
   private down = false;
 
   constructor(
-    private readonly time: SimulatedTime,
+    private readonly time: TimeSource,
     private readonly pageKeys = DEFAULT_PAGE_KEYS,
   ) {
     const sweep = (): void => {
--- a/test/storage/closing.test.ts
+++ b/test/storage/closing.test.ts
@@ -3,7 +3,7 @@
 import pino from 'pino';
 import { RequestPriority, RequestQueue } from '../../src/storage/request-queue';
 import { StateStoreClient } from '../../src/storage/state-store-client';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 
 const limits = { requestRate: 10, writeRate: 10, controllers: 1 };
 
@@ -43,7 +43,7 @@
   );
   let ended = false;
   void client.followChanges().then(() => (ended = true));
-  await settle();
+  await flushPromises();
   await time.run(2000);
   assert.ok(client.replica.synced && !ended);
   client.close();
--- a/test/storage/state-store-client.test.ts
+++ b/test/storage/state-store-client.test.ts
@@ -3,7 +3,7 @@
 import pino from 'pino';
 import { type HttpResponse } from '../../src/transport/http-client';
 import { StateStoreClient } from '../../src/storage/state-store-client';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 
 interface Row {
   key: string;
@@ -98,7 +98,7 @@
       const publishedRevisions: number[] = [];
       stateStore.replica.snapshots.subscribe(() => publishedRevisions.push(stateStore.replica.revision));
       void stateStore.followChanges();
-      await settle();
+      await flushPromises();
       await time.run(3000);
       assert.deepEqual(publishedRevisions, expected);
       assert.equal(stateStore.replica.synced, expected.length > 0);
--- a/test/support/api-fixture.ts
+++ b/test/support/api-fixture.ts
@@ -13,7 +13,7 @@
 import { type Clock } from '../../src/transport/clock';
 import { Metrics } from '../../src/transport/metrics';
 import { servePlainRequests } from '../../src/transport/request-server';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 import { FakeStateStore } from '../standin/store';
 import { SMALL_TYPE } from './machine-types';
 
@@ -63,7 +63,7 @@
 export const ONE_ZONE_TYPE: MachineType = { ...SMALL_TYPE, zones: ['a'] };
 
 /** A job service for the team `vision` over this client of the state store. */
-export function jobServiceOver(
+export function createJobService(
   stateStore: StateStoreClient,
   clock: Clock,
   types: () => readonly MachineType[],
@@ -99,9 +99,9 @@
   /** The state service refuses everything. */
   storeRefuses = false;
   /** The machine types that are known; empty: none yet. */
-  types: MachineType[] = [ONE_ZONE_TYPE];
+  machineTypes: MachineType[] = [ONE_ZONE_TYPE];
   /** What heartbeats are answered. */
-  reply: HeartbeatReply = { kind: 'busy' };
+  heartbeatReply: HeartbeatReply = { kind: 'busy' };
   port = 0;
   private readonly time = new VirtualTime();
   private readonly store = new FakeStateStore(this.time);
@@ -135,10 +135,10 @@
     await this.store.request('POST', '/multi', transaction, () => false);
     void stateStore.followChanges();
     return {
-      jobService: jobServiceOver(stateStore, clock, () => this.types),
+      jobService: createJobService(stateStore, clock, () => this.machineTypes),
       log: SILENT_LOG,
-      receiveHeartbeat: (_, respond) => respond(this.reply),
-      ready: () => this.types.length > 0,
+      receiveHeartbeat: (_, respond) => respond(this.heartbeatReply),
+      ready: () => this.machineTypes.length > 0,
       status: () => ({}),
     };
   }
@@ -150,17 +150,17 @@
   }
 
   /** Serves the Express application alone, without the plain routes before it; returns its port. */
-  serveGeneral(): Promise<number> {
+  serveExpressApp(): Promise<number> {
     return listen(this.general as Server);
   }
 
   /** One request; virtual time passes until it is answered. */
-  async ask(method: string, path: string, body?: string, port = this.port): Promise<ReceivedResponse> {
+  async request(method: string, path: string, body?: string, port = this.port): Promise<ReceivedResponse> {
     let waiting = true;
     const response = send(method, path, body, port).finally(() => (waiting = false));
     while (waiting) {
       await this.time.run(this.time.now + VIRTUAL_STEP_MS);
-      await settle();
+      await flushPromises();
     }
     return response;
   }
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -7,9 +7,9 @@
 /** The epoch in which the partition under test began. */
 export const OWNER_EPOCH = 100;
 /** A revision from before that epoch: what an earlier owner may have acted on. */
-export const BEFORE_OWNER = 50;
+export const REVISION_BEFORE_EPOCH = 50;
 /** A revision from after it: only this owner can have acted on it. */
-export const AFTER_OWNER = 150;
+export const REVISION_AFTER_EPOCH = 150;
 /** A token above all that the partition gives out: the machine has acknowledged whatever was sent. */
 export const ACKNOWLEDGED_TOKEN = 1000 * 1024 * 1024;
 
@@ -54,7 +54,7 @@
   }
 
   /** A machine that an earlier owner recorded as assigned, and that is not here now. */
-  assignedByEarlierOwner(id: string): void {
+  recordAssignedByEarlierOwner(id: string): void {
     this.assigned.add(id);
   }
 
@@ -64,14 +64,14 @@
     this.core.upsertMachine(id, row, version, 0);
   }
 
-  addJob(job: JobSpec, version = AFTER_OWNER, doneRanges = '', startWatermark = job.tasks): void {
+  addJob(job: JobSpec, version = REVISION_AFTER_EPOCH, doneRanges = '', startWatermark = job.tasks): void {
     this.specs.set(job.ref, job);
     const progress = { doneRanges, doneCount: 0, runningCount: 0, startWatermark };
     this.core.openJob({ spec: job, acceptedAt: 0, revision: version, progress }, 0);
   }
 
   addTerminatedJob(job: JobSpec, state: JobState = 'cancelled'): void {
-    this.core.reserveQuotaForCancelled({ spec: job, revision: BEFORE_OWNER }, state);
+    this.core.reserveQuotaForCancelled({ spec: job, revision: REVISION_BEFORE_EPOCH }, state);
   }
 
   closeJob(ref: string, state: JobState): void {
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -5,7 +5,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
 import { Command } from 'commander';
-import { playBalanceDay } from '../../test/standin/balance-day';
+import { runBalanceSimulation } from '../../test/standin/balance-day';
 import { planningCosts } from './planning-cost';
 import { renderReport } from './report';
 import { VARIANTS, type VariantDays } from './variants';
@@ -22,8 +22,14 @@
   for (let seed = 1; seed <= Number(seeds); seed++) {
     for (const { variant, days } of compared) {
       const { balancing } = variant;
-      const day = await playBalanceDay({
-        ...{ seed, balancing, machines: Number(machines), minutes: Number(minutes), crashAtMs: null },
+      const day = await runBalanceSimulation({
+        ...{
+          seed,
+          balancing,
+          machines: Number(machines),
+          submissionMinutes: Number(minutes),
+          crashAtMs: null,
+        },
       });
       if (day.violations.length > 0) throw new Error(`seed ${seed}, ${variant.name}: ${day.violations[0]}`);
       days.push(day);
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -1,5 +1,5 @@
 import * as echarts from 'echarts';
-import { quantile, type BalanceDayResult } from '../../test/standin/balance-day';
+import { quantile, type BalanceSimulationResult } from '../../test/standin/balance-day';
 import { type PlanningCost } from './planning-cost';
 import { type VariantDays } from './variants';
 
@@ -15,7 +15,7 @@
 
 interface Figure {
   name: string;
-  of: (day: BalanceDayResult) => number;
+  of: (day: BalanceSimulationResult) => number;
 }
 
 const FIGURES: Figure[] = [
--- a/tools/balance/variants.ts
+++ b/tools/balance/variants.ts
@@ -1,5 +1,5 @@
 /** What the comparison of days with and without load balancing plays. */
-import { type BalanceDayResult } from '../../test/standin/balance-day';
+import { type BalanceSimulationResult } from '../../test/standin/balance-day';
 
 /** A way of running the service that is compared. */
 export interface Variant {
@@ -11,7 +11,7 @@
 /** The days of one variant, one a seed. */
 export interface VariantDays {
   variant: Variant;
-  days: BalanceDayResult[];
+  days: BalanceSimulationResult[];
 }
 
 export const VARIANTS: readonly Variant[] = [
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -10,7 +10,7 @@
 import { Command } from 'commander';
 import { type HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud } from '../../test/standin/fake-cloud';
-import { type FleetHooks, type FakeWorker } from '../../test/standin/fake-worker';
+import { type FakeWorkerHooks, type FakeWorker } from '../../test/standin/fake-worker';
 import { FakeStateStore } from '../../test/standin/store';
 import { attribute } from './attribution';
 import { sendRequest, serveFake } from '../../test/standin/http-front';
@@ -30,7 +30,7 @@
 const RECORDING_WRITE_MS = 4000;
 const SHOWN_FUNCTION_COUNT = 25;
 const TEAMS = ['north', 'south', 'west', 'east'];
-const MACHINE_KIND = { label: 'small', cpus: 4, memory: 16 };
+const MACHINE_KIND = { label: 'small', cpus: 4, memoryGb: 16 };
 
 interface Options {
   controllers: string;
@@ -82,14 +82,14 @@
 
   constructor(private readonly options: Options) {
     const machines = Number(options.machines);
-    const hooks: FleetHooks = {
+    const hooks: FakeWorkerHooks = {
       taskStarted: () => undefined,
       taskCompleted: () => undefined,
       leaseExpired: () => undefined,
       runMs: () => Number(options.taskSeconds) * 1000 * (0.5 + Math.random()),
-      deliver: (node, worker, heartbeat) => this.deliverHeartbeat(node, worker, heartbeat),
+      deliverHeartbeat: (node, worker, heartbeat) => this.deliverHeartbeat(node, worker, heartbeat),
       controllerIndex: (name) => Number(name.split('-')[1]),
-      controllers: Number(options.controllers),
+      controllerCount: Number(options.controllers),
       heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
       leaseMs: LEASE_MS,
     };
@@ -102,7 +102,7 @@
       maxMachines: machines,
       listLagMs: LIST_LAG_MS,
       bootMs: BOOT_MS,
-      pageMachines: PAGE_ENTRY_COUNT,
+      machinesPerPage: PAGE_ENTRY_COUNT,
     });
     for (let i = 0; i < machines; i++)
       this.cloud.addMachine(MACHINE_KIND.label, zones[i % 2] as string, true, 0);
