--- a/test/cluster/cluster-options.ts
+++ b/test/cluster/cluster-options.ts
@@ -2,52 +2,52 @@
 import { type Clock } from '../../src/transport/clock';
 import { type FakeMachineType } from '../standin/fake-cloud';
 
-/** What a job asks for where it is not left to chance. */
-export interface JobShape {
+/** The parameters of a job that a test specifies instead of drawing them at random. */
+export interface JobParameters {
   team: string;
   tasks: number;
   cpus: number;
-  /** As users name it. */
+  /** The name of the priority in submissions, such as `urgent`. */
   priority: string;
-  /** How long each task really runs. */
+  /** The actual run time of each task. */
   runMs: number;
-  /** What its owner expects. */
+  /** The run time that the user states. */
   expectedS: number;
-  /** Interval of checkpoints, 0: it writes none. */
+  /** Interval between checkpoints; 0 if the job writes none. */
   checkpointIntervalS: number;
   checkpointDurationS: number;
   image: string;
   imageGb: number;
 }
 
-/** Receives what happens to tasks, for measurements. Times are virtual milliseconds. */
+/** Receives task events for measurements. Times are in virtual milliseconds. */
 export interface TaskListener {
-  submitted(ref: string, shape: JobShape, at: number): void;
+  submitted(ref: string, parameters: JobParameters, at: number): void;
   started(taskId: string, at: number): void;
   completed(taskId: string, at: number): void;
   stopped(taskId: string, ranMs: number, saved: boolean): void;
 }
 
-/** How large a virtual cluster is. */
+/** The size and the contents of a virtual cluster. */
 export interface VirtualClusterOptions {
   controllers: number;
-  /** Machines that the cloud has. */
+  /** The most machines that exist at once, booting ones included. */
   maxMachines: number;
-  /** By how much the teams' limits are multiplied. */
+  /** The factor by which the guarantees and limits of `TEAMS` are multiplied. */
   teamLimitFactor: number;
-  /** Tasks run so much longer than the few seconds that they take otherwise. */
+  /** Time that is added to the 2 to 11 s that the tasks of random jobs run; 0 by default. */
   extraRunMs?: number;
-  /** Some jobs are bound to a zone, or must spread over zones. */
+  /** Binds some random jobs to a zone and requires others to spread over the zones. */
   zoneConstraints?: boolean;
   machineTypes?: readonly FakeMachineType[];
-  /** Machines that are up from the start. */
+  /** Machines that are up from the start; three small ones by default. */
   initialMachines?: { kind: string; count: number }[];
   taskListener?: TaskListener;
-  /** Load is balanced by this. */
+  /** Creates the load balancing of a controller; load is not balanced if absent. */
   balancing?: (clock: Clock) => LoadBalancing;
 }
 
-/** A team as the settings name it. */
+/** A team in the form of the settings file. */
 export interface TeamSettings {
   name: string;
   cpus: number;
@@ -61,8 +61,8 @@
 };
 export const HEARTBEAT_INTERVAL_MS = 2000;
 export const LEASE_MS = 12_000;
-/** After a cancellation tasks must be gone from all machines within this time. */
-export const CANCEL_BOUND_MS = 37_000;
+/** The time within which the tasks of a cancelled job must be gone from all machines. */
+export const CANCELLATION_DEADLINE_MS = 37_000;
 export const ZONES = ['a', 'b'];
 export const TEAMS: readonly TeamSettings[] = [
   { name: 'north', cpus: 8, cpus_max: 16 },
@@ -74,8 +74,8 @@
   { label: 'large', cpus: 12, memoryGb: 48 },
 ];
 
-/** The teams with their limits at this size of the cluster. */
-export function teamsOf({ teamLimitFactor }: VirtualClusterOptions): TeamSettings[] {
+/** The teams with their guarantees and limits multiplied by `teamLimitFactor`. */
+export function teamSettings({ teamLimitFactor }: VirtualClusterOptions): TeamSettings[] {
   return TEAMS.map(({ name, cpus, cpus_max: limit }) => ({
     name,
     cpus: cpus * teamLimitFactor,
@@ -83,8 +83,8 @@
   }));
 }
 
-/** The settings file of one controller. */
-export function settingsOf(index: number, options: VirtualClusterOptions): string {
+/** The contents of one controller's settings file. */
+export function controllerSettings(index: number, options: VirtualClusterOptions): string {
   const others = Array.from({ length: options.controllers }, (_, i) => i).filter((i) => i !== index);
   return JSON.stringify({
     member: `velodrome-${index}`,
@@ -94,11 +94,11 @@
     peers: others.map((i) => ({ member: `velodrome-${i}`, addr: `10.0.0.${i + 1}:8081` })),
     external: { cloud: '10.2.0.2:1', state: '10.2.0.1:1' },
     facts: {
-      teams: teamsOf(options),
+      teams: teamSettings(options),
       workers: {
         report_s: HEARTBEAT_INTERVAL_MS / 1000,
         lease_s: LEASE_MS / 1000,
-        cancel_s: CANCEL_BOUND_MS / 1000,
+        cancel_s: CANCELLATION_DEADLINE_MS / 1000,
       },
       state: { rps: 150, write_rps: 40, value_kb: 4, txn_ops: 12 },
       cloud: { rps: 6, list_lag_s: 3 },
@@ -106,7 +106,7 @@
   });
 }
 
-/** The index of a controller in the cluster, from its member name. */
+/** The index of the controller with this member name. */
 export function controllerIndex(member: string): number {
   return Number(member.split('-')[1]);
 }
--- a/test/cluster/combined-faults.test.ts
+++ b/test/cluster/combined-faults.test.ts
@@ -2,75 +2,77 @@
 import { test } from 'node:test';
 import { VirtualCluster } from './virtual-cluster';
 import {
-  later,
+  schedule,
   cutOwnerFromWorkers,
   leaderIndex,
   leaderNode,
-  setOnHalfOfWorkers,
+  injectIntoHalfOfWorkers,
   type Fault,
 } from './faults';
 
-/** Two faults at once, as the operators met them; each is injected twice a day. */
+/** Combinations of faults that operators have met; each is injected twice in a simulation. */
 const combinedFaults: Record<string, Fault> = {
-  'transactions carried out late while leaders change': (cluster) => {
+  'transactions are applied late while the leader changes': (cluster) => {
     cluster.network.delayOneWriteIn = 3;
-    for (const s of [0, 7, 14]) later(cluster, s * 1000, () => cluster.crash(leaderIndex(cluster), 400));
-    later(cluster, 20_000, () => (cluster.network.delayOneWriteIn = 0));
+    for (const s of [0, 7, 14]) schedule(cluster, s * 1000, () => cluster.crash(leaderIndex(cluster), 400));
+    schedule(cluster, 20_000, () => (cluster.network.delayOneWriteIn = 0));
   },
-  'a leader cut from state service and peers, jobs cancelled through the new one': (cluster) => {
+  'the leader is disconnected from state store and peers, and jobs are cancelled through the new one': (
+    cluster,
+  ) => {
     const node = leaderNode(cluster);
     node.isolated = true;
-    for (const s of [5, 9, 15]) later(cluster, s * 1000, () => cluster.users.cancelRunningJobs(2));
-    later(cluster, 30_000, () => (node.isolated = false));
+    for (const s of [5, 9, 15]) schedule(cluster, s * 1000, () => cluster.users.cancelRunningJobs(2));
+    schedule(cluster, 30_000, () => (node.isolated = false));
   },
-  'all controllers away for longer than a lease': (cluster) =>
+  'all controllers are down for longer than a lease': (cluster) =>
     cluster.nodes.forEach((_, i) => cluster.crash(i, 14_000 + 50 * i)),
-  'leaders change ten times in two minutes, also inside an outage': (cluster) => {
+  'the leader changes ten times within 40 s, also during an outage': (cluster) => {
     for (let n = 0; n < 10; n++)
-      later(cluster, n * 4000, () => cluster.crash(leaderIndex(cluster), 200 + cluster.randomInt(2500)));
-    later(cluster, 15_000, () => cluster.store.startOutage(15_000));
+      schedule(cluster, n * 4000, () => cluster.crash(leaderIndex(cluster), 200 + cluster.randomInt(2500)));
+    schedule(cluster, 15_000, () => cluster.store.startOutage(15_000));
   },
-  'machines that reach nobody while their jobs are cancelled': (cluster) => {
-    setOnHalfOfWorkers(cluster, 'heartbeatsLost', 20_000);
+  'half of the machines reach no controller while their jobs are cancelled': (cluster) => {
+    injectIntoHalfOfWorkers(cluster, 'heartbeatsLost', 20_000);
     cluster.users.cancelRunningJobs(3);
   },
-  'a leader ends while machines cannot be reached or hear nothing': (cluster) => {
-    setOnHalfOfWorkers(cluster, 'responsesLost', 17_000);
-    setOnHalfOfWorkers(cluster, 'hung', 8000);
+  'the leader crashes while machines hang or receive no responses': (cluster) => {
+    injectIntoHalfOfWorkers(cluster, 'responsesLost', 17_000);
+    injectIntoHalfOfWorkers(cluster, 'hung', 8000);
     cluster.crash(leaderIndex(cluster), 3000);
   },
-  'hand over and back, all end, one returns at once': (cluster) => {
+  'a partition is handed over and back, then all controllers crash and one restarts at once': (cluster) => {
     cutOwnerFromWorkers(cluster, 6000);
-    later(cluster, 12_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, i === 1 ? 300 : 9000)));
+    schedule(cluster, 12_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, i === 1 ? 300 : 9000)));
   },
-  'a team at its limit, machines that cannot be asked, a cancellation': (cluster) => {
-    setOnHalfOfWorkers(cluster, 'heartbeatsLost', 15_000);
+  'a team is at its limit, machines are unreachable, and jobs are cancelled': (cluster) => {
+    injectIntoHalfOfWorkers(cluster, 'heartbeatsLost', 15_000);
     cluster.nodes.forEach((_, i) => cluster.crash(i, 500 + 100 * i));
-    for (const s of [2, 4, 6]) later(cluster, s * 1000, () => cluster.users.cancelRunningJobs(2));
+    for (const s of [2, 4, 6]) schedule(cluster, s * 1000, () => cluster.users.cancelRunningJobs(2));
   },
-  'a zone with workers and a controller cut off for longer than a lease': (cluster) => {
+  'a zone with workers and a controller is disconnected for longer than a lease': (cluster) => {
     cluster.network.isolatedZone = 'a';
-    later(cluster, 6000, () => cluster.users.cancelRunningJobs(3));
-    later(cluster, 25_000, () => (cluster.network.isolatedZone = null));
+    schedule(cluster, 6000, () => cluster.users.cancelRunningJobs(3));
+    schedule(cluster, 25_000, () => (cluster.network.isolatedZone = null));
   },
   'jobs bound to zones lose machines': (cluster) => {
     for (const name of [...cluster.cloud.workers.keys()])
       if (cluster.randomInt(3) === 0) cluster.cloud.terminateMachine(name);
   },
-  'cancellations, questions and repeats at the end of the last task': (cluster) => {
+  'cancellations, status queries and resubmissions at the end of the last task': (cluster) => {
     cluster.users.raceWithCompletion = true;
-    later(cluster, 30_000, () => (cluster.users.raceWithCompletion = false));
+    schedule(cluster, 30_000, () => (cluster.users.raceWithCompletion = false));
   },
-  'odd requests, also in an outage and just after a start': (cluster) => {
+  'invalid requests, also during an outage and right after a restart': (cluster) => {
     cluster.users.sendInvalidRequests();
     cluster.store.startOutage(8000);
-    later(cluster, 3000, () => cluster.users.sendInvalidRequests());
-    later(cluster, 10_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 300)));
-    later(cluster, 11_000, () => cluster.users.sendInvalidRequests());
+    schedule(cluster, 3000, () => cluster.users.sendInvalidRequests());
+    schedule(cluster, 10_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 300)));
+    schedule(cluster, 11_000, () => cluster.users.sendInvalidRequests());
   },
 };
 
-test('two troubles at once: no rule is broken, and all work is done', async (t) => {
+test('two faults at once: no rule is violated and all jobs finish', async (t) => {
   for (const [name, fault] of Object.entries(combinedFaults)) {
     for (const seed of [1, 2]) {
       await t.test(`${name}, seed ${seed}`, async () => {
--- a/test/cluster/controller-node.ts
+++ b/test/cluster/controller-node.ts
@@ -1,23 +1,23 @@
 import { type Controller } from '../../src/coordination/controller/controller';
 
-/** The place of one controller in the cluster, and the faults that are set on it. */
+/** One controller of the cluster across restarts of its process, with the faults that are injected into it. */
 export interface ControllerNode {
-  /** Its present process; null: there is none. */
+  /** Its current process; null if none runs. */
   controller: Controller | null;
   up: boolean;
-  /** The state service refuses its requests. */
+  /** Whether the state store refuses its requests with 503; watches that are already open wait. */
   storeRefuses: boolean;
-  /** Cut from the workers: their heartbeats are held and come late. */
+  /** Whether it is disconnected from the workers, whose heartbeats are held and arrive 5 to 20 s late. */
   cutFromWorkers: boolean;
-  /** Cut from the state service and the other controllers, but not from the workers. */
+  /** Whether it is disconnected from the state store and the other controllers, but not from the workers. */
   isolated: boolean;
-  /** Its watches get no answer, while all else works. */
+  /** Whether its watches of the state store get no response while all its other connections work. */
   watchHangs: boolean;
-  /** Until when the process is paused while its clocks run on: what comes meanwhile is dealt with after. */
+  /** The virtual time until which the process is paused. Its clocks run on, and events are handled after the pause. */
   pausedUntil: number;
 }
 
-/** A place without a process and without faults. */
+/** A controller without a process and without faults. */
 export function emptyNode(): ControllerNode {
   return {
     controller: null,
@@ -30,7 +30,7 @@
   };
 }
 
-/** Whether the node's controller leads, by its own word. */
+/** Whether the node's controller is up and reports that it leads. */
 export function isLeading({ up, controller }: ControllerNode): boolean {
   return up && controller !== null && (controller.status() as { leading: boolean }).leading;
 }
--- a/test/cluster/controller-silence.test.ts
+++ b/test/cluster/controller-silence.test.ts
@@ -2,57 +2,57 @@
 import { test } from 'node:test';
 import { type Membership } from '../../src/coordination/membership/membership';
 import { VirtualCluster } from './virtual-cluster';
-import { later, leaderNode, ownerNode, type Fault } from './faults';
+import { schedule, leaderNode, ownerNode, type Fault } from './faults';
 import { type ControllerNode } from './controller-node';
 
-const DAY_MS = 340_000;
+const SIMULATION_MS = 340_000;
 
 const SILENCE_MS = 70_000;
 
 const FAULT_AT_MS = 30_000;
 
-/** Users cancel what runs, through whatever controller answers, during a silence and just after it. */
+/** Cancels running jobs, through whichever controller responds, during the silence and 200 ms after it. */
 function cancelDuringSilence(cluster: VirtualCluster): void {
   for (const afterMs of [500, 6000, 20_000, SILENCE_MS + 200])
-    later(cluster, afterMs, () => cluster.users.cancelRunningJobs(2));
+    schedule(cluster, afterMs, () => cluster.users.cancelRunningJobs(2));
 }
 
 function pauseProcess(cluster: VirtualCluster, node: ControllerNode): void {
   node.pausedUntil = cluster.time.now + SILENCE_MS;
 }
 
-function setForSilence(
+function setFaultDuringSilence(
   cluster: VirtualCluster,
   node: ControllerNode,
-  what: 'cutFromWorkers' | 'isolated' | 'storeRefuses',
+  fault: 'cutFromWorkers' | 'isolated' | 'storeRefuses',
 ): void {
-  node[what] = true;
-  later(cluster, SILENCE_MS, () => (node[what] = false));
+  node[fault] = true;
+  schedule(cluster, SILENCE_MS, () => (node[fault] = false));
 }
 
-/** Ways in which a controller goes silent for over a minute. */
+/** Faults that silence a controller for over a minute. */
 const controllerSilences: Record<string, Fault> = {
-  'the leader stands still while its clocks run on': (cluster) => pauseProcess(cluster, leaderNode(cluster)),
-  'an owner stands still while its clocks run on': (cluster) => pauseProcess(cluster, ownerNode(cluster)),
-  'an owner stands still, and all others are started anew before it goes on': (cluster) => {
-    const still = ownerNode(cluster);
-    pauseProcess(cluster, still);
-    later(cluster, SILENCE_MS - 3000, () =>
-      cluster.nodes.forEach((node, i) => (node === still ? undefined : cluster.crash(i, 400))),
+  'the leader is paused while its clocks run on': (cluster) => pauseProcess(cluster, leaderNode(cluster)),
+  'an owner is paused while its clocks run on': (cluster) => pauseProcess(cluster, ownerNode(cluster)),
+  'an owner is paused, and all other controllers restart before it resumes': (cluster) => {
+    const pausedNode = ownerNode(cluster);
+    pauseProcess(cluster, pausedNode);
+    schedule(cluster, SILENCE_MS - 3000, () =>
+      cluster.nodes.forEach((node, i) => (node === pausedNode ? undefined : cluster.crash(i, 400))),
     );
   },
-  'the leader is cut from everything': (cluster) => {
+  'the leader is disconnected from everything': (cluster) => {
     const node = leaderNode(cluster);
-    setForSilence(cluster, node, 'cutFromWorkers');
-    setForSilence(cluster, node, 'isolated');
+    setFaultDuringSilence(cluster, node, 'cutFromWorkers');
+    setFaultDuringSilence(cluster, node, 'isolated');
   },
-  'an owner is refused by the state service alone': (cluster) =>
-    setForSilence(cluster, ownerNode(cluster), 'storeRefuses'),
-  'an owner loses its workers alone': (cluster) =>
-    setForSilence(cluster, ownerNode(cluster), 'cutFromWorkers'),
+  'an owner is refused by the state store only': (cluster) =>
+    setFaultDuringSilence(cluster, ownerNode(cluster), 'storeRefuses'),
+  'an owner loses the connection to its workers only': (cluster) =>
+    setFaultDuringSilence(cluster, ownerNode(cluster), 'cutFromWorkers'),
 };
 
-async function silentDay(seed: number, silence: Fault): Promise<VirtualCluster> {
+async function runWithSilence(seed: number, silence: Fault): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed, {
     controllers: 3,
     maxMachines: 12,
@@ -67,15 +67,15 @@
     silence(cluster);
     cancelDuringSilence(cluster);
   });
-  await cluster.runUntil(DAY_MS);
+  await cluster.runUntil(SIMULATION_MS);
   return cluster;
 }
 
-test('a controller is silent for over a minute: rules kept, all work done', async (t) => {
+test('with a controller silent for over a minute no rule is violated and all jobs finish', async (t) => {
   for (const [name, silence] of Object.entries(controllerSilences)) {
     for (const seed of [1, 2]) {
       await t.test(`${name}, seed ${seed}`, async () => {
-        const cluster = await silentDay(seed, silence);
+        const cluster = await runWithSilence(seed, silence);
         assert.deepEqual(cluster.rules.violations, []);
         assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
       });
@@ -83,7 +83,7 @@
   }
 });
 
-test('the queue moves and users are answered while the leader stands still', async () => {
+test('tasks complete and users get responses while the leader is paused', async () => {
   const cluster = new VirtualCluster(3, { controllers: 3, maxMachines: 12, teamLimitFactor: 2 });
   for (let n = 0; n < 20; n++) cluster.time.at(2500 + 4000 * n, () => cluster.users.submitRandomJob(n));
   cluster.time.at(FAULT_AT_MS, () => pauseProcess(cluster, leaderNode(cluster)));
@@ -94,7 +94,7 @@
   await cluster.runUntil(end);
   assert.ok(
     cluster.jobs.completedTasks.size > before + 10,
-    `${cluster.jobs.completedTasks.size - before} tasks done in the silence`,
+    `${cluster.jobs.completedTasks.size - before} tasks completed during the silence`,
   );
   const open = cluster.jobs.list.filter((job) => job.accepted && job.terminalStatus === null);
   const oldest = Math.min(end, ...open.map((job) => job.lastAnsweredAt));
@@ -102,8 +102,8 @@
   assert.deepEqual(cluster.rules.violations, []);
 });
 
-// Before it has heard or read anything anew: what it knew when it stopped entitles it to nothing.
-test('a controller that goes on after a minute may neither act nor keep tasks alive', async () => {
+// What a controller knew before the pause entitles it to nothing until it has received or read something new.
+test('a controller paused for over a minute may neither act nor renew leases until it has rejoined', async () => {
   const cluster = new VirtualCluster(4, {
     controllers: 3,
     maxMachines: 12,
@@ -113,12 +113,12 @@
   for (let n = 0; n < 12; n++) cluster.time.at(2500 + 1500 * n, () => cluster.users.submitRandomJob(n));
   await cluster.runUntil(FAULT_AT_MS);
   const node = ownerNode(cluster);
-  const { membership: member } = node.controller as unknown as { membership: Membership };
-  assert.deepEqual([member.alive(), member.mayRenewLeases()], [true, true]);
+  const { membership } = node.controller as unknown as { membership: Membership };
+  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [true, true]);
   pauseProcess(cluster, node);
   await cluster.runUntil(FAULT_AT_MS + SILENCE_MS - 1);
-  assert.deepEqual([member.alive(), member.mayRenewLeases()], [false, false]);
+  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [false, false]);
   await cluster.runUntil(FAULT_AT_MS + SILENCE_MS + 20_000);
-  assert.deepEqual([member.alive(), member.mayRenewLeases()], [true, true], 'it has joined anew');
+  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [true, true], 'it has rejoined');
   assert.deepEqual(cluster.rules.violations, []);
 });
--- a/test/cluster/empty-fleet-values.test.ts
+++ b/test/cluster/empty-fleet-values.test.ts
@@ -2,16 +2,16 @@
 import { test } from 'node:test';
 import { VirtualCluster } from './virtual-cluster';
 
-const DAY_MS = 340_000;
+const SIMULATION_MS = 340_000;
 
-// An empty value stays while its first write may still be carried out once more; it must not stay for good.
-test('values that hold no machine any more are swept away', async () => {
+// An empty value is kept while its first write may still be applied a second time. After that it must be deleted.
+test('fleet values that no longer hold a machine are deleted', async () => {
   const cluster = new VirtualCluster(5, { controllers: 3, maxMachines: 14, teamLimitFactor: 2 });
   for (let n = 0; n < 24; n++) cluster.time.at(2500 + 4000 * n, () => cluster.users.submitRandomJob(n));
-  await cluster.runUntil(DAY_MS);
+  await cluster.runUntil(SIMULATION_MS);
   assert.deepEqual(cluster.rules.violations, []);
   const values = [...cluster.store.keys].filter(([key]) => key.startsWith('hb/fleet/'));
   const empty = values.filter(([, entry]) => (entry.v as unknown[]).length === 0);
-  assert.ok(cluster.cloud.terminatedCount > 5, 'machines came and went');
+  assert.ok(cluster.cloud.terminatedCount > 5, 'more than 5 machines were terminated');
   assert.ok(empty.length <= 2, `${empty.length} empty values are left`);
 });
--- a/test/cluster/lease-extension-requests.test.ts
+++ b/test/cluster/lease-extension-requests.test.ts
@@ -5,14 +5,14 @@
 import { VirtualCluster } from './virtual-cluster';
 import { type ControllerStatus } from './faults';
 
-test('an extension is given to what a peer can be, and to nothing else', async (t) => {
+test('a lease extension is granted for a plausible peer status and refused for any other', async (t) => {
   const cluster = new VirtualCluster(1);
   for (let n = 0; n < 8; n++) cluster.time.at(2500 + 500 * n, () => cluster.users.submitRandomJob(n));
   cluster.time.at(20_000, () => cluster.store.startOutage(60_000));
   await cluster.runUntil(24_000);
-  const [asked, asker] = cluster.nodes.map((n) => n.controller);
-  const { revision } = asker?.status() as ControllerStatus;
-  const incarnation = (asker as unknown as { membership: Membership }).membership.memberIncarnation;
+  const [granter, requester] = cluster.nodes.map((n) => n.controller);
+  const { revision } = requester?.status() as ControllerStatus;
+  const incarnation = (requester as unknown as { membership: Membership }).membership.memberIncarnation;
   const status = {
     kind: 'status' as const,
     member: 'velodrome-1',
@@ -25,23 +25,35 @@
     revision,
   };
   const cases: [string, Buffer, boolean | null][] = [
-    ['a peer as it is', encodePeerMessage(status), true],
-    ['the same once more', encodePeerMessage(status), true],
-    ['a little ahead of us', encodePeerMessage({ ...status, revision: revision + 20 }), true],
-    ['one that knows nothing yet', encodePeerMessage({ ...status, revision: 0 }), true],
-    ['a revision from the future', encodePeerMessage({ ...status, revision: revision + 1_000_000 }), false],
-    ['an earlier life of it', encodePeerMessage({ ...status, memberIncarnation: incarnation - 1 }), false],
-    ['one that nobody knows', encodePeerMessage({ ...status, member: 'velodrome-9' }), false],
-    ['a frame cut short', encodePeerMessage(status).subarray(0, 20), null],
+    ['the current status of a peer', encodePeerMessage(status), true],
+    ['the same status again', encodePeerMessage(status), true],
+    [
+      'a revision slightly ahead of the local one',
+      encodePeerMessage({ ...status, revision: revision + 20 }),
+      true,
+    ],
+    ['a peer that has read nothing yet, at revision 0', encodePeerMessage({ ...status, revision: 0 }), true],
+    [
+      'a revision far ahead of the local one',
+      encodePeerMessage({ ...status, revision: revision + 1_000_000 }),
+      false,
+    ],
+    [
+      'an earlier incarnation of the peer',
+      encodePeerMessage({ ...status, memberIncarnation: incarnation - 1 }),
+      false,
+    ],
+    ['an unknown member', encodePeerMessage({ ...status, member: 'velodrome-9' }), false],
+    ['a truncated frame', encodePeerMessage(status).subarray(0, 20), null],
   ];
-  for (const [name, bytes, extended] of cases) {
+  for (const [name, bytes, expected] of cases) {
     await t.test(name, () => {
-      let answered: boolean | null = null;
-      asked?.receiveFrame(bytes, (reply) => {
+      let granted: boolean | null = null;
+      granter?.receiveFrame(bytes, (reply) => {
         const pong = decodePeerMessage(reply);
-        answered = pong?.kind === 'pong' && pong.extended;
+        granted = pong?.kind === 'pong' && pong.extended;
       });
-      assert.equal(answered, extended);
+      assert.equal(granted, expected);
     });
   }
 });
--- a/test/cluster/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -26,7 +26,7 @@
 const LEASE_MS = 8000;
 const IDLE_MS = 20_000;
 const URGENT_MS = 1500;
-const SETTLE_MS = 4000;
+const WARM_UP_MS = 4000;
 const SUBMIT_MS = 24_000;
 const DONE_WITHIN_MS = 90_000;
 const TEAMS = [
@@ -43,7 +43,7 @@
   urgency: string;
 }
 
-/** What a run came to. */
+/** The results of a run. */
 interface Outcome {
   finished: number;
   jobs: number;
@@ -53,14 +53,14 @@
   violations: string[];
 }
 
-/** Jobs, users and the check of rules for one cluster. */
+/** The jobs, users and rule checks of one cluster. */
 class LoopbackRun {
   private readonly jobs = new Map<string, LoopbackJob>();
   private readonly checkpointedMs = new Map<string, number>();
   private readonly completed = new Set<string>();
   private readonly submittedAt = new Map<string, number>();
   private readonly startedAt = new Map<string, number>();
-  /** Moves made by partition and owner: a new owner counts from nothing. */
+  /** Completed moves by partition and epoch, since a new owner counts from zero. */
   private readonly moves = new Map<string, number>();
   private readonly spreads: number[] = [];
   readonly violations: string[] = [];
@@ -77,45 +77,45 @@
       teams: TEAMS,
       features,
       hooks: {
-        taskStarted: (worker, piece) => this.taskStarted(worker, piece),
-        taskCompleted: (piece) => void this.completed.add(piece),
-        runMs: (piece) => this.runMs(piece),
-        checkpointDurationMs: (piece) => (this.jobOfTask(piece)?.urgency === 'idle' ? 200 : null),
-        taskStopped: (piece, ranMs, saved) => {
-          if (saved) this.checkpointedMs.set(piece, (this.checkpointedMs.get(piece) ?? 0) + ranMs);
+        taskStarted: (worker, taskId) => this.taskStarted(worker, taskId),
+        taskCompleted: (taskId) => void this.completed.add(taskId),
+        runMs: (taskId) => this.runMs(taskId),
+        checkpointDurationMs: (taskId) => (this.jobOfTask(taskId)?.urgency === 'idle' ? 200 : null),
+        taskStopped: (taskId, ranMs, saved) => {
+          if (saved) this.checkpointedMs.set(taskId, (this.checkpointedMs.get(taskId) ?? 0) + ranMs);
         },
       },
     });
   }
 
-  private jobOfTask(piece: string): LoopbackJob | undefined {
-    return this.jobs.get(piece.split('/')[0] ?? '');
+  private jobOfTask(taskId: string): LoopbackJob | undefined {
+    return this.jobs.get(taskId.split('/')[0] ?? '');
   }
 
-  private runMs(piece: string): number {
-    const whole = this.jobOfTask(piece)?.urgency === 'idle' ? IDLE_MS : URGENT_MS;
-    return Math.max(100, whole - (this.checkpointedMs.get(piece) ?? 0));
+  private runMs(taskId: string): number {
+    const fullRunMs = this.jobOfTask(taskId)?.urgency === 'idle' ? IDLE_MS : URGENT_MS;
+    return Math.max(100, fullRunMs - (this.checkpointedMs.get(taskId) ?? 0));
   }
 
-  /** The rules, checked whenever a task begins. */
-  private taskStarted(worker: FakeWorker, piece: string): void {
-    this.startedAt.set(piece, this.startedAt.get(piece) ?? performance.now());
-    const job = this.jobOfTask(piece);
-    if (!job) return void this.violations.push(`invented: ${piece}`);
+  /** Checks the rules whenever a task starts. */
+  private taskStarted(worker: FakeWorker, taskId: string): void {
+    this.startedAt.set(taskId, this.startedAt.get(taskId) ?? performance.now());
+    const job = this.jobOfTask(taskId);
+    if (!job) return void this.violations.push(`invented: ${taskId}`);
     const used = new Map<string, number>();
     for (const other of this.cluster.cloud.workers.values()) {
-      let onIt = 0;
+      let usedHere = 0;
       for (const name of other.tasks.keys()) {
         const owner = this.jobOfTask(name);
         if (!owner || !other.executes(name)) continue;
-        if (name === piece && other !== worker) this.violations.push(`ran_twice: ${piece}`);
+        if (name === taskId && other !== worker) this.violations.push(`ran_twice: ${taskId}`);
         used.set(owner.crew, (used.get(owner.crew) ?? 0) + owner.cpus);
-        onIt += owner.cpus;
+        usedHere += owner.cpus;
       }
-      if (onIt > CPUS) this.violations.push(`overfull: ${other.name}`);
+      if (usedHere > CPUS) this.violations.push(`overfull: ${other.name}`);
     }
-    for (const { name, cpus_max: most } of TEAMS)
-      if ((used.get(name) ?? 0) > most) this.violations.push(`quota: ${name} uses ${used.get(name)}`);
+    for (const { name, cpus_max: limit } of TEAMS)
+      if ((used.get(name) ?? 0) > limit) this.violations.push(`quota: ${name} uses ${used.get(name)}`);
   }
 
   submit(job: LoopbackJob): void {
@@ -164,19 +164,19 @@
     this.done.add(ref);
   }
 
-  /** Looks at the spread, and at what the leader says of moves. */
+  /** Samples the spread of CPU use and the number of moves that the leader reports. */
   async sample(): Promise<void> {
     const used = [...this.cluster.cloud.workers.values()].map((worker) =>
       [...worker.tasks.keys()].reduce(
-        (n, piece) => n + (worker.executes(piece) ? (this.jobOfTask(piece)?.cpus ?? 0) : 0),
+        (n, taskId) => n + (worker.executes(taskId) ? (this.jobOfTask(taskId)?.cpus ?? 0) : 0),
         0,
       ),
     );
     this.spreads.push(coefficientOfVariation(used));
     for (let i = 0; i < CONTROLLERS; i++) {
       const answer = await this.cluster.request(i, '/status', {}, 'GET');
-      const { balance: told } = (answer?.body ?? {}) as { balance?: { fleet: FleetStatus | null } };
-      for (const { summary } of told?.fleet?.partitions ?? [])
+      const { balance: balancing } = (answer?.body ?? {}) as { balance?: { fleet: FleetStatus | null } };
+      for (const { summary } of balancing?.fleet?.partitions ?? [])
         this.moves.set(`${summary.partition} ${summary.epoch}`, summary.moves.completed);
     }
   }
@@ -189,16 +189,16 @@
     return null;
   }
 
-  /** Ends the controllers, and the users' questions with them. */
+  /** Stops the controllers, and the users' polling with them. */
   stop(): void {
     this.stopped = true;
     this.cluster.stop();
   }
 
   outcome(): Outcome {
-    const waits = [...this.startedAt]
-      .filter(([piece]) => this.jobOfTask(piece)?.urgency === 'urgent')
-      .map(([piece, at]) => at - (this.submittedAt.get(piece.split('/')[0] ?? '') ?? at))
+    const startDelays = [...this.startedAt]
+      .filter(([taskId]) => this.jobOfTask(taskId)?.urgency === 'urgent')
+      .map(([taskId, at]) => at - (this.submittedAt.get(taskId.split('/')[0] ?? '') ?? at))
       .sort((a, b) => a - b);
     return {
       finished: this.done.size,
@@ -206,7 +206,7 @@
       violations: this.violations,
       moves: [...this.moves.values()].reduce((sum, n) => sum + n, 0),
       spread: this.spreads.reduce((sum, value) => sum + value, 0) / Math.max(1, this.spreads.length),
-      urgentStartDelayMs: waits[Math.floor(0.95 * waits.length)] ?? 0,
+      urgentStartDelayMs: startDelays[Math.floor(0.95 * startDelays.length)] ?? 0,
     };
   }
 }
@@ -219,33 +219,33 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Skewed load, a team whose load doubles, and one controller that is ended and comes back. */
-async function play(features: string | null): Promise<{ outcome: Outcome; commands: string[] }> {
+/** Runs skewed load and a team whose load doubles, with one controller that is killed and restarted. */
+async function runLoad(features: string | null): Promise<{ outcome: Outcome; commands: string[] }> {
   const run = new LoopbackRun();
   await run.start(features);
   try {
-    await pause(SETTLE_MS);
+    await pause(WARM_UP_MS);
     const started = performance.now();
     let n = 0;
     const submit = (job: Omit<LoopbackJob, 'ref'>): void =>
       run.submit({ ref: `job-${String(++n).padStart(6, '0')}`, ...job });
-    let ended = false;
+    let killed = false;
     for (let tick = 0; performance.now() - started < SUBMIT_MS; tick++) {
       const doubled = performance.now() - started > SUBMIT_MS / 2;
-      // All of its machines are in pieces before the first urgent job comes.
+      // The capacity of all machines is fragmented before the first urgent job arrives.
       if (tick === 0) submit({ crew: 'north', pieces: 40, cpus: 1, urgency: 'idle' });
       if (tick % 3 === 0) submit({ crew: 'north', pieces: doubled ? 12 : 6, cpus: 1, urgency: 'idle' });
       if (tick % 6 === 0) submit({ crew: 'south', pieces: 2, cpus: 1, urgency: 'idle' });
       if (tick % 3 === 2) submit({ crew: 'west', pieces: 2, cpus: 4, urgency: 'urgent' });
-      if (doubled && !ended) {
-        ended = true;
+      if (doubled && !killed) {
+        killed = true;
         run.cluster.killController(1);
         setTimeout(() => run.cluster.startController(1), 2000);
       }
       await run.sample();
       await pause(900);
     }
-    const commands = await askCommands(run);
+    const commands = await runBalanceCommand(run);
     while (run.done.size < n && performance.now() - started < DONE_WITHIN_MS) {
       await run.sample();
       await pause(500);
@@ -256,11 +256,11 @@
   }
 }
 
-/** What `heathbridge balance` says at the leader, at another controller, and where there is none. */
-async function askCommands(run: LoopbackRun): Promise<string[]> {
+/** The output of `heathbridge balance` at the leader and at another controller; empty if no controller leads. */
+async function runBalanceCommand(run: LoopbackRun): Promise<string[]> {
   const leader = await run.leader();
   if (leader === null) return [];
-  const said: string[] = [];
+  const outputs: string[] = [];
   const servers = [leader, (leader + 1) % CONTROLLERS].map((i) => run.cluster.address(i));
   for (const server of servers) {
     const lines: string[] = [];
@@ -269,15 +269,15 @@
       err: (line: string) => void lines.push(line),
     };
     const code = await balance({ server, json: false }, output);
-    said.push(`${code}: ${lines.join('\n')}`);
+    outputs.push(`${code}: ${lines.join('\n')}`);
   }
-  return said;
+  return outputs;
 }
 
-test('twenty workers, three controllers, skewed and doubling load, one controller ended: with balancing and without', async () => {
+test('skewed and doubling load on twenty workers, one of three controllers killed: no rule is violated and all jobs finish, with and without balancing', async () => {
   const features = join(mkdtempSync(join(tmpdir(), 'heathbridge-')), 'features.toml');
   writeFileSync(features, FEATURES);
-  const [on, off] = await Promise.all([play(features), play(null)]);
+  const [on, off] = await Promise.all([runLoad(features), runLoad(null)]);
   for (const [name, { outcome }] of [
     ['on', on],
     ['off', off],
@@ -290,12 +290,12 @@
     assert.deepEqual(violations, []);
     assert.equal(finished, jobs);
   }
-  // Whether a task must be moved hangs on which controller was ended, and when: moves are shown, not required.
+  // Whether a task must be moved depends on which controller was killed and when: moves are printed, but not required.
   assert.equal(off.outcome.moves, 0);
   const [atLeader = '', elsewhere = ''] = on.commands;
   if (atLeader !== '') {
     assert.match(atLeader, new RegExp(`^${EXIT_CODES.ok}: .*CPUs`));
     assert.match(elsewhere, new RegExp(`^${EXIT_CODES.refused}: heathbridge: .* does not lead`));
   }
-  for (const said of off.commands) assert.match(said, /the feature is off/);
+  for (const output of off.commands) assert.match(output, /the feature is off/);
 });
--- a/test/cluster/machine-failures.test.ts
+++ b/test/cluster/machine-failures.test.ts
@@ -3,16 +3,16 @@
 import { VirtualCluster } from './virtual-cluster';
 import { leaderIndex } from './faults';
 
-const DAY_MS = 340_000;
+const SIMULATION_MS = 340_000;
 
-/** By how much the machines provisioned during the fault boot late; `n` counts them. */
+/** The boot time factor of the `n`th machine provisioned during the fault, from 0; `Infinity` if it never boots. */
 const bootFactors: Record<string, (n: number) => number> = {
-  'every second machine never comes up': (n) => (n % 2 === 0 ? Infinity : 1),
-  'machines take eight times as long': () => 8,
-  'some never come up, the others are up at once or late': (n) => [Infinity, 0.05, 6][n % 3] as number,
+  'every second machine never boots': (n) => (n % 2 === 0 ? Infinity : 1),
+  'machines take eight times as long to boot': () => 8,
+  'some machines never boot, the others boot at once or late': (n) => [Infinity, 0.05, 6][n % 3] as number,
 };
 
-test('machines come up late or never: written off in time, and no work waits for them', async (t) => {
+test('machines that boot late or never are given up in time, and all jobs finish', async (t) => {
   for (const [name, factor] of Object.entries(bootFactors)) {
     for (const seed of [1, 2]) {
       await t.test(`${name}, seed ${seed}`, async () => {
@@ -23,24 +23,25 @@
           extraRunMs: 3000,
         });
         cluster.users.faultsEndAt = 140_000;
-        let rented = 0;
-        cluster.cloud.bootFactor = (): number => factor(rented++);
+        let provisioned = 0;
+        cluster.cloud.bootFactor = (): number => factor(provisioned++);
         cluster.time.at(100_000, () => (cluster.cloud.bootFactor = (): number => 1));
         for (let n = 0; n < 24; n++)
           cluster.time.at(2500 + cluster.randomInt(90_000), () => cluster.users.submitRandomJob(n));
         cluster.time.at(45_000, () => cluster.crash(leaderIndex(cluster), 3000));
-        await cluster.runUntil(DAY_MS);
+        await cluster.runUntil(SIMULATION_MS);
         assert.deepEqual(cluster.rules.violations, []);
         assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
-        assert.ok(rented > 2, 'machines were rented');
-        assert.equal(cluster.cloud.bootingCount, 0, 'none that never came up is still paid for');
+        assert.ok(provisioned > 2, 'machines were provisioned');
+        assert.equal(cluster.cloud.bootingCount, 0, 'no machine is still booting');
       });
     }
   }
 });
 
-// Two such machines were kept for ten minutes, for their new owner had never heard them and so never missed them.
-test('machines that hang for good, also while they change partitions, are given back', async (t) => {
+// Guards against a new owner that does not notice the silence of a machine from which it has never received a heartbeat. Two
+// such machines were kept for ten minutes.
+test('machines that hang forever, also while they change partitions, are deprovisioned', async (t) => {
   for (const seed of [1, 2, 3]) {
     await t.test(`seed ${seed}`, async () => {
       const cluster = new VirtualCluster(seed, {
@@ -61,14 +62,14 @@
           }
         });
       cluster.time.at(41_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 1000)));
-      await cluster.runUntil(DAY_MS);
+      await cluster.runUntil(SIMULATION_MS);
       assert.deepEqual(cluster.rules.violations, []);
       assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
       assert.ok(hung.size > 0);
       assert.deepEqual(
         [...hung].filter((name) => cluster.cloud.workers.has(name)),
         [],
-        'still rented',
+        'still provisioned',
       );
     });
   }
--- a/test/cluster/many-small-jobs.test.ts
+++ b/test/cluster/many-small-jobs.test.ts
@@ -3,9 +3,9 @@
 import { VirtualCluster } from './virtual-cluster';
 import { leaderIndex } from './faults';
 
-const DAY_MS = 340_000;
+const SIMULATION_MS = 340_000;
 
-test('jobs of one task come four a second for minutes, a quarter of them cancelled, and the leader ends', async () => {
+test('four jobs of one task per second for 100 s, a quarter of them cancelled, while the leader crashes: no rule is violated and all jobs finish', async () => {
   const cluster = new VirtualCluster(7, { controllers: 3, maxMachines: 16, teamLimitFactor: 4 });
   cluster.users.faultsEndAt = 150_000;
   for (let n = 0; n < 400; n++) {
@@ -15,11 +15,11 @@
   }
   for (const at of [30_000, 60_000, 61_000])
     cluster.time.at(at, () => cluster.crash(leaderIndex(cluster), 500));
-  await cluster.runUntil(DAY_MS);
+  await cluster.runUntil(SIMULATION_MS);
   assert.deepEqual(cluster.rules.violations, []);
   assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
   assert.ok(
     cluster.jobs.list.filter((job) => job.terminalStatus === 'aborted').length > 20,
-    'some were cancelled in time',
+    'more than 20 jobs were cancelled before they completed',
   );
 });
--- a/test/cluster/query-load.test.ts
+++ b/test/cluster/query-load.test.ts
@@ -3,9 +3,9 @@
 import { VirtualCluster } from './virtual-cluster';
 import { leaderIndex } from './faults';
 
-const DAY_MS = 340_000;
+const SIMULATION_MS = 340_000;
 
-test('questions many times as often while controllers end and the state service is slow to come back', async (t) => {
+test('status queries at eight times the rate while controllers crash and the state store is down: no rule is violated and all jobs finish', async (t) => {
   for (const seed of [1, 2]) {
     await t.test(`seed ${seed}`, async () => {
       const cluster = new VirtualCluster(seed, {
@@ -23,7 +23,7 @@
       cluster.time.at(45_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 2000 + 300 * i)));
       cluster.time.at(60_000, () => cluster.store.startOutage(20_000));
       cluster.time.at(61_000, () => cluster.users.cancelRunningJobs(3));
-      await cluster.runUntil(DAY_MS);
+      await cluster.runUntil(SIMULATION_MS);
       assert.deepEqual(cluster.rules.violations, []);
       assert.deepEqual(cluster.jobs.unfinished(), [], 'unfinished jobs');
     });
--- a/test/cluster/random-source.ts
+++ b/test/cluster/random-source.ts
@@ -1,6 +1,6 @@
 import prand from 'pure-rand';
 
-/** A seeded source of whole numbers: the same seed gives the same day. */
+/** A seeded source of whole numbers: the same seed gives the same simulation. */
 export class RandomSource {
   private readonly generator: prand.RandomGenerator;
 
--- a/test/cluster/removed-guards.test.ts
+++ b/test/cluster/removed-guards.test.ts
@@ -8,105 +8,110 @@
 import { type JobProgress } from '../../src/protocol/records';
 import { ReplicaView } from '../../src/storage/replica-view';
 import { VirtualCluster } from './virtual-cluster';
-import { later, crashWhileSilent, isolateOwner, refuseStoreToOwner, type Fault } from './faults';
-import { directedDay, hangingWatchDay, outageAfterRefusalDay } from './directed-days';
+import { schedule, crashAllWhileWorkersHang, isolateOwner, refuseStoreToOwner, type Fault } from './faults';
+import { runWithRepeatedFault, runHangingWatch, runOutageAfterRefusal } from './directed-days';
 import { patchProperty } from '../support/patch-property';
 
-/** Each guard taken away must break a rule on such a day, or the days above would prove nothing. */
+/** Without its guard, each of these simulations must violate a rule. Otherwise those of the other tests would prove nothing. */
 const removedGuards: {
   name: string;
-  apply: () => () => void;
+  removeGuard: () => () => void;
   fault: Fault;
-  breaks: RegExp;
-  day?: (seed: number, fault: Fault) => Promise<VirtualCluster>;
+  expectedViolation: RegExp;
+  run?: (seed: number, fault: Fault) => Promise<VirtualCluster>;
 }[] = [
   {
-    name: 'an extension says nothing of what its giver knows to be cancelled',
-    apply: () => patchProperty(ReplicaView.prototype, 'cancelledSince', { value: () => [] }),
+    name: 'a lease extension omits the cancellations that its granter knows',
+    removeGuard: () => patchProperty(ReplicaView.prototype, 'cancelledSince', { value: () => [] }),
     fault: () => undefined,
-    breaks: /ran_cancelled/,
-    day: outageAfterRefusalDay,
+    expectedViolation: /ran_cancelled/,
+    run: runOutageAfterRefusal,
   },
   {
-    name: 'an owner answers workers without knowing what was cancelled',
-    apply: () => {
-      const blind = function (this: Membership): boolean {
+    name: 'an owner answers workers without knowing recent cancellations',
+    removeGuard: () => {
+      const aliveOnly = function (this: Membership): boolean {
         return this.alive();
       };
-      return patchProperty(Membership.prototype, 'mayRenewLeases', { value: blind });
+      return patchProperty(Membership.prototype, 'mayRenewLeases', { value: aliveOnly });
     },
     fault: () => undefined,
-    breaks: /ran_cancelled/,
-    day: hangingWatchDay,
+    expectedViolation: /ran_cancelled/,
+    run: runHangingWatch,
   },
   {
-    name: 'new work starts while machines taken over have not seen the new token',
-    apply: () => patchProperty(PartitionCore.prototype, 'unconfirmedCount', { get: () => 0 }),
-    fault: crashWhileSilent,
-    breaks: /ran_twice|quota/,
+    name: 'new tasks start while machines taken over have not seen the new token',
+    removeGuard: () => patchProperty(PartitionCore.prototype, 'unconfirmedCount', { get: () => 0 }),
+    fault: crashAllWhileWorkersHang,
+    expectedViolation: /ran_twice|quota/,
   },
   {
-    name: "a silent machine's tasks count as gone before its lease has run out",
-    apply: () => {
+    name: 'the tasks of a silent machine count as gone before its lease has expired',
+    removeGuard: () => {
       const real = Object.getOwnPropertyDescriptor(
         MachineState.prototype,
         'expireLease',
       ) as PropertyDescriptor;
-      const eager = function (this: MachineState, now: number): unknown {
+      const expireEarly = function (this: MachineState, now: number): unknown {
         return (real.value as MachineState['expireLease']).call(this, now, 3000);
       };
-      return patchProperty(MachineState.prototype, 'expireLease', { value: eager });
+      return patchProperty(MachineState.prototype, 'expireLease', { value: expireEarly });
     },
     fault: (cluster) => {
       for (const worker of cluster.cloud.workers.values()) {
         worker.hung = cluster.randomInt(2) === 0;
-        later(cluster, 9000, () => (worker.hung = false));
+        schedule(cluster, 9000, () => (worker.hung = false));
       }
     },
-    breaks: /ran_twice|quota/,
+    expectedViolation: /ran_twice|quota/,
   },
   {
-    name: 'a controller acts after its session lease has ended',
-    apply: () => patchProperty(Membership.prototype, 'alive', { value: () => true }),
+    name: 'a controller acts after its session lease has expired',
+    removeGuard: () => patchProperty(Membership.prototype, 'alive', { value: () => true }),
     fault: (cluster) => refuseStoreToOwner(cluster, 40_000),
-    breaks: /ran_twice|quota|ran_cancelled/,
+    expectedViolation: /ran_twice|quota|ran_cancelled/,
   },
   {
-    name: 'tasks that an earlier owner may have started are started again before all machines have spoken',
-    apply: () => {
+    name: 'tasks that an earlier owner may have started are started again before all machines are confirmed',
+    removeGuard: () => {
       const real = PartitionJob.prototype.startableTasks;
-      const eager = function (this: PartitionJob, n: number, _settled: boolean, now: number): number[] {
+      const ignoreUnconfirmed = function (
+        this: PartitionJob,
+        n: number,
+        _allConfirmed: boolean,
+        now: number,
+      ): number[] {
         return real.call(this, n, true, now);
       };
-      return patchProperty(PartitionJob.prototype, 'startableTasks', { value: eager });
+      return patchProperty(PartitionJob.prototype, 'startableTasks', { value: ignoreUnconfirmed });
     },
-    fault: crashWhileSilent,
-    breaks: /ran_twice/,
+    fault: crashAllWhileWorkersHang,
+    expectedViolation: /ran_twice/,
   },
   {
-    name: 'the next owner is not told how far tasks may have been started',
-    apply: () => {
+    name: 'the next owner does not learn the start watermarks of jobs',
+    removeGuard: () => {
       const real = ReplicaView.prototype.progressOf;
-      const forgetful = function (this: ReplicaView, ref: string): JobProgress | null {
+      const withoutWatermark = function (this: ReplicaView, ref: string): JobProgress | null {
         const progress = real.call(this, ref);
         return progress && { ...progress, startWatermark: 0 };
       };
-      return patchProperty(ReplicaView.prototype, 'progressOf', { value: forgetful });
+      return patchProperty(ReplicaView.prototype, 'progressOf', { value: withoutWatermark });
     },
-    fault: crashWhileSilent,
-    breaks: /ran_twice/,
+    fault: crashAllWhileWorkersHang,
+    expectedViolation: /ran_twice/,
   },
   {
-    name: 'the next owner is not told which machines may have tasks on them',
-    apply: () =>
+    name: 'the next owner does not learn which machines may have tasks',
+    removeGuard: () =>
       patchProperty(ReplicaView.prototype, 'assignedMachinesInPartition', { value: () => new Set() }),
-    fault: crashWhileSilent,
-    breaks: /ran_twice/,
+    fault: crashAllWhileWorkersHang,
+    expectedViolation: /ran_twice/,
   },
   {
-    name: 'a controller cut from the state service and peers goes on answering its workers',
-    // The bound on what it may not know would stop it as well, so both are taken away.
-    apply: () => {
+    name: 'a controller disconnected from the state store and peers keeps answering its workers',
+    // The bound on the staleness of its data would stop it as well, so both guards are removed.
+    removeGuard: () => {
       const restores = [
         patchProperty(Membership.prototype, 'alive', { value: () => true }),
         patchProperty(Membership.prototype, 'mayRenewLeases', { value: () => true }),
@@ -114,17 +119,17 @@
       return () => restores.forEach((restore) => restore());
     },
     fault: (cluster) => isolateOwner(cluster, 40_000),
-    breaks: /ran_twice|quota|ran_cancelled/,
+    expectedViolation: /ran_twice|quota|ran_cancelled/,
   },
   {
-    name: 'an extension is given though the store answers',
-    apply: () => {
+    name: 'a lease extension is granted although the state store responds',
+    removeGuard: () => {
       const real = Object.getOwnPropertyDescriptor(LeaseExtensions.prototype, 'grant') as PropertyDescriptor;
-      const loose = function (
+      const alwaysGrant = function (
         this: LeaseExtensions,
         member: string,
-        _seen: boolean,
-        _ok: boolean,
+        _memberKnown: boolean,
+        _storeReachable: boolean,
         now: number,
       ): unknown {
         (real.value as LeaseExtensions['grant']).call(this, member, true, false, Number.NEGATIVE_INFINITY);
@@ -136,27 +141,31 @@
           now,
         );
       };
-      return patchProperty(LeaseExtensions.prototype, 'grant', { value: loose });
+      return patchProperty(LeaseExtensions.prototype, 'grant', { value: alwaysGrant });
     },
     fault: (cluster) => refuseStoreToOwner(cluster, 40_000),
-    breaks: /ran_twice|quota|ran_cancelled/,
+    expectedViolation: /ran_twice|quota|ran_cancelled/,
   },
 ];
 
-test('the days notice a missing guard', async (t) => {
-  for (const { name, apply, fault, breaks, day: played = directedDay } of removedGuards) {
+test('a missing guard leads to the expected violation', async (t) => {
+  for (const { name, removeGuard, fault, expectedViolation, run = runWithRepeatedFault } of removedGuards) {
     await t.test(name, async () => {
-      const whole = await played(1, fault);
-      assert.deepEqual(whole.rules.violations, [], 'with the guard in place');
-      const restore = apply();
+      const withGuard = await run(1, fault);
+      assert.deepEqual(withGuard.rules.violations, [], 'with the guard in place');
+      const restore = removeGuard();
       try {
-        const found: string[] = [];
-        for (let seed = 1; seed <= 8 && !found.some((b) => breaks.test(b)); seed++) {
-          found.push(...(await played(seed, fault)).rules.violations);
+        const violations: string[] = [];
+        for (
+          let seed = 1;
+          seed <= 8 && !violations.some((violation) => expectedViolation.test(violation));
+          seed++
+        ) {
+          violations.push(...(await run(seed, fault)).rules.violations);
         }
         assert.ok(
-          found.some((b) => breaks.test(b)),
-          `nothing noticed: ${found.join('; ')}`,
+          violations.some((violation) => expectedViolation.test(violation)),
+          `expected violation not found: ${violations.join('; ')}`,
         );
       } finally {
         restore();
--- a/test/cluster/rule-checker.ts
+++ b/test/cluster/rule-checker.ts
@@ -1,19 +1,20 @@
 import { type FakeWorker } from '../standin/fake-worker';
-import { CANCEL_BOUND_MS, type TeamSettings } from './cluster-options';
+import { CANCELLATION_DEADLINE_MS, type TeamSettings } from './cluster-options';
 import { type SubmittedJobs, type UserJob } from './submitted-jobs';
 
-/** A task that a machine executes, by its job. */
+/** A task that a machine executes, given by its job. */
 interface ExecutedTask {
   worker: FakeWorker;
   job: UserJob;
 }
 
 /**
- * The rules that no fault may break, checked on the machines as they really are: no task in two places, teams within
- * their limits, placement as asked for, cancelled jobs gone in time, and users told nothing that is taken back.
+ * Checks the rules that no fault may violate against the actual state of the machines: no task executes in two places, teams
+ * stay within their limits, placement constraints hold, cancelled jobs stop in time, and no status that a user receives is
+ * taken back.
  */
 export class RuleChecker {
-  /** Rules that were broken, each with its kind first: `ran_twice`, `quota`, `wrong_place`, … */
+  /** The violations found, each with its kind first: `ran_twice`, `quota`, `wrong_place`, … */
   readonly violations: string[] = [];
   startedTasks = 0;
 
@@ -24,26 +25,26 @@
     private readonly now: () => number,
   ) {}
 
-  violated(description: string): void {
+  recordViolation(description: string): void {
     this.violations.push(description);
   }
 
-  /** Checks what can be broken only when a task starts. */
+  /** Checks the rules that the start of a task can violate. */
   taskStarted(worker: FakeWorker, taskId: string): void {
     this.startedTasks++;
     const job = this.jobs.ofTask(taskId);
-    if (!job) return this.violated(`unknown: ${taskId}`);
-    this.checkSinglePlace(worker, taskId);
+    if (!job) return this.recordViolation(`unknown: ${taskId}`);
+    this.checkNotExecutedElsewhere(worker, taskId);
     const executed = this.executedTasks();
     this.checkTeamLimit(job, executed);
     this.checkPlacement(worker, taskId, job, executed);
     this.checkCancelledJobs();
   }
 
-  private checkSinglePlace(worker: FakeWorker, taskId: string): void {
+  private checkNotExecutedElsewhere(worker: FakeWorker, taskId: string): void {
     for (const other of this.workers.values()) {
       if (other === worker || !other.executes(taskId)) continue;
-      this.violated(`ran_twice: ${taskId} at ${this.now()}`);
+      this.recordViolation(`ran_twice: ${taskId} at ${this.now()}`);
       return;
     }
   }
@@ -52,7 +53,7 @@
     let used = 0;
     for (const { job } of executed) if (job.team === team) used += job.cpus;
     const limit = this.teams.find(({ name }) => name === team)?.cpus_max ?? 0;
-    if (used > limit) this.violated(`quota: ${team} uses ${used} at ${this.now()}`);
+    if (used > limit) this.recordViolation(`quota: ${team} uses ${used} at ${this.now()}`);
   }
 
   private checkPlacement(
@@ -61,17 +62,18 @@
     job: UserJob,
     executed: readonly ExecutedTask[],
   ): void {
-    if (!job.spot && worker.spot) this.violated(`wrong_place: ${taskId} on a spot machine`);
+    if (!job.spot && worker.spot) this.recordViolation(`wrong_place: ${taskId} on a spot machine`);
     if (job.zone !== null && worker.zone !== job.zone)
-      this.violated(`wrong_place: ${taskId} out of its zone`);
+      this.recordViolation(`wrong_place: ${taskId} out of its zone`);
     const zones = executed.filter((task) => task.job === job).map((task) => task.worker.zone);
     const inThisZone = zones.filter((zone) => zone === worker.zone).length;
     if (job.spreadZones && inThisZone > Math.ceil(job.tasks / 2))
-      this.violated(`wrong_place: ${inThisZone} of ${job.ref} in one zone`);
-    if (job.singleZone && new Set(zones).size > 1) this.violated(`wrong_place: ${taskId} apart from its job`);
+      this.recordViolation(`wrong_place: ${inThisZone} tasks of ${job.ref} in one zone`);
+    if (job.singleZone && new Set(zones).size > 1)
+      this.recordViolation(`wrong_place: ${taskId} outside the zone of its job`);
   }
 
-  /** Every task that a machine executes now, with its job. */
+  /** The tasks that machines execute now, with their jobs. */
   private executedTasks(): ExecutedTask[] {
     const executed: ExecutedTask[] = [];
     for (const worker of this.workers.values()) {
@@ -83,12 +85,12 @@
     return executed;
   }
 
-  /** Nothing of a cancelled job may be on a machine after the bound, whether the machine was reached or not. */
+  /** Checks that no task of a cancelled job executes after the deadline, whether its machine was reached or not. */
   checkCancelledJobs(): void {
     const now = this.now();
     const overdue = new Map(
       this.jobs.list
-        .filter(({ cancelledAt }) => cancelledAt !== null && now > cancelledAt + CANCEL_BOUND_MS)
+        .filter(({ cancelledAt }) => cancelledAt !== null && now > cancelledAt + CANCELLATION_DEADLINE_MS)
         .map((job) => [job.ref, job]),
     );
     if (overdue.size === 0) return;
@@ -97,18 +99,18 @@
         const job = overdue.get(taskId.split('/')[0] ?? '');
         if (!job || job.overrunRecorded || !worker.executes(taskId)) continue;
         job.overrunRecorded = true;
-        this.violated(`ran_cancelled: ${taskId} at ${now}, cancelled at ${job.cancelledAt}`);
+        this.recordViolation(`ran_cancelled: ${taskId} at ${now}, cancelled at ${job.cancelledAt}`);
       }
     }
   }
 
-  /** Checks what a user is told against what the user was told before and what machines have done. */
+  /** Checks a status that a user receives against earlier ones and against the tasks that machines have completed. */
   statusReceived(job: UserJob, status: string): void {
     if (job.terminalStatus !== null && status !== job.terminalStatus)
-      this.violated(`went_back: ${job.ref} from ${job.terminalStatus} to ${status} at ${this.now()}`);
+      this.recordViolation(`went_back: ${job.ref} from ${job.terminalStatus} to ${status} at ${this.now()}`);
     if (status === 'aborted' && !job.cancelRequested)
-      this.violated(`went_back: ${job.ref} aborted by nobody`);
+      this.recordViolation(`went_back: ${job.ref} aborted without a cancellation`);
     if (status !== 'done') return;
-    for (const taskId of this.jobs.incompleteTasks(job)) this.violated(`not_done: ${taskId}`);
+    for (const taskId of this.jobs.incompleteTasks(job)) this.recordViolation(`not_done: ${taskId}`);
   }
 }
--- a/test/cluster/simulated-network.ts
+++ b/test/cluster/simulated-network.ts
@@ -5,33 +5,36 @@
 import { isLeading, type ControllerNode } from './controller-node';
 import { type RandomSource } from './random-source';
 
-const ONE_WAY_MS = 2;
+const ONE_WAY_LATENCY_MS = 2;
 const CONNECTION_REFUSED_MS = 5;
 const HEARTBEAT_TIMEOUT_MS = 4000;
-/** One request in so many comes seconds late. */
+/** One request in this many takes 2 to 8 s. */
 const SLOW_REQUEST_ONE_IN = 150;
-/** Of one heartbeat in so many a copy comes late, at any controller. */
-const COPIED_HEARTBEAT_ONE_IN = 25;
-/** So many of the recorded heartbeats are replayed to a new leader. */
+/** One heartbeat in this many is duplicated; the copy arrives late, at any controller. */
+const DUPLICATED_HEARTBEAT_ONE_IN = 25;
+/** At most this many recorded heartbeats, the newest ones, are replayed when a new controller leads. */
 const MAX_REPLAYED_HEARTBEATS = 60;
 
-/** A process of a controller as the network sees it. */
-export interface Endpoint {
+/** A process of a controller as the sender of requests and frames. */
+export interface ControllerProcess {
   node: ControllerNode;
   index: number;
-  /** Whether this very process still runs. */
+  /** Whether this process still runs; false as well if another one has replaced it. */
   isUp: () => boolean;
 }
 
-/** What connects controllers, workers, cloud and state service: delays, losses, copies, partitions. */
+/** Connects controllers, workers, cloud and state store, with delays, losses, duplicates and disconnected nodes. */
 export class SimulatedNetwork {
-  /** Of the writes to the state service, one in this many gets no answer and is applied late; 0: none. */
+  /** One write to the state store in this many gets no response and is applied late; 0 if none is. */
   delayOneWriteIn = 0;
-  /** Of the writes to the state service, one in this many is applied at once and only its answer is lost; 0: none. */
+  /** One write to the state store in this many is applied at once and only its response is lost; 0 if none is. */
   loseOneResponseIn = 0;
-  /** Copies of heartbeats are kept, and brought to every controller as soon as a new one leads. */
+  /** Records heartbeats and delivers copies to every controller as soon as a new one leads. */
   replayHeartbeatsToNextLeader = false;
-  /** This zone and the first controller see each other and nobody else; state service and cloud are outside. */
+  /**
+   * The zone whose workers reach only the first controller, while that controller reaches neither other workers, other
+   * controllers nor the state store; null if none is isolated. Requests to the cloud are not affected.
+   */
   isolatedZone: string | null = null;
   private readonly recordedHeartbeats: { worker: FakeWorker; heartbeat: object }[] = [];
   private lastSeenLeader = -1;
@@ -42,15 +45,15 @@
     private readonly nodes: readonly ControllerNode[],
   ) {}
 
-  /** A request to the state service. */
+  /** Sends a request to the state store; the response is null on a timeout. */
   requestStore(
-    { node, index, isUp }: Endpoint,
+    { node, index, isUp }: ControllerProcess,
     path: string,
     timeoutMs: number,
     send: (refused: () => boolean) => Promise<HttpResponse>,
   ): Promise<HttpResponse | null> {
     const unreachable = node.isolated || (this.isolatedZone !== null && index === 0);
-    if (unreachable || (node.watchHangs && path.startsWith('/watch'))) return this.noAnswer(timeoutMs);
+    if (unreachable || (node.watchHangs && path.startsWith('/watch'))) return this.noResponse(timeoutMs);
     const isWrite = path === '/multi';
     if (isWrite && this.oneIn(this.delayOneWriteIn)) return this.applyAfterTimeout(timeoutMs, send);
     const responseLost = isWrite && this.oneIn(this.loseOneResponseIn);
@@ -58,59 +61,66 @@
     return this.request(node, isUp, timeoutMs, () => send(refused), responseLost);
   }
 
-  /** A request to the cloud. */
+  /** Sends a request to the cloud; the response is null on a timeout. */
   requestCloud(
-    { node, isUp }: Endpoint,
+    { node, isUp }: ControllerProcess,
     timeoutMs: number,
     send: () => Promise<HttpResponse>,
   ): Promise<HttpResponse | null> {
     return this.request(node, isUp, timeoutMs, send, false);
   }
 
-  /** A frame from one controller to another, and the reply to it. */
-  sendFrame(from: Endpoint, toIndex: number, frame: Buffer): void {
-    this.later(ONE_WAY_MS, () => {
+  /** Sends a frame from one controller to another and delivers the reply to it. */
+  sendFrame(from: ControllerProcess, toIndex: number, frame: Buffer): void {
+    this.schedule(ONE_WAY_LATENCY_MS, () => {
       const peer = this.nodes[toIndex];
       const cut = this.isolatedZone !== null && (from.index === 0 || toIndex === 0);
       if (!from.isUp() || !peer?.up || peer.isolated || from.node.isolated || cut) return;
       const sendReply = (reply: Buffer): void =>
-        this.later(ONE_WAY_MS, () => this.onceResumed(from.node, () => this.receiveReply(from, reply)));
-      this.onceResumed(peer, () => peer.controller?.receiveFrame(frame, sendReply));
+        this.schedule(ONE_WAY_LATENCY_MS, () =>
+          this.runWhenResumed(from.node, () => this.receiveReply(from, reply)),
+        );
+      this.runWhenResumed(peer, () => peer.controller?.receiveFrame(frame, sendReply));
     });
   }
 
-  private receiveReply({ node, isUp }: Endpoint, reply: Buffer): void {
+  private receiveReply({ node, isUp }: ControllerProcess, reply: Buffer): void {
     if (isUp()) node.controller?.receiveFrame(reply, () => undefined);
   }
 
-  /** Brings a worker's heartbeat to a controller; null: no answer in time. */
+  /** Delivers a worker's heartbeat to a controller; the response is null on a timeout. */
   deliverHeartbeat(index: number, worker: FakeWorker, heartbeat: object): Promise<HttpResponse | null> {
     return new Promise((resolve) => {
-      this.later(HEARTBEAT_TIMEOUT_MS, () => resolve(null));
+      this.schedule(HEARTBEAT_TIMEOUT_MS, () => resolve(null));
       const node = this.nodes[index] as ControllerNode;
       const cut = this.isolatedZone !== null && (worker.zone === this.isolatedZone) !== (index === 0);
       if (worker.heartbeatsLost || cut) return;
-      // What reaches a controller from a machine need not mean that the machine is reached.
+      // A heartbeat may reach the controller although no response reaches the machine.
       const respond = (response: HttpResponse): void => {
-        if (!worker.responsesLost) this.later(ONE_WAY_MS, () => resolve(response));
+        if (!worker.responsesLost) this.schedule(ONE_WAY_LATENCY_MS, () => resolve(response));
       };
       const arrive = (): void =>
-        this.onceResumed(node, () => this.receiveHeartbeat(index, worker, heartbeat, respond));
-      if (!node.up) this.later(CONNECTION_REFUSED_MS, () => resolve(null));
-      else if (node.cutFromWorkers) this.later(5000 + this.random.int(15_000), arrive);
+        this.runWhenResumed(node, () => this.receiveHeartbeat(index, worker, heartbeat, respond));
+      if (!node.up) this.schedule(CONNECTION_REFUSED_MS, () => resolve(null));
+      else if (node.cutFromWorkers) this.schedule(5000 + this.random.int(15_000), arrive);
       else {
-        this.later(ONE_WAY_MS, arrive);
+        this.schedule(ONE_WAY_LATENCY_MS, arrive);
         this.copyHeartbeat(worker, heartbeat);
       }
     });
   }
 
-  /** Copies of old heartbeats come late, by seconds to well over a lease, and to any controller. */
+  /**
+   * Records a heartbeat if it is to be replayed. Delivers copies of some heartbeats to any controller, 1 to 41 s late, which
+   * can be well over a lease.
+   */
   private copyHeartbeat(worker: FakeWorker, heartbeat: object): void {
     if (this.replayHeartbeatsToNextLeader) this.recordedHeartbeats.push({ worker, heartbeat });
-    if (!this.oneIn(COPIED_HEARTBEAT_ONE_IN)) return;
-    const copyTo = this.random.int(this.nodes.length);
-    this.later(1000 + this.random.int(40_000), () => this.receiveHeartbeat(copyTo, worker, heartbeat));
+    if (!this.oneIn(DUPLICATED_HEARTBEAT_ONE_IN)) return;
+    const duplicateTo = this.random.int(this.nodes.length);
+    this.schedule(1000 + this.random.int(40_000), () =>
+      this.receiveHeartbeat(duplicateTo, worker, heartbeat),
+    );
   }
 
   private receiveHeartbeat(
@@ -122,7 +132,7 @@
     const node = this.nodes[index] as ControllerNode;
     if (!node.up || !node.controller) return;
     const parsed = parseHeartbeat(JSON.parse(JSON.stringify(heartbeat)));
-    if (!parsed) throw new Error(`${worker.name} sent no heartbeat`);
+    if (!parsed) throw new Error(`${worker.name} sent a malformed heartbeat`);
     node.controller.receiveHeartbeat(parsed, (reply) => {
       if (reply.kind === 'answer')
         respond({ status: 200, body: heartbeatResponse(reply.token, reply.commands) });
@@ -131,7 +141,7 @@
     });
   }
 
-  /** As soon as a new leader has begun, copies of heartbeats from before reach every controller at once. */
+  /** Delivers copies of the recorded heartbeats to every controller at once as soon as a new one leads. */
   replayHeartbeats(): void {
     const leader = this.nodes.findIndex(isLeading);
     if (leader < 0 || leader === this.lastSeenLeader) return;
@@ -140,7 +150,7 @@
       for (let index = 0; index < this.nodes.length; index++) this.receiveHeartbeat(index, worker, heartbeat);
   }
 
-  /** A request that takes a few milliseconds, now and then comes late, and may outlive its sender. */
+  /** Sends a request that takes a few milliseconds, sometimes seconds, and may outlive its sender. */
   private request(
     node: ControllerNode,
     isUp: () => boolean,
@@ -152,31 +162,31 @@
       const slow = this.oneIn(SLOW_REQUEST_ONE_IN);
       const delayMs = slow ? 2000 + this.random.int(6000) : 2 + this.random.int(6);
       const respond = (response: HttpResponse | null): void =>
-        this.onceResumed(node, () => (isUp() ? resolve(response) : undefined));
-      this.later(timeoutMs, () => respond(null));
-      this.later(delayMs, () => {
+        this.runWhenResumed(node, () => (isUp() ? resolve(response) : undefined));
+      this.schedule(timeoutMs, () => respond(null));
+      this.schedule(delayMs, () => {
         void send().then((response) => {
-          if (!responseLost) this.later(ONE_WAY_MS, () => respond(response));
+          if (!responseLost) this.schedule(ONE_WAY_LATENCY_MS, () => respond(response));
         });
       });
     });
   }
 
-  /** A write whose sender gives up on it, and which is applied all the same, after newer ones. */
+  /** Applies a write 2 to 12 s late, after newer ones, although its sender gets no response and gives up on it. */
   private applyAfterTimeout(
     timeoutMs: number,
     send: (refused: () => boolean) => Promise<HttpResponse>,
   ): Promise<null> {
-    this.later(2000 + this.random.int(10_000), () => void send(() => false));
-    return this.noAnswer(timeoutMs);
+    this.schedule(2000 + this.random.int(10_000), () => void send(() => false));
+    return this.noResponse(timeoutMs);
   }
 
-  private noAnswer(timeoutMs: number): Promise<null> {
-    return new Promise((resolve) => this.later(timeoutMs, () => resolve(null)));
+  private noResponse(timeoutMs: number): Promise<null> {
+    return new Promise((resolve) => this.schedule(timeoutMs, () => resolve(null)));
   }
 
-  /** Does it now, or once the process is no longer paused. */
-  private onceResumed(node: ControllerNode, action: () => void): void {
+  /** Runs the action now, or at the end of the process's pause. */
+  private runWhenResumed(node: ControllerNode, action: () => void): void {
     if (this.time.now < node.pausedUntil) this.time.at(node.pausedUntil, action);
     else action();
   }
@@ -185,7 +195,7 @@
     return count > 0 && this.random.int(count) === 0;
   }
 
-  private later(ms: number, action: () => void): void {
+  private schedule(ms: number, action: () => void): void {
     this.time.at(this.time.now + ms, action);
   }
 }
--- a/test/cluster/simulated-users.ts
+++ b/test/cluster/simulated-users.ts
@@ -2,7 +2,7 @@
 import { type ApiResponse } from '../../src/coordination/requests/api-responses';
 import { type VirtualTime } from '../standin/clock';
 import { type FakeWorker } from '../standin/fake-worker';
-import { TEAMS, type JobShape, type TeamSettings, type VirtualClusterOptions } from './cluster-options';
+import { TEAMS, type JobParameters, type TeamSettings, type VirtualClusterOptions } from './cluster-options';
 import { type ControllerNode } from './controller-node';
 import { type RandomSource } from './random-source';
 import { type RuleChecker } from './rule-checker';
@@ -13,12 +13,12 @@
 const RETRY_MS = 1000;
 const POLL_INTERVAL_MS = 1500;
 const POLLING_ENDS_AT = 400_000;
-/** With all faults over, a job about which no query is answered for so long counts as forgotten. */
+/** Once all faults are over, a job whose status queries get no 200 response for this long counts as forgotten. */
 const MAX_UNANSWERED_MS = 75_000;
-/** One random job in so many is cancelled by its user. */
+/** One random job in this many is cancelled by its user. */
 const CANCEL_ONE_IN = 6;
 
-/** What the users act on. */
+/** The parts of the simulation that the users interact with. */
 export interface SimulatedUsersDependencies {
   time: VirtualTime;
   random: RandomSource;
@@ -29,38 +29,38 @@
   options: VirtualClusterOptions;
 }
 
-/** Users who submit jobs to any controller that is up, ask about them, cancel some, and check what they are told. */
+/** Users who submit jobs to any controller that is up, poll their status, cancel some, and check the responses. */
 export class SimulatedUsers {
-  /** Users ask at all controllers within milliseconds whenever they have been told something new of a job. */
+  /** Users query all controllers within milliseconds whenever they receive a new status of a job. */
   queryAllControllers = false;
-  /** Users ask so many times as often about their jobs. */
+  /** The factor by which users poll the status of their jobs more often. */
   queryRateFactor = 1;
-  /** Users cancel, ask and submit again at the very end of a job's last task. */
+  /** Users cancel, query and resubmit a job at the very end of its last task. */
   raceWithCompletion = false;
-  /** When all faults are over. */
+  /** The virtual time at which all faults are over. */
   faultsEndAt = Number.POSITIVE_INFINITY;
 
   constructor(private readonly dependencies: SimulatedUsersDependencies) {}
 
-  /** A user submits a job of this shape, until it is accepted, and asks about it from then on. */
-  submitJob(n: number, shape: JobShape): void {
+  /** Submits a job with these parameters until it is accepted, and polls its status from then on. */
+  submitJob(n: number, parameters: JobParameters): void {
     const { jobs, time, options } = this.dependencies;
-    const job = jobs.add(n, shape.team, shape.tasks, shape.cpus, time.now);
-    job.shape = shape;
+    const job = jobs.add(n, parameters.team, parameters.tasks, parameters.cpus, time.now);
+    job.parameters = parameters;
     job.spot = true;
-    options.taskListener?.submitted(job.ref, shape, time.now);
+    options.taskListener?.submitted(job.ref, parameters, time.now);
     this.submitUntilAccepted(job, {
-      urgency: shape.priority,
-      build: shape.image,
-      image_gb: shape.imageGb,
-      expected_s: shape.expectedS,
-      snapshot_every_s: shape.checkpointIntervalS,
-      snapshot_s: shape.checkpointDurationS,
+      urgency: parameters.priority,
+      build: parameters.image,
+      image_gb: parameters.imageGb,
+      expected_s: parameters.expectedS,
+      snapshot_every_s: parameters.checkpointIntervalS,
+      snapshot_s: parameters.checkpointDurationS,
       due_s: null,
     });
   }
 
-  /** A user submits a job that is left to chance, until it is accepted, and asks about it; some cancel. */
+  /** Submits a random job until it is accepted, and polls its status; some of these jobs are cancelled. */
   submitRandomJob(n: number, taskCount?: number): void {
     const { jobs, time, options } = this.dependencies;
     const team = TEAMS[this.randomInt(TEAMS.length)] as TeamSettings;
@@ -84,7 +84,7 @@
     });
   }
 
-  private submitUntilAccepted(job: UserJob, rest: object): void {
+  private submitUntilAccepted(job: UserJob, otherFields: object): void {
     job.submission = {
       ref: job.ref,
       workload: 'w',
@@ -99,22 +99,22 @@
       together: job.singleZone,
       apart: job.spreadZones,
       loaners: job.spot,
-      ...rest,
+      ...otherFields,
     };
     void this.submitOnce(job);
   }
 
   private async submitOnce(job: UserJob): Promise<void> {
     const { status } = await this.submit(job.submission);
-    if (status === 400 || status === 422) this.violated(`forgotten: ${job.ref} got ${status}`);
-    if (status !== 200 && status !== 201) return this.later(RETRY_MS, () => void this.submitOnce(job));
+    if (status === 400 || status === 422) this.recordViolation(`forgotten: ${job.ref} got ${status}`);
+    if (status !== 200 && status !== 201) return this.schedule(RETRY_MS, () => void this.submitOnce(job));
     job.accepted = true;
     this.pollStatus(job);
-    if (!job.shape && this.randomInt(CANCEL_ONE_IN) === 0)
-      this.later(this.randomInt(15_000), () => this.requestCancel(job));
+    if (!job.parameters && this.randomInt(CANCEL_ONE_IN) === 0)
+      this.schedule(this.randomInt(15_000), () => this.requestCancel(job));
   }
 
-  /** Users cancel up to `count` jobs that run. */
+  /** Cancels up to `count` of the jobs that have tasks on machines. */
   cancelRunningJobs(count: number): void {
     const { jobs, workers } = this.dependencies;
     const taskIds = [...workers.values()].flatMap((worker) => [...worker.tasks.keys()]);
@@ -123,7 +123,7 @@
     for (const job of cancellable.slice(0, count)) this.requestCancel(job);
   }
 
-  /** The user of the job with this number cancels it, once it is accepted. */
+  /** Cancels the job with this number if it is accepted and not cancelled yet. */
   cancelJob(n: number): void {
     const job = this.dependencies.jobs.byRef(jobRef(n));
     if (job?.accepted && !job.cancelRequested) this.requestCancel(job);
@@ -134,32 +134,32 @@
     const { jobService } = this.randomController();
     void this.withTimeout(jobService.cancel(job.ref), REQUEST_TIMEOUT_MS).then((response) => {
       if (response.status === 200) this.statusReceived(job, statusIn(response));
-      else this.later(RETRY_MS, () => this.requestCancel(job));
+      else this.schedule(RETRY_MS, () => this.requestCancel(job));
     });
   }
 
-  /** A machine has completed a task; nobody knows of it yet but the machine. */
+  /** Handles the completion of a task, of which only its machine knows so far. */
   taskCompleted(taskId: string): void {
     const job = this.dependencies.jobs.ofTask(taskId);
     if (!this.raceWithCompletion || !job || job.terminalStatus !== null) return;
     if (this.dependencies.jobs.incompleteTasks(job).length > 0) return;
-    // Whatever comes first counts, for all of them.
+    // The first of these to take effect decides the status that all of them must return.
     const soonMs = (): number => this.randomInt(2500);
-    this.later(soonMs(), () => this.requestCancel(job));
-    this.later(soonMs(), () => this.queryStatus(job));
-    this.later(soonMs(), () => void this.resubmit(job));
+    this.schedule(soonMs(), () => this.requestCancel(job));
+    this.schedule(soonMs(), () => this.queryStatus(job));
+    this.schedule(soonMs(), () => void this.resubmit(job));
   }
 
-  /** The same submission once more: the answer is the job's state, and never that it cannot be. */
+  /** Submits the same job again. The response must be the job's status, never a rejection or a second acceptance. */
   private async resubmit(job: UserJob): Promise<void> {
     const response = await this.submit(job.submission);
     const { status } = response;
     if (status === 400 || status === 422 || status === 201)
-      this.violated(`forgotten: ${job.ref} submitted again got ${status}`);
+      this.recordViolation(`forgotten: ${job.ref} got ${status} on resubmission`);
     if (status === 200) this.statusReceived(job, statusIn(response));
   }
 
-  /** Users submit again, cancel what is done, ask about what nobody submitted, and send what cannot be taken. */
+  /** Resubmits accepted jobs, cancels done ones, queries a job that was never submitted, and sends invalid submissions. */
   sendInvalidRequests(): void {
     const { jobs, time } = this.dependencies;
     for (const job of jobs.list.filter(({ accepted }) => accepted)) {
@@ -176,13 +176,13 @@
       this.expectRefused({ ...unknown, [field]: undefined }, 400);
     const { jobService } = this.randomController();
     void this.withTimeout(jobService.status(unknown.ref), REQUEST_TIMEOUT_MS).then(({ status }) => {
-      if (status === 200) this.violated(`invented: ${unknown.ref}`);
+      if (status === 200) this.recordViolation(`invented: ${unknown.ref}`);
     });
   }
 
   private expectRefused(submission: object, expected: number): void {
     void this.submit(submission).then(({ status }) => {
-      if (![expected, 429, 503].includes(status)) this.violated(`odd request got ${status}`);
+      if (![expected, 429, 503].includes(status)) this.recordViolation(`invalid submission got ${status}`);
     });
   }
 
@@ -193,7 +193,7 @@
   private pollStatus(job: UserJob): void {
     this.queryStatus(job);
     if (this.dependencies.time.now < POLLING_ENDS_AT)
-      this.later(POLL_INTERVAL_MS / this.queryRateFactor, () => this.pollStatus(job));
+      this.schedule(POLL_INTERVAL_MS / this.queryRateFactor, () => this.pollStatus(job));
   }
 
   private queryStatus(job: UserJob): void {
@@ -203,12 +203,12 @@
   private queryStatusAt({ jobService }: Controller, job: UserJob): void {
     void this.withTimeout(jobService.status(job.ref), QUERY_TIMEOUT_MS).then((response) => {
       const { now } = this.dependencies.time;
-      if (response.status === 404) this.violated(`forgotten: ${job.ref} at ${now}`);
+      if (response.status === 404) this.recordViolation(`forgotten: ${job.ref} at ${now}`);
       if (response.status === 200) {
         job.lastAnsweredAt = now;
         this.statusReceived(job, statusIn(response));
       } else if (now - Math.max(job.lastAnsweredAt, this.faultsEndAt) > MAX_UNANSWERED_MS) {
-        this.violated(`forgotten: nothing is said of ${job.ref} at ${now}`);
+        this.recordViolation(`forgotten: no status response for ${job.ref} at ${now}`);
       }
     });
   }
@@ -217,17 +217,17 @@
     this.dependencies.rules.statusReceived(job, status);
     const changed = job.lastStatus !== status;
     job.lastStatus = status;
-    if (this.queryAllControllers && changed) this.queryEverywhere(job);
+    if (this.queryAllControllers && changed) this.queryEachController(job);
     if (status === 'done' || status === 'aborted') job.terminalStatus = status;
     if (status === 'aborted') job.cancelledAt ??= this.dependencies.time.now;
   }
 
-  private queryEverywhere(job: UserJob): void {
+  private queryEachController(job: UserJob): void {
     for (const { up, controller } of this.dependencies.nodes)
-      if (up && controller) this.later(this.randomInt(5), () => this.queryStatusAt(controller, job));
+      if (up && controller) this.schedule(this.randomInt(5), () => this.queryStatusAt(controller, job));
   }
 
-  /** Any controller that is up; with all of them down the user meets none. */
+  /** A random controller that is up, or one that answers 503 if none is. */
   private randomController(): Controller {
     const { nodes } = this.dependencies;
     const up = nodes.filter((node) => node.up && node.controller);
@@ -235,23 +235,23 @@
     return node?.controller ?? STOPPED_CONTROLLER;
   }
 
-  /** A controller that ends takes its open requests with it; users wait this long for an answer. */
+  /** Resolves to 503 after the timeout, since a controller that ends never answers its open requests. */
   private withTimeout(response: Promise<ApiResponse>, timeoutMs: number): Promise<ApiResponse> {
     return new Promise((resolve) => {
-      this.later(timeoutMs, () => resolve(UNAVAILABLE));
+      this.schedule(timeoutMs, () => resolve(UNAVAILABLE));
       void response.then(resolve);
     });
   }
 
-  private violated(description: string): void {
-    this.dependencies.rules.violated(description);
+  private recordViolation(description: string): void {
+    this.dependencies.rules.recordViolation(description);
   }
 
   private randomInt(bound: number): number {
     return this.dependencies.random.int(bound);
   }
 
-  private later(ms: number, action: () => void): void {
+  private schedule(ms: number, action: () => void): void {
     const { time } = this.dependencies;
     time.at(time.now + ms, action);
   }
--- a/test/cluster/submitted-jobs.ts
+++ b/test/cluster/submitted-jobs.ts
@@ -1,9 +1,9 @@
-import { type JobShape } from './cluster-options';
+import { type JobParameters } from './cluster-options';
 
 /** A job as its user sees it. */
 export interface UserJob {
-  /** What it asks for where that is not left to chance. */
-  shape: JobShape | null;
+  /** The parameters that a test has specified; null for a random job. */
+  parameters: JobParameters | null;
   ref: string;
   team: string;
   tasks: number;
@@ -16,14 +16,14 @@
   submission: object;
   accepted: boolean;
   terminalStatus: string | null;
-  /** When its user was told that it is cancelled. */
+  /** The virtual time at which its user was told that it is cancelled; null if that has not happened. */
   cancelledAt: number | null;
-  /** Its tasks were found running on after a cancellation; once is enough. */
+  /** Whether a task that ran past the cancellation deadline is recorded; each job is recorded once. */
   overrunRecorded: boolean;
   cancelRequested: boolean;
-  /** What its user was last told. */
+  /** The status that its user received last; null if none yet. */
   lastStatus: string | null;
-  /** When a status query about it was last answered. */
+  /** The virtual time at which a status query for it was last answered; its submission time if none was. */
   lastAnsweredAt: number;
 }
 
@@ -32,14 +32,14 @@
   return `job-${String(n).padStart(6, '0')}`;
 }
 
-/** All jobs that users have submitted, and which of their tasks have completed on some machine. */
+/** All jobs that users have submitted, and the tasks that have completed on some machine. */
 export class SubmittedJobs {
   readonly list: UserJob[] = [];
   readonly completedTasks = new Set<string>();
 
   add(n: number, team: string, tasks: number, cpus: number, now: number): UserJob {
     const job: UserJob = {
-      shape: null,
+      parameters: null,
       ref: jobRef(n),
       team,
       tasks,
@@ -74,13 +74,13 @@
     return this.ofTask(taskId)?.cpus ?? 0;
   }
 
-  /** The tasks of a job that have not completed. */
+  /** The tasks of a job that have not completed on any machine. */
   incompleteTasks(job: UserJob): string[] {
     const all = Array.from({ length: job.tasks }, (_, index) => `${job.ref}/${index}`);
     return all.filter((taskId) => !this.completedTasks.has(taskId));
   }
 
-  /** The jobs of which users have not been told an end. */
+  /** The references of the jobs whose users have not received a terminal status. */
   unfinished(): string[] {
     return this.list.filter((job) => job.terminalStatus === null).map((job) => job.ref);
   }
--- a/test/cluster/virtual-cluster.ts
+++ b/test/cluster/virtual-cluster.ts
@@ -13,15 +13,15 @@
   HEARTBEAT_INTERVAL_MS,
   LEASE_MS,
   MACHINE_TYPES,
-  settingsOf,
-  teamsOf,
+  controllerSettings,
+  teamSettings,
   ZONES,
   type VirtualClusterOptions,
 } from './cluster-options';
 import { emptyNode, type ControllerNode } from './controller-node';
 import { RandomSource } from './random-source';
 import { RuleChecker } from './rule-checker';
-import { SimulatedNetwork, type Endpoint } from './simulated-network';
+import { SimulatedNetwork, type ControllerProcess } from './simulated-network';
 import { SimulatedUsers } from './simulated-users';
 import { SubmittedJobs } from './submitted-jobs';
 import { TaskDurations } from './task-durations';
@@ -29,10 +29,10 @@
 const LIST_LAG_MS = 3000;
 const BOOT_MS = 5000;
 const RULE_CHECK_INTERVAL_MS = 250;
-/** By how much the clocks of two neighbouring controllers differ. */
+/** Difference between the clock rates of two controllers with adjacent indexes. */
 const CLOCK_RATE_STEP = 0.0004;
 
-/** A few controllers in one process under virtual time, with users, workers, cloud and state service around. */
+/** Several controllers in one process under virtual time, with simulated users, workers, cloud and state store. */
 export class VirtualCluster {
   readonly time = new VirtualTime();
   readonly store = new FakeStateStore(this.time);
@@ -42,7 +42,7 @@
   readonly network: SimulatedNetwork;
   readonly rules: RuleChecker;
   readonly users: SimulatedUsers;
-  /** Leases that ran out on machines with tasks. */
+  /** Number of leases that expired on machines with tasks. */
   expiredLeases = 0;
   private readonly random: RandomSource;
   private readonly durations: TaskDurations;
@@ -58,7 +58,7 @@
     this.network = new SimulatedNetwork(time, this.random, nodes);
     this.cloud = new FakeCloud({
       time,
-      hooks: this.fleetHooks(),
+      hooks: this.workerHooks(),
       machineTypes: options.machineTypes ?? MACHINE_TYPES,
       zones: ZONES,
       maxMachines: options.maxMachines,
@@ -66,7 +66,7 @@
       bootMs: BOOT_MS,
     });
     const { workers } = this.cloud;
-    this.rules = new RuleChecker(jobs, teamsOf(options), workers, () => time.now);
+    this.rules = new RuleChecker(jobs, teamSettings(options), workers, () => time.now);
     this.users = new SimulatedUsers({
       time,
       random: this.random,
@@ -84,14 +84,14 @@
     time.at(RULE_CHECK_INTERVAL_MS, () => this.checkPeriodically());
   }
 
-  private fleetHooks(): FakeWorkerHooks {
+  private workerHooks(): FakeWorkerHooks {
     return {
       taskStarted: (worker, taskId) => this.taskStarted(worker, taskId),
       taskCompleted: (taskId) => this.taskCompleted(taskId),
       taskStopped: (taskId, ranMs, saved) => this.taskStopped(taskId, ranMs, saved),
       leaseExpired: () => this.expiredLeases++,
       runMs: (taskId) => this.durations.runMs(taskId),
-      checkpointDurationMs: (taskId) => this.durations.checkpointMs(taskId),
+      checkpointDurationMs: (taskId) => this.durations.checkpointDurationMs(taskId),
       imageFetchMs: (worker, taskId) => this.durations.imageFetchMs(worker, taskId, this.time.now),
       deliverHeartbeat: (index, worker, heartbeat) => this.network.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex,
@@ -124,7 +124,7 @@
   }
 
   private taskStopped(taskId: string, ranMs: number, saved: boolean): void {
-    if (saved) this.durations.checkpointed(taskId, ranMs);
+    if (saved) this.durations.recordCheckpoint(taskId, ranMs);
     this.options.taskListener?.stopped(taskId, ranMs, saved);
   }
 
@@ -137,29 +137,29 @@
   startController(index: number): void {
     const node = this.nodes[index] as ControllerNode;
     node.up = true;
-    let process: Controller | null = null;
-    const isUp = (): boolean => node.up && node.controller === process;
-    process = this.newController({ node, index, isUp });
-    node.controller = process;
-    process.start();
+    let controller: Controller | null = null;
+    const isUp = (): boolean => node.up && node.controller === controller;
+    controller = this.newController({ node, index, isUp });
+    node.controller = controller;
+    controller.start();
   }
 
-  private newController(endpoint: Endpoint): Controller {
-    const { node, index, isUp } = endpoint;
+  private newController(process: ControllerProcess): Controller {
+    const { node, index, isUp } = process;
     const { network, store, cloud } = this;
     const storeTransport: StoreTransport = {
       call: (method, path, body, timeoutMs) =>
-        network.requestStore(endpoint, path, timeoutMs, (refused) =>
+        network.requestStore(process, path, timeoutMs, (refused) =>
           store.request(method, path, body, refused),
         ),
     };
     const cloudTransport: StoreTransport = {
       call: (method, path, body, timeoutMs) =>
-        network.requestCloud(endpoint, timeoutMs, () => cloud.request(method, path, body)),
+        network.requestCloud(process, timeoutMs, () => cloud.request(method, path, body)),
     };
     const clockRate = 1 + (index - 1) * CLOCK_RATE_STEP;
     return new Controller(
-      parseSettings(settingsOf(index, this.options)),
+      parseSettings(controllerSettings(index, this.options)),
       DEFAULT_POLICY,
       this.time.clock(isUp, clockRate, () => node.pausedUntil),
       pino({ level: 'silent' }),
@@ -169,12 +169,12 @@
         cloudTransport,
         processIncarnation: `velodrome-${index}-${++this.processCount}`,
         balancing: this.options.balancing?.(this.time.clock(isUp)) ?? null,
-        sendToPeer: (member, frame) => network.sendFrame(endpoint, controllerIndex(member), frame),
+        sendToPeer: (member, frame) => network.sendFrame(process, controllerIndex(member), frame),
       },
     );
   }
 
-  /** Ends a controller's process; another starts after so long. */
+  /** Ends a controller's process if it is up, and starts a new one after `downMs`. */
   crash(index: number, downMs: number): void {
     const node = this.nodes[index] as ControllerNode;
     if (!node.up) return;
@@ -183,7 +183,7 @@
     this.time.at(this.time.now + downMs, () => this.startController(index));
   }
 
-  /** Runs the cluster until this moment of virtual time. */
+  /** Runs the cluster until this virtual time. */
   async runUntil(end: number): Promise<void> {
     await flushPromises();
     await this.time.run(end);
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -1,43 +1,43 @@
 import prand from 'pure-rand';
 import { balancerSettingsSchema, coefficientOfVariation } from '@heathbridge/load-balancer';
 import { createLoadBalancing } from '../../src/coordination/balancing/load-balancing';
-import { type JobShape, type TaskListener } from '../cluster/cluster-options';
+import { type JobParameters, type TaskListener } from '../cluster/cluster-options';
 import { VirtualCluster } from '../cluster/virtual-cluster';
 
-/** A virtual day with skewed load, as it is measured and tested with and without balancing. */
+/** Options of a simulation with skewed load, which is measured and tested with and without load balancing. */
 export interface BalanceSimulationOptions {
   seed: number;
-  /** Settings of the balancer; null: it is off. */
+  /** Settings of the balancer; null if it is off. */
   balancing: object | null;
   machines: number;
-  /** For how long jobs are submitted. */
+  /** How long jobs are submitted, in virtual time. */
   submissionMinutes: number;
-  /** The moment at which one controller ends, for some seconds; null: none does. */
+  /** The virtual time at which one controller crashes for 5 s; null if none does. */
   crashAtMs: number | null;
 }
 
-/** What a day came to. */
+/** The results of a simulation. */
 export interface BalanceSimulationResult {
   violations: string[];
   jobs: number;
   finished: number;
-  /** Seconds from submission to the start of each task, by urgency. */
+  /** Seconds from submission to the first start of each task, by priority. */
   startDelays: Map<string, number[]>;
-  /** Coefficient of variation of the CPUs in use, machine by machine, every few seconds while jobs come. */
+  /** Coefficient of variation of the CPUs in use per machine, sampled every 5 s while jobs are submitted. */
   spread: { atMs: number; value: number }[];
   moves: { planned: number; completed: number; abandoned: number };
   machineMoves: { allowed: number; refused: number };
-  /** Why tasks were not moved. */
+  /** The reasons for which tasks were not moved. */
   refusals: { reason: string; count: number }[];
-  /** Seconds of work that were done again. */
+  /** Run time that was lost because tasks were stopped without a checkpoint, and had to be repeated. */
   repeatedWorkS: number;
   cpuMs: number;
 }
 
-const SAMPLE_MS = 5000;
-const SETTLE_MS = 10_000;
+const SAMPLE_INTERVAL_MS = 5000;
+const WARM_UP_MS = 10_000;
 const DRAIN_MS = 400_000;
-const CRASH_MS = 5000;
+const CONTROLLER_DOWNTIME_MS = 5000;
 const MACHINE_TYPES = [{ label: 'small', cpus: 4, memoryGb: 16 }];
 
 interface StatusView {
@@ -54,25 +54,25 @@
   };
 }
 
-class StartDelays implements TaskListener {
+class StartDelayRecorder implements TaskListener {
   readonly byPriority = new Map<string, number[]>();
   repeatedWorkS = 0;
   private readonly jobs = new Map<string, { priority: string; at: number }>();
-  private readonly begun = new Set<string>();
+  private readonly startedTasks = new Set<string>();
 
-  submitted(ref: string, { priority }: JobShape, at: number): void {
+  submitted(ref: string, { priority }: JobParameters, at: number): void {
     this.jobs.set(ref, { priority, at });
   }
 
   started(taskId: string, at: number): void {
     const job = this.jobs.get(taskId.split('/')[0] ?? '');
-    if (!job || this.begun.has(taskId)) return;
-    this.begun.add(taskId);
+    if (!job || this.startedTasks.has(taskId)) return;
+    this.startedTasks.add(taskId);
     this.byPriority.set(job.priority, [...(this.byPriority.get(job.priority) ?? []), (at - job.at) / 1000]);
   }
 
   completed(): void {
-    // Completions are counted by the world.
+    // `SubmittedJobs` records completions.
   }
 
   stopped(_: string, ranMs: number, saved: boolean): void {
@@ -80,23 +80,30 @@
   }
 }
 
-/** Idle tasks of all run times fill the fleet in pieces; large urgent tasks and a team whose load doubles come on top. */
+/** Fragments the fleet with idle tasks of various run times, and adds large urgent tasks and a team whose load doubles. */
 function submitJobs(
   cluster: VirtualCluster,
   { seed, machines, submissionMinutes }: BalanceSimulationOptions,
 ): void {
   const random = prand.xoroshiro128plus(seed);
-  const pick = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
+  const randomInt = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
   const small = { cpus: 1, image: 'img-0', imageGb: 1, checkpointIntervalS: 10, checkpointDurationS: 1 };
   let n = 0;
-  for (let at = SETTLE_MS; at < submissionMinutes * 60_000; at += 10_000) {
+  for (let at = WARM_UP_MS; at < submissionMinutes * 60_000; at += 10_000) {
     const doubled = at > submissionMinutes * 20_000 && at < submissionMinutes * 40_000;
     for (const team of ['north', 'south']) {
-      const most = Math.round(machines * (doubled && team === 'north' ? 0.25 : 0.125));
-      const runMs = 40_000 + pick(240_000);
-      const expectedS = (runMs / 1000) * (0.5 + pick(100) / 100);
-      const shape = { ...small, team, tasks: 1 + pick(most), priority: 'idle', runMs, expectedS };
-      cluster.time.at(at + pick(5000), () => cluster.users.submitJob(++n, shape));
+      const maxTasks = Math.round(machines * (doubled && team === 'north' ? 0.25 : 0.125));
+      const runMs = 40_000 + randomInt(240_000);
+      const expectedS = (runMs / 1000) * (0.5 + randomInt(100) / 100);
+      const parameters = {
+        ...small,
+        team,
+        tasks: 1 + randomInt(maxTasks),
+        priority: 'idle',
+        runMs,
+        expectedS,
+      };
+      cluster.time.at(at + randomInt(5000), () => cluster.users.submitJob(++n, parameters));
     }
     const large = {
       team: 'west',
@@ -106,8 +113,8 @@
       checkpointIntervalS: 0,
       checkpointDurationS: 0,
     };
-    const shape = { ...large, tasks: 1 + pick(2), priority: 'urgent', runMs: 8000, expectedS: 8 };
-    cluster.time.at(at + pick(5000), () => cluster.users.submitJob(++n, shape));
+    const parameters = { ...large, tasks: 1 + randomInt(2), priority: 'urgent', runMs: 8000, expectedS: 8 };
+    cluster.time.at(at + randomInt(5000), () => cluster.users.submitJob(++n, parameters));
   }
 }
 
@@ -120,11 +127,11 @@
   );
 }
 
-/** Plays a day. Only the processor time depends on the machine that it is played on. */
+/** Runs a simulation. Of its results, only the processor time depends on the host. */
 export async function runBalanceSimulation(
   options: BalanceSimulationOptions,
 ): Promise<BalanceSimulationResult> {
-  const startDelays = new StartDelays();
+  const startDelays = new StartDelayRecorder();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
   const cluster = new VirtualCluster(options.seed, {
     controllers: 3,
@@ -140,10 +147,12 @@
   const spread: { atMs: number; value: number }[] = [];
   const sample = (): void => {
     spread.push({ atMs: cluster.time.now, value: coefficientOfVariation(usedCpus(cluster)) });
-    if (cluster.time.now + SAMPLE_MS < endMs) cluster.time.at(cluster.time.now + SAMPLE_MS, sample);
+    if (cluster.time.now + SAMPLE_INTERVAL_MS < endMs)
+      cluster.time.at(cluster.time.now + SAMPLE_INTERVAL_MS, sample);
   };
-  cluster.time.at(2 * SETTLE_MS, sample);
-  if (options.crashAtMs !== null) cluster.time.at(options.crashAtMs, () => cluster.crash(0, CRASH_MS));
+  cluster.time.at(2 * WARM_UP_MS, sample);
+  if (options.crashAtMs !== null)
+    cluster.time.at(options.crashAtMs, () => cluster.crash(0, CONTROLLER_DOWNTIME_MS));
   const started = process.cpuUsage();
   await cluster.runUntil(endMs + DRAIN_MS);
   const { user, system } = process.cpuUsage(started);
@@ -174,8 +183,8 @@
   return null;
 }
 
-/** A quantile of a series, 0 if it is empty. */
-export function quantile(values: readonly number[], share: number): number {
+/** A quantile of the values; 0 if there are none. */
+export function quantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? 0;
 }
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -6,16 +6,16 @@
   action: () => void;
 }
 
-/** What fakes need of time, virtual or real. */
+/** The clock and timers that fakes use, in virtual or real time. */
 export interface TimeSource {
   /** Milliseconds since the start. */
   readonly now: number;
-  /** Runs `action` at this moment; `cancel` takes it back. */
+  /** Schedules `action` for this time; returns the timer for `cancel`. */
   at(ms: number, action: () => void): unknown;
   cancel(timer: unknown): void;
 }
 
-/** Virtual time: nothing waits, everything happens in the order of its time. */
+/** Virtual time, which advances from one timer to the next without waiting. Timers run in the order of their times. */
 export class VirtualTime implements TimeSource {
   now = 0;
   private order = 0;
@@ -39,7 +39,7 @@
     if (i >= 0) this.timers.splice(i, 1);
   }
 
-  /** Runs until `end`; promises settle between two moments. */
+  /** Runs all timers up to and including `end`; pending promise chains run before the time changes. */
   async run(end: number): Promise<void> {
     for (;;) {
       const next = this.timers[0];
@@ -52,7 +52,7 @@
     this.now = end;
   }
 
-  /** A process's clocks: they stop firing when the process has ended, and wait while it stands still. */
+  /** The clock of a process. Its timers do not fire once the process has ended, and are deferred while it is paused. */
   clock(isUp: () => boolean, rate = 1, pausedUntil: () => number = () => 0): Clock {
     const origin = this.now;
     return {
@@ -70,7 +70,7 @@
   }
 }
 
-/** Lets chains of promises run to where they wait for virtual time again. */
+/** Lets pending promise chains run until they wait for virtual time again. */
 export async function flushPromises(): Promise<void> {
   for (let i = 0; i < 3; i++) await new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/standin/fake-cloud.ts
+++ b/test/standin/fake-cloud.ts
@@ -3,31 +3,30 @@
 import { FakeWorker, type FakeWorkerHooks } from './fake-worker';
 import { jsonResponse } from './json-response';
 
-/** Machines on a page of the list unless said otherwise: what one page shows may have changed by the next. */
-const DEFAULT_PAGE_MACHINES = 4;
+/** Machines on a page of the list by default. Pages are short, so the list can change between two of them. */
+const DEFAULT_MACHINES_PER_PAGE = 4;
 
-/** A machine type that the cloud has. */
+/** A machine type that the cloud offers. */
 export interface FakeMachineType {
   label: string;
   cpus: number;
-  /** In GB. */
   memoryGb: number;
 }
 
-/** What a fake cloud has, and how slow it is. */
+/** The capacity of a fake cloud and its delays. */
 export interface FakeCloudOptions {
   time: TimeSource;
   hooks: FakeWorkerHooks;
   machineTypes: readonly FakeMachineType[];
   zones: readonly string[];
   maxMachines: number;
-  /** The list of machines shows how things stood so long ago. */
+  /** Age of the state that the list of machines shows. */
   listLagMs: number;
   bootMs: number;
   machinesPerPage?: number;
 }
 
-/** A machine as the cloud's answers describe it. */
+/** A machine as the cloud's responses describe it. */
 interface WireMachine {
   model: string;
   yard: string;
@@ -46,33 +45,33 @@
   age_s: number;
 }
 
-/** Stands in for the cloud: provisions machines, lists them late, takes them back. */
+/** A fake cloud that provisions machines, lists them with a lag, and deprovisions them. */
 export class FakeCloud {
   readonly workers = new Map<string, FakeWorker>();
-  /** All requests get 503. */
+  /** Whether all requests get 503. */
   unavailable = false;
-  /** How many machines were taken or given back. */
+  /** Number of machines that were preempted or deprovisioned. */
   terminatedCount = 0;
   private readonly booting = new Map<string, WireMachine>();
   private readonly provisionedAt = new Map<string, number>();
   private readonly provisionedByRequest = new Map<string, string[]>();
-  private readonly lists: { at: number; rows: WireMachineRow[] }[] = [];
-  private count = 0;
+  private readonly listSnapshots: { at: number; rows: WireMachineRow[] }[] = [];
+  private machineCount = 0;
   private closed = false;
 
   constructor(private readonly options: FakeCloudOptions) {}
 
-  /** How many times as long as usual machines provisioned now take to boot; Infinity: they never come up. */
+  /** The factor on the boot time of machines provisioned now; `Infinity` if they never boot. */
   bootFactor = (): number => 1;
 
   machineType(label: string): FakeMachineType {
     return this.options.machineTypes.find((type) => type.label === label) as FakeMachineType;
   }
 
-  /** Adds a machine that is up after `bootMs`; returns its name. */
+  /** Adds a machine that is up after `bootMs`, or never if that is `Infinity`; returns its name. */
   addMachine(type: string, zone: string, spot: boolean, bootMs: number): string {
     const { time, hooks } = this.options;
-    const name = `i-${String(this.count++).padStart(6, '0')}`;
+    const name = `i-${String(this.machineCount++).padStart(6, '0')}`;
     this.booting.set(name, { model: type, yard: zone, loaners: spot });
     this.provisionedAt.set(name, time.now);
     if (bootMs === Infinity) return name;
@@ -83,7 +82,7 @@
     return name;
   }
 
-  /** Machines that are paid for and not up. */
+  /** Number of machines that are provisioned but not up. */
   get bootingCount(): number {
     return this.booting.size;
   }
@@ -95,7 +94,7 @@
     this.booting.delete(name);
   }
 
-  /** Ends all machines, those that still boot included, and lets none up any more. */
+  /** Terminates all machines, booting ones included, and prevents further ones from coming up. */
   close(): void {
     this.closed = true;
     for (const name of [...this.workers.keys(), ...this.booting.keys()]) this.terminateMachine(name);
@@ -131,7 +130,7 @@
     return jsonResponse(200, {});
   }
 
-  /** The same request once more gets the same machines. */
+  /** Provisions machines; a repeated request returns the same machines. */
   private provision(body: ProvisionBody): Promise<HttpResponse> {
     const repeated = this.provisionedByRequest.get(body.hire_order);
     if (repeated) return jsonResponse(200, { velodromes: repeated });
@@ -146,14 +145,14 @@
     return jsonResponse(200, { velodromes: names });
   }
 
-  /** A page of the list as it was some time ago. */
+  /** A page of the machine list as it was `listLagMs` ago. */
   private list(from: string): Promise<HttpResponse> {
-    const { time, listLagMs, machinesPerPage = DEFAULT_PAGE_MACHINES } = this.options;
-    this.lists.push({ at: time.now, rows: this.machineRows() });
-    const shown = this.lists.filter(({ at }) => at <= time.now - listLagMs).pop();
-    const after = (shown?.rows ?? []).filter(({ ref }) => ref > from);
-    const page = after.slice(0, machinesPerPage);
-    return jsonResponse(200, { velodromes: page, truncated: after.length > page.length });
+    const { time, listLagMs, machinesPerPage = DEFAULT_MACHINES_PER_PAGE } = this.options;
+    this.listSnapshots.push({ at: time.now, rows: this.machineRows() });
+    const visible = this.listSnapshots.filter(({ at }) => at <= time.now - listLagMs).pop();
+    const remaining = (visible?.rows ?? []).filter(({ ref }) => ref > from);
+    const page = remaining.slice(0, machinesPerPage);
+    return jsonResponse(200, { velodromes: page, truncated: remaining.length > page.length });
   }
 
   private machineRows(): WireMachineRow[] {
--- a/test/standin/fake-worker.ts
+++ b/test/standin/fake-worker.ts
@@ -1,17 +1,17 @@
 import type { HttpResponse } from '../../src/transport/http-client';
 import type { TimeSource } from './clock';
 
-/** Time that an image takes unless a hook says otherwise. */
+/** Image fetch time unless a hook returns another. */
 const DEFAULT_IMAGE_FETCH_MS = 700;
 const LOOP_INTERVAL_MS = 100;
-/** The interval of heartbeats while something has changed that the controller does not know. */
+/** The heartbeat interval while the worker has a change that the controller does not know. */
 const SHORT_HEARTBEAT_INTERVAL_MS = 500;
-/** A worker that hangs looks again after so long whether it goes on. */
+/** Interval at which a hung worker checks whether a task can continue. */
 const HUNG_RETRY_MS = 200;
 const FAILING_TASK_MS = 300;
-/** The pause before another controller is tried; an owner that is named is tried almost at once. */
-const NEXT_CONTROLLER_PAUSE_MS = 1000;
-const REDIRECT_PAUSE_MS = 50;
+/** The delay before another controller is tried; the owner that a redirect names is tried after `REDIRECT_DELAY_MS`. */
+const NEXT_CONTROLLER_DELAY_MS = 1000;
+const REDIRECT_DELAY_MS = 50;
 
 /** A command as the response to a heartbeat carries it. */
 interface WireCommand {
@@ -21,38 +21,38 @@
   wind_down_s?: number;
 }
 
-/** A task on the machine, with its state as heartbeats name it. */
+/** An attempt of a task on the machine; `status` has the values that heartbeats send. */
 interface TaskAttempt {
   attempt: number;
   status: 'pulling' | 'running' | 'flushing' | 'ended';
   exitReason?: string;
   saved?: boolean;
   timer?: unknown;
-  /** When it began to run here. */
+  /** The time at which it began to run on this machine; absent before that. */
   startedAt?: number;
 }
 
-/** What surrounds the workers: the network, the run times of tasks, and who is told of them. */
+/** The environment of fake workers: the network, the durations of tasks, and the listeners for task events. */
 export interface FakeWorkerHooks {
-  /** A task starts to run on a machine; checks of rules belong here. */
+  /** Called when a task starts to run on a machine; rule checks belong here. */
   taskStarted: (worker: FakeWorker, taskId: string) => void;
   taskCompleted: (taskId: string) => void;
-  /** A lease ran out on a machine with tasks. */
+  /** Called when a lease expires on a machine with tasks. */
   leaseExpired: () => void;
   runMs: (taskId: string) => number;
   /** Time until a task's image is on a machine. */
   imageFetchMs?: (worker: FakeWorker, taskId: string) => number;
-  /** Time that a task needs to write a checkpoint when it is stopped; null: it writes none. */
+  /** Time that a task needs to write a checkpoint when it is stopped; null if it writes none. */
   checkpointDurationMs?: (taskId: string) => number | null;
-  /** A task was stopped after it had run so long here; `saved`: it goes on from there. */
+  /** Called when a task was stopped after `ranMs` on this machine; `saved` if a later attempt continues from there. */
   taskStopped?: (taskId: string, ranMs: number, saved: boolean) => void;
-  /** Brings a heartbeat to a controller; null: no answer in time. */
+  /** Delivers a heartbeat to a controller; the response is null if none arrives in time. */
   deliverHeartbeat: (
     controller: number,
     worker: FakeWorker,
     heartbeat: object,
   ) => Promise<HttpResponse | null>;
-  /** The index of a controller, from the name in a redirect; null: unknown. */
+  /** The index of the controller that a redirect names; null if it is unknown. */
   controllerIndex: (name: string) => number | null;
   controllerCount: number;
   heartbeatIntervalMs: number;
@@ -67,7 +67,7 @@
   spot: boolean;
 }
 
-/** Stands in for a machine and its worker, after the users' description of both. */
+/** A fake machine with its worker, which follows the users' description of both. */
 export class FakeWorker {
   readonly name: string;
   readonly type: string;
@@ -76,9 +76,9 @@
   readonly tasks = new Map<string, TaskAttempt>();
   up = true;
   hung = false;
-  /** It reaches no controller. */
+  /** Whether its heartbeats reach no controller. */
   heartbeatsLost = false;
-  /** Its heartbeats arrive, but no response to them does. */
+  /** Whether its heartbeats arrive but the responses to them are lost. */
   responsesLost = false;
   failsAllTasks = false;
   private agentEpoch = 1;
@@ -104,15 +104,15 @@
     this.loop();
   }
 
-  /** Whether a task takes its place on the machine now. */
+  /** Whether a task occupies its share of the machine now. */
   executes(taskId: string): boolean {
-    // Hanging longer than its lease it executes nothing any more: the first thing it does when it goes on is to stop.
+    // A worker that has hung for longer than its lease executes nothing: when it resumes, it first drops all tasks.
     if (this.hung && this.time.now - this.leaseRenewedAt > this.hooks.leaseMs) return false;
     const status = this.tasks.get(taskId)?.status;
     return this.up && (status === 'running' || status === 'flushing');
   }
 
-  /** The machine is gone, with all that is on it. */
+  /** Terminates the machine with all tasks on it. */
   terminate(): void {
     this.up = false;
     this.dropAllTasks();
@@ -131,10 +131,10 @@
       const due = this.time.now - this.lastHeartbeatAt >= intervalMs;
       if (!this.awaitingResponse && due) void this.sendHeartbeat();
     }
-    this.after(LOOP_INTERVAL_MS, () => this.loop());
+    this.schedule(LOOP_INTERVAL_MS, () => this.loop());
   }
 
-  /** A worker whose lease has run out stops everything and begins a new agent epoch. */
+  /** Drops all tasks and begins a new agent epoch if the lease has expired. */
   private checkLease(): void {
     if (this.time.now - this.leaseRenewedAt <= this.hooks.leaseMs) return;
     if (this.tasks.size > 0) this.hooks.leaseExpired();
@@ -175,11 +175,11 @@
     this.awaitingResponse = false;
     if (!this.up || this.hung) return;
     if (response?.status !== 200) return this.tryNextController(response);
-    if (sentEpoch === this.agentEpoch) this.takeResponse(response.body, sentAt);
+    if (sentEpoch === this.agentEpoch) this.handleResponse(response.body, sentAt);
   }
 
-  /** A response with an older token than one seen before counts for nothing. */
-  private takeResponse(body: unknown, sentAt: number): void {
+  /** Handles a response, unless its token is older than one seen before. */
+  private handleResponse(body: unknown, sentAt: number): void {
     const { baton: token, orders } = body as { baton: number; orders: WireCommand[] };
     if (token < this.token) return;
     if (token > this.token) this.heartbeatDueSoon = true;
@@ -192,20 +192,20 @@
     const redirect = response?.status === 421 ? (response.body as { dispatcher?: string }) : {};
     const owner = redirect.dispatcher === undefined ? null : this.hooks.controllerIndex(redirect.dispatcher);
     const redirected = owner !== null && owner !== this.controller;
-    const pauseMs = redirected ? REDIRECT_PAUSE_MS : NEXT_CONTROLLER_PAUSE_MS;
+    const delayMs = redirected ? REDIRECT_DELAY_MS : NEXT_CONTROLLER_DELAY_MS;
     this.controller = redirected ? owner : (this.controller + 1) % this.hooks.controllerCount;
-    this.lastHeartbeatAt = this.time.now + pauseMs - this.hooks.heartbeatIntervalMs;
+    this.lastHeartbeatAt = this.time.now + delayMs - this.hooks.heartbeatIntervalMs;
   }
 
   private execute({ order, piece: taskId, try: attempt, wind_down_s: graceS }: WireCommand): void {
-    const known = this.tasks.get(taskId);
-    const same = known?.attempt === attempt;
-    const ended = known?.status === 'ended';
+    const existing = this.tasks.get(taskId);
+    const sameAttempt = existing?.attempt === attempt;
+    const ended = existing?.status === 'ended';
     if (order === 'reap') {
-      if (same && ended) this.tasks.delete(taskId);
+      if (sameAttempt && ended) this.tasks.delete(taskId);
     } else if (order === 'kill') {
-      if (known && same && !ended) this.stopTask(taskId, known, graceS ?? 0);
-    } else if (!known || (ended && !same)) this.fetchImage(taskId, attempt);
+      if (existing && sameAttempt && !ended) this.stopTask(taskId, existing, graceS ?? 0);
+    } else if (!existing || (ended && !sameAttempt)) this.fetchImage(taskId, attempt);
   }
 
   private fetchImage(taskId: string, attempt: number): void {
@@ -213,12 +213,12 @@
     this.tasks.set(taskId, task);
     this.heartbeatDueSoon = true;
     const fetchMs = this.hooks.imageFetchMs?.(this, taskId) ?? DEFAULT_IMAGE_FETCH_MS;
-    task.timer = this.after(fetchMs, () => this.startTask(taskId, task));
+    task.timer = this.schedule(fetchMs, () => this.startTask(taskId, task));
   }
 
   private startTask(taskId: string, task: TaskAttempt): void {
     if (this.hung) {
-      task.timer = this.after(HUNG_RETRY_MS, () => this.startTask(taskId, task));
+      task.timer = this.schedule(HUNG_RETRY_MS, () => this.startTask(taskId, task));
       return;
     }
     task.status = 'running';
@@ -226,15 +226,15 @@
     this.hooks.taskStarted(this, taskId);
     this.heartbeatDueSoon = true;
     const runMs = this.failsAllTasks ? FAILING_TASK_MS : this.hooks.runMs(taskId);
-    task.timer = this.after(runMs, () => this.finishTask(taskId, task));
+    task.timer = this.schedule(runMs, () => this.finishTask(taskId, task));
   }
 
   private finishTask(taskId: string, task: TaskAttempt): void {
-    if (this.hung) task.timer = this.after(HUNG_RETRY_MS, () => this.finishTask(taskId, task));
+    if (this.hung) task.timer = this.schedule(HUNG_RETRY_MS, () => this.finishTask(taskId, task));
     else this.endTask(taskId, task, this.failsAllTasks ? 'error' : 'done');
   }
 
-  /** A running task that can write a checkpoint does so if it is given the time; anything else ends at once. */
+  /** Stops a task. A running one first writes a checkpoint if it can do so within the grace period; any other ends at once. */
   private stopTask(taskId: string, task: TaskAttempt, graceS: number): void {
     const checkpointMs = this.hooks.checkpointDurationMs?.(taskId) ?? null;
     if (task.status === 'flushing' && graceS > 0) return;
@@ -244,7 +244,7 @@
     task.status = 'flushing';
     this.heartbeatDueSoon = true;
     const ranMs = this.ranMs(task);
-    task.timer = this.after(checkpointMs, () => {
+    task.timer = this.schedule(checkpointMs, () => {
       task.saved = true;
       this.hooks.taskStopped?.(taskId, ranMs, true);
       this.endTask(taskId, task, 'stopped');
@@ -265,7 +265,7 @@
     return this.time.now - (startedAt ?? this.time.now);
   }
 
-  private after(ms: number, action: () => void): unknown {
+  private schedule(ms: number, action: () => void): unknown {
     return this.time.at(this.time.now + ms, action);
   }
 }
--- a/test/standin/http-front.ts
+++ b/test/standin/http-front.ts
@@ -1,7 +1,7 @@
 import { createServer, request, type Agent, type IncomingMessage, type Server } from 'node:http';
 import { type HttpResponse } from '../../src/transport/http-client';
 
-/** How a stand-in answers one request. */
+/** Handles a request to a fake and returns the response. */
 export type RequestHandler = (method: string, path: string, body: unknown) => Promise<HttpResponse>;
 
 async function readBody(request: IncomingMessage): Promise<unknown> {
@@ -10,7 +10,7 @@
   return chunks.length === 0 ? undefined : (JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown);
 }
 
-/** Serves a stand-in over HTTP on the loopback interface. */
+/** Serves a fake over HTTP on the loopback interface. */
 export function serveFake(port: number, handle: RequestHandler): Server {
   const server = createServer((request, response) => {
     void readBody(request)
@@ -25,7 +25,7 @@
   return server.listen(port, '127.0.0.1');
 }
 
-/** One HTTP request on a kept connection; null: no answer in time. */
+/** Sends an HTTP request through the agent; the response is null on a timeout or connection error. */
 export function sendRequest(
   agent: Agent,
   port: number,
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -17,14 +17,14 @@
 const BOOT_MS = 2000;
 const LIST_LAG_MS = 1000;
 
-/** What a loopback cluster consists of. */
+/** The size, timing and settings of a loopback cluster. */
 export interface LoopbackOptions {
   controllers: number;
   machines: number;
   heartbeatIntervalMs: number;
   leaseMs: number;
   teams: { name: string; cpus: number; cpus_max: number }[];
-  /** A file of features; null: none. */
+  /** Path of the features file; null if there is none. */
   features: string | null;
   hooks: Pick<
     FakeWorkerHooks,
@@ -32,8 +32,8 @@
   >;
 }
 
-/** Ports that nobody listens on now. */
-async function freePorts(count: number): Promise<number[]> {
+/** Finds ports on which no process listens at the moment. */
+async function findFreePorts(count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, '127.0.0.1'));
   await Promise.all(servers.map((server) => new Promise((resolve) => server.once('listening', resolve))));
   const ports = servers.map((server) => (server.address() as AddressInfo).port);
@@ -41,7 +41,7 @@
   return ports;
 }
 
-/** Controllers as real processes on the loopback interface, with fakes for all else. */
+/** Controllers as real processes on the loopback interface, with fakes for workers, cloud and state store. */
 export class LoopbackCluster {
   readonly cloud: FakeCloud;
   private readonly time = new RealTime();
@@ -79,11 +79,11 @@
   }
 
   static async start(options: LoopbackOptions): Promise<LoopbackCluster> {
-    const cluster = new LoopbackCluster(options, await freePorts(2 + 2 * options.controllers));
-    const [store = 0, cloud = 0] = cluster.ports;
+    const cluster = new LoopbackCluster(options, await findFreePorts(2 + 2 * options.controllers));
+    const [storePort = 0, cloudPort = 0] = cluster.ports;
     cluster.servers.push(
-      serveFake(store, (method, path, body) => cluster.store.request(method, path, body, () => false)),
-      serveFake(cloud, (method, path, body) => cluster.cloud.request(method, path, body)),
+      serveFake(storePort, (method, path, body) => cluster.store.request(method, path, body, () => false)),
+      serveFake(cloudPort, (method, path, body) => cluster.cloud.request(method, path, body)),
     );
     for (let i = 0; i < options.controllers; i++) cluster.startController(i);
     return cluster;
@@ -131,12 +131,12 @@
     );
   }
 
-  /** Ends a controller with no signal that it could act on. */
+  /** Kills a controller with a signal that it cannot handle. */
   killController(index: number): void {
     this.processes.get(index)?.kill('SIGKILL');
   }
 
-  /** Asks a controller; null: no answer in time. */
+  /** Sends a user's request to a controller; the response is null if none arrives in time. */
   request(index: number, path: string, body: object, method: string): Promise<HttpResponse | null> {
     return sendRequest(
       this.agent(`users-${index}`),
@@ -148,7 +148,7 @@
     );
   }
 
-  /** Where a controller answers users. */
+  /** The address on which a controller serves users. */
   address(index: number): string {
     return `127.0.0.1:${this.port(index, 0)}`;
   }
--- a/test/standin/real-time.ts
+++ b/test/standin/real-time.ts
@@ -1,6 +1,6 @@
 import { type TimeSource } from './clock';
 
-/** The stand-ins' time as it really passes. */
+/** Real time for the fakes, in milliseconds since construction. */
 export class RealTime implements TimeSource {
   private readonly startedAt = performance.now();
   private stopped = false;
@@ -9,7 +9,7 @@
     return performance.now() - this.startedAt;
   }
 
-  /** From here on nothing happens any more: what would go on for ever keeps the process alive. */
+  /** Suppresses all further actions. Those that reschedule themselves would otherwise keep the process alive forever. */
   stop(): void {
     this.stopped = true;
   }
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -7,29 +7,29 @@
   attempt: number;
   phase: 'fetching' | 'running' | 'checkpointing' | 'exited';
   exit: HeartbeatTask['exit'];
-  /** When its present phase ends by itself. */
+  /** The time at which its current phase ends unless it is stopped. */
   endsAt: number;
 }
 
-/** How long what a worker does takes. */
+/** The durations of a worker's operations. */
 export interface SimulatedWorkerOptions {
   imageFetchMs: number;
   checkpointDurationMs: number;
   leaseMs: number;
-  /** Run time left of a task. */
+  /** The remaining run time of a task. */
   runMs: (ref: string, index: number) => number;
-  /** A task has saved after it ran for so long. */
+  /** Called when a task has saved its progress after a run of `ranMs`. */
   checkpointed: (ref: string, index: number, ranMs: number) => void;
 }
 
-/** A worker at a partition's core, without a network between: it carries out commands at once. */
+/** A worker that is connected to a partition core without a network and executes commands at once. */
 export class SimulatedWorker {
   readonly tasks = new Map<string, SimulatedTask>();
-  /** Its heartbeats do not arrive. */
+  /** Whether its heartbeats are lost. */
   heartbeatsLost = false;
-  /** Responses to its heartbeats do not arrive. */
+  /** Whether the responses to its heartbeats are lost. */
   responsesLost = false;
-  /** It is gone with all that is on it. */
+  /** Whether the machine is gone with all tasks on it. */
   terminated = false;
   preemptionNoticeS: number | null = null;
   lastHeartbeat: Heartbeat | null = null;
@@ -46,10 +46,10 @@
     this.leaseRenewedAt = now;
   }
 
-  /** Tasks that take their place on the machine, as the rules count them. */
+  /** The tasks that occupy their share of the machine, as the rules count them. */
   executingTasks(): string[] {
-    const here = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'checkpointing');
-    return this.terminated ? [] : here.map(([key]) => key);
+    const executing = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'checkpointing');
+    return this.terminated ? [] : executing.map(([key]) => key);
   }
 
   advance(now: number): void {
@@ -103,25 +103,25 @@
   private execute(command: Command, now: number): void {
     const { ref, index, attempt } = command;
     const key = `${ref}/${index}`;
-    const known = this.tasks.get(key);
+    const existing = this.tasks.get(key);
     if (command.op === 'forget') {
-      if (known?.phase === 'exited' && known.attempt === attempt) this.tasks.delete(key);
+      if (existing?.phase === 'exited' && existing.attempt === attempt) this.tasks.delete(key);
     } else if (command.op === 'start') {
-      if (known && known.phase !== 'exited') return;
+      if (existing && existing.phase !== 'exited') return;
       const endsAt = now + this.options.imageFetchMs;
       this.tasks.set(key, { ref, index, attempt, phase: 'fetching', exit: null, endsAt });
-    } else if (known && known.attempt === attempt) this.stop(known, command.gracePeriodS, now);
+    } else if (existing && existing.attempt === attempt) this.stop(existing, command.gracePeriodS, now);
   }
 
   private stop(task: SimulatedTask, graceS: number, now: number): void {
     if (task.phase === 'exited' || (task.phase === 'checkpointing' && graceS > 0)) return;
-    const saves = task.phase === 'running' && this.options.checkpointDurationMs <= graceS * 1000;
-    if (saves) {
+    const writesCheckpoint = task.phase === 'running' && this.options.checkpointDurationMs <= graceS * 1000;
+    if (writesCheckpoint) {
       const ranMs = this.options.runMs(task.ref, task.index) - (task.endsAt - now);
       this.options.checkpointed(task.ref, task.index, ranMs);
     }
-    task.phase = saves ? 'checkpointing' : 'exited';
-    task.exit = saves ? null : 'stopped';
+    task.phase = writesCheckpoint ? 'checkpointing' : 'exited';
+    task.exit = writesCheckpoint ? null : 'stopped';
     task.endsAt = now + this.options.checkpointDurationMs;
   }
 }
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -15,10 +15,10 @@
   stamp: number;
 }
 
-/** Keys on a page unless said otherwise: pages are short, and what one shows may have changed by the next. */
-const DEFAULT_PAGE_KEYS = 7;
+/** Keys on a page by default. Pages are short, so the keys can change between two of them. */
+const DEFAULT_KEYS_PER_PAGE = 7;
 
-/** Stands in for the state service: keys, transactions, session leases, watches, outages. */
+/** A fake state store with keys, transactions, session leases, watches and outages. */
 export class FakeStateStore {
   readonly keys = new Map<string, StoredEntry>();
   private readonly changes: RecordedChange[] = [];
@@ -30,13 +30,13 @@
 
   constructor(
     private readonly time: TimeSource,
-    private readonly pageKeys = DEFAULT_PAGE_KEYS,
+    private readonly keysPerPage = DEFAULT_KEYS_PER_PAGE,
   ) {
-    const sweep = (): void => {
+    const expirePeriodically = (): void => {
       this.expireLeases();
-      time.at(time.now + 50, sweep);
+      time.at(time.now + 50, expirePeriodically);
     };
-    time.at(50, sweep);
+    time.at(50, expirePeriodically);
   }
 
   startOutage(ms: number): void {
@@ -51,7 +51,7 @@
     return this.keys.get(path)?.v;
   }
 
-  /** Answers a request; `refused`: the service refuses this sender now. */
+  /** Answers a request; `refused` tells whether the store refuses its sender at the moment. */
   request(method: string, path: string, body: unknown, refused: () => boolean): Promise<HttpResponse> {
     const url = new URL(path, 'http://store');
     if (this.down || refused()) return jsonResponse(503, {});
@@ -70,8 +70,8 @@
       .filter(([key]) => key.startsWith(prefix) && key > from)
       .sort(([a], [b]) => (a < b ? -1 : 1));
     return jsonResponse(200, {
-      pairs: entries.slice(0, this.pageKeys).map(([key, { v, stamp }]) => ({ path: key, v, stamp })),
-      truncated: entries.length > this.pageKeys,
+      pairs: entries.slice(0, this.keysPerPage).map(([key, { v, stamp }]) => ({ path: key, v, stamp })),
+      truncated: entries.length > this.keysPerPage,
       ledger_rev: this.revision,
     });
   }
@@ -145,8 +145,8 @@
     const prefix = url.searchParams.get('prefix') ?? '';
     const end = this.time.now + Number(url.searchParams.get('hold_ms') ?? 0);
     return new Promise((resolve) => {
-      const answerIfChanged = (): void => {
-        // Open watches wait while nobody, or this node alone, is not served.
+      const respondIfChanged = (): void => {
+        // Open watches wait during an outage, and while the store refuses their sender.
         if (this.down || refused()) return;
         const news = this.changes
           .filter((c) => c.stamp > after && c.path.startsWith(prefix))
@@ -154,13 +154,13 @@
             c.deleted ? { delete: c.path, stamp: c.stamp } : { set: c.path, v: c.v, stamp: c.stamp },
           );
         if (news.length === 0 && this.time.now < end) return;
-        this.watchers.delete(answerIfChanged);
+        this.watchers.delete(respondIfChanged);
         const body = JSON.parse(JSON.stringify({ ledger_rev: this.revision, news })) as unknown;
         resolve({ status: 200, body });
       };
-      this.watchers.add(answerIfChanged);
-      this.time.at(end, answerIfChanged);
-      answerIfChanged();
+      this.watchers.add(respondIfChanged);
+      this.time.at(end, respondIfChanged);
+      respondIfChanged();
     });
   }
 }
--- a/test/support/api-fixture.ts
+++ b/test/support/api-fixture.ts
@@ -59,14 +59,14 @@
   pieces: [],
 };
 
-/** The one machine type that the API knows: small, in zone a alone. */
+/** The only machine type that the API knows by default: the small type, in zone `a` only. */
 export const ONE_ZONE_TYPE: MachineType = { ...SMALL_TYPE, zones: ['a'] };
 
-/** A job service for the team `vision` over this client of the state store. */
+/** Creates a job service for the team `vision` that uses this client of the state store. */
 export function createJobService(
   stateStore: StateStoreClient,
   clock: Clock,
-  types: () => readonly MachineType[],
+  machineTypes: () => readonly MachineType[],
 ): JobService {
   const replica = new ReplicaView(stateStore.replica, SILENT_LOG);
   const batcher = new SubmissionBatcher(
@@ -75,7 +75,7 @@
   );
   const teams = new Map([[VISION_TEAM.name, VISION_TEAM]]);
   const typesByName = (): ReadonlyMap<string, MachineType> =>
-    new Map(types().map((type) => [type.name, type]));
+    new Map(machineTypes().map((type) => [type.name, type]));
   return new JobService({
     stateStore,
     replica,
@@ -94,30 +94,30 @@
   retryAfter: string | undefined;
 }
 
-/** The API over a fake state store; its time passes only while somebody waits for an answer. */
+/** The API over a fake state store, whose virtual time advances only while a request waits for its response. */
 export class ApiFixture {
-  /** The state service refuses everything. */
+  /** Whether the state store refuses all requests. */
   storeRefuses = false;
-  /** The machine types that are known; empty: none yet. */
+  /** The machine types that the API knows; empty if it knows none yet. */
   machineTypes: MachineType[] = [ONE_ZONE_TYPE];
-  /** What heartbeats are answered. */
+  /** The reply to every heartbeat. */
   heartbeatReply: HeartbeatReply = { kind: 'busy' };
   port = 0;
   private readonly time = new VirtualTime();
   private readonly store = new FakeStateStore(this.time);
-  private general: Server | null = null;
-  private server: NetServer | null = null;
+  private expressServer: Server | null = null;
+  private requestServer: NetServer | null = null;
 
   async start(): Promise<void> {
     const dependencies = await this.dependencies();
-    const general = createServer(createExpressApp(dependencies));
-    this.general = general;
-    this.server = servePlainRequests({
-      generalServer: () => Promise.resolve(general),
+    const expressServer = createServer(createExpressApp(dependencies));
+    this.expressServer = expressServer;
+    this.requestServer = servePlainRequests({
+      generalServer: () => Promise.resolve(expressServer),
       maxBodyBytes: MAX_BODY_BYTES,
       route: plainRoutes(dependencies),
     });
-    this.port = await listen(this.server);
+    this.port = await listen(this.requestServer);
   }
 
   private async dependencies(): Promise<ApiDependencies> {
@@ -144,21 +144,21 @@
   }
 
   close(): void {
-    this.server?.close();
-    this.general?.closeAllConnections();
-    this.general?.close();
+    this.requestServer?.close();
+    this.expressServer?.closeAllConnections();
+    this.expressServer?.close();
   }
 
-  /** Serves the Express application alone, without the plain routes before it; returns its port. */
+  /** Serves the Express application alone, without the plain routes in front of it; returns its port. */
   serveExpressApp(): Promise<number> {
-    return listen(this.general as Server);
+    return listen(this.expressServer as Server);
   }
 
-  /** One request; virtual time passes until it is answered. */
+  /** Sends a request and advances virtual time until it is answered. */
   async request(method: string, path: string, body?: string, port = this.port): Promise<ReceivedResponse> {
-    let waiting = true;
-    const response = send(method, path, body, port).finally(() => (waiting = false));
-    while (waiting) {
+    let pending = true;
+    const response = send(method, path, body, port).finally(() => (pending = false));
+    while (pending) {
       await this.time.run(this.time.now + VIRTUAL_STEP_MS);
       await flushPromises();
     }
@@ -171,9 +171,14 @@
   return (server.address() as AddressInfo).port;
 }
 
-function send(method: string, path: string, body: string | undefined, to: number): Promise<ReceivedResponse> {
+function send(
+  method: string,
+  path: string,
+  body: string | undefined,
+  port: number,
+): Promise<ReceivedResponse> {
   return new Promise((resolve, reject) => {
-    const outgoing = request({ host: '127.0.0.1', port: to, method, path, agent: false }, (incoming) => {
+    const outgoing = request({ host: '127.0.0.1', port, method, path, agent: false }, (incoming) => {
       let text = '';
       incoming.on('data', (chunk: Buffer) => (text += chunk.toString()));
       incoming.on('end', () =>
--- a/test/support/fleet-builders.ts
+++ b/test/support/fleet-builders.ts
@@ -1,9 +1,9 @@
-/** Builders of what the leader plans capacity from. */
+/** Builders of the input of the leader's capacity planning. */
 import { type FleetMachine } from '../../src/coordination/fleet/fleet-snapshot';
 import { type Demand, type MachineLoad, type PartitionLoad } from '../../src/protocol/peers';
 
-/** Ten tasks of one CPU that wait, a minute each. */
-export function demand(change: Partial<Demand>): Demand {
+/** The demand of ten pending tasks with one CPU and an expected run time of one minute each. */
+export function demand(overrides: Partial<Demand>): Demand {
   return {
     workload: 'w',
     cpus: 1,
@@ -15,12 +15,12 @@
     priority: 2,
     tasks: 10,
     expectedS: 60,
-    ...change,
+    ...overrides,
   };
 }
 
-/** An idle machine of the small type that its owner hears. */
-export function machineLoad(machine: string, change: Partial<MachineLoad> = {}): MachineLoad {
+/** The load of an idle machine of the small type whose heartbeats reach its owner. */
+export function machineLoad(machine: string, overrides: Partial<MachineLoad> = {}): MachineLoad {
   return {
     machine,
     tasks: 0,
@@ -33,16 +33,16 @@
     preemptionNotice: false,
     transferTarget: null,
     emptyInS: 0,
-    ...change,
+    ...overrides,
   };
 }
 
-/** The load of a partition; its backlog follows from the demands. */
+/** The load of a partition; its backlog is computed from the demands. */
 export function partitionLoad(
   id: string,
   demands: Demand[],
   machines: MachineLoad[],
-  change: Partial<PartitionLoad> = {},
+  overrides: Partial<PartitionLoad> = {},
 ): PartitionLoad {
   const backlog = [0, 0, 0, 0];
   for (const d of demands) backlog[d.priority]! += d.tasks * d.cpus * d.expectedS;
@@ -55,12 +55,12 @@
     remainingWork: [0, 0, 0, 0],
     backlog,
     sinceLastJobS: 0,
-    ...change,
+    ...overrides,
   };
 }
 
-/** A small spot machine of partition `p0`, up for a minute. */
-export function fleetMachine(id: string, change: Partial<FleetMachine> = {}): FleetMachine {
+/** A small spot machine of partition `p0` with an age of one minute. */
+export function fleetMachine(id: string, overrides: Partial<FleetMachine> = {}): FleetMachine {
   return {
     id,
     partition: 'p0',
@@ -74,6 +74,6 @@
     failed: false,
     quarantinedMs: 0,
     sinceTransferMs: Infinity,
-    ...change,
+    ...overrides,
   };
 }
--- a/test/support/job-spec.ts
+++ b/test/support/job-spec.ts
@@ -1,8 +1,8 @@
 /** Job specs that tests submit. */
 import { type JobSpec } from '../../src/protocol/jobs';
 
-/** A job of two small tasks that may go anywhere, changed as a test needs it. */
-export function jobSpec(ref: string, change: Partial<JobSpec> = {}): JobSpec {
+/** A job of two small tasks that may run on any machine; a test overrides the fields that matter to it. */
+export function jobSpec(ref: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     ref,
     workload: 'w',
@@ -24,9 +24,9 @@
     checkpointDurationS: 0,
     deadlineS: null,
     pipeline: null,
-    ...change,
+    ...overrides,
   };
 }
 
-/** A job of five such tasks, where one is enough for a test. */
+/** A job of five such tasks, for tests that need only one job. */
 export const JOB_SPEC = jobSpec('job-000001', { tasks: 5 });
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -4,13 +4,13 @@
 import { type Command, type Heartbeat, type HeartbeatTask } from '../../src/protocol/workers';
 import { SMALL_TYPE } from './machine-types';
 
-/** The epoch in which the partition under test began. */
+/** The epoch with which the partition under test began. */
 export const OWNER_EPOCH = 100;
-/** A revision from before that epoch: what an earlier owner may have acted on. */
+/** A revision before that epoch; an earlier owner may have acted on a record of this revision. */
 export const REVISION_BEFORE_EPOCH = 50;
-/** A revision from after it: only this owner can have acted on it. */
+/** A revision after that epoch; only this owner can have acted on a record of this revision. */
 export const REVISION_AFTER_EPOCH = 150;
-/** A token above all that the partition gives out: the machine has acknowledged whatever was sent. */
+/** A token above all that the partition issues; with it a machine has acknowledged everything sent to it. */
 export const ACKNOWLEDGED_TOKEN = 1000 * 1024 * 1024;
 
 /** A partition `p0` of two teams, and the worker's side of its heartbeats. */
@@ -39,35 +39,35 @@
     });
   }
 
-  /** A machine that is recorded as assigned. */
-  addMachine(id: string, version: number, change: Partial<MachineRecord> = {}): void {
-    const row: MachineRecord = {
+  /** Adds a machine that is recorded as assigned. */
+  addMachine(id: string, revision: number, overrides: Partial<MachineRecord> = {}): void {
+    const record: MachineRecord = {
       partition: 'p0',
       phase: 'active',
       type: 'small',
       zone: 'a',
       spot: true,
-      ...change,
+      ...overrides,
     };
     this.assigned.add(id);
-    this.core.upsertMachine(id, row, version, 0);
+    this.core.upsertMachine(id, record, revision, 0);
   }
 
-  /** A machine that an earlier owner recorded as assigned, and that is not here now. */
+  /** Records a machine as assigned by an earlier owner without adding it to the partition. */
   recordAssignedByEarlierOwner(id: string): void {
     this.assigned.add(id);
   }
 
-  /** A machine that no owner of this partition has recorded as assigned. */
-  addUnassignedMachine(id: string, version: number): void {
-    const row: MachineRecord = { partition: 'p0', phase: 'active', type: 'small', zone: 'a', spot: true };
-    this.core.upsertMachine(id, row, version, 0);
+  /** Adds a machine that no owner of this partition has recorded as assigned. */
+  addUnassignedMachine(id: string, revision: number): void {
+    const record: MachineRecord = { partition: 'p0', phase: 'active', type: 'small', zone: 'a', spot: true };
+    this.core.upsertMachine(id, record, revision, 0);
   }
 
-  addJob(job: JobSpec, version = REVISION_AFTER_EPOCH, doneRanges = '', startWatermark = job.tasks): void {
+  addJob(job: JobSpec, revision = REVISION_AFTER_EPOCH, doneRanges = '', startWatermark = job.tasks): void {
     this.specs.set(job.ref, job);
     const progress = { doneRanges, doneCount: 0, runningCount: 0, startWatermark };
-    this.core.openJob({ spec: job, acceptedAt: 0, revision: version, progress }, 0);
+    this.core.openJob({ spec: job, acceptedAt: 0, revision, progress }, 0);
   }
 
   addTerminatedJob(job: JobSpec, state: JobState = 'cancelled'): void {
@@ -78,12 +78,12 @@
     this.core.closeJob(ref, state, 0);
   }
 
-  /** Takes a heartbeat of a machine; returns the commands of the response. */
+  /** Handles a heartbeat of a machine and returns the commands of the response. */
   heartbeat(
     id: string,
     now: number,
     tasks: HeartbeatTask[] = [],
-    change: Partial<Heartbeat> = {},
+    overrides: Partial<Heartbeat> = {},
   ): Command[] {
     const heartbeat: Heartbeat = {
       machine: id,
@@ -96,18 +96,18 @@
       token: ACKNOWLEDGED_TOKEN,
       preemptionNoticeS: null,
       tasks,
-      ...change,
+      ...overrides,
     };
     return this.core.handleHeartbeat(heartbeat, now)?.commands ?? [];
   }
 }
 
-/** The tasks that are started by these commands. */
+/** The tasks that these commands start, as `ref/index`. */
 export function startedTasks(commands: Command[]): string[] {
   return commands.filter((c) => c.op === 'start').map((c) => `${c.ref}/${c.index}`);
 }
 
-/** The task of a start command as a heartbeat shows it later. */
+/** The task of a start command as a later heartbeat reports it. */
 export function taskInPhase(
   command: Command,
   phase: HeartbeatTask['phase'],
@@ -116,5 +116,5 @@
   return { ref: command.ref, index: command.index, attempt: command.attempt, phase, exit };
 }
 
-/** A named case, what it does with a new partition, and the team's limit of CPUs where it is not 8. */
+/** A test case: its name, the function that runs it on a new partition, and the team's CPU limit if it is not 8. */
 export type PartitionCase = [name: string, run: (partition: PartitionHarness) => void, limit?: number];
--- a/test/support/patch-property.ts
+++ b/test/support/patch-property.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 
-/** Replaces a property that exists; returns the function that restores it. */
+/** Replaces an existing property and returns a function that restores it. */
 export function patchProperty(target: object, key: string, descriptor: PropertyDescriptor): () => void {
-  assert.ok(key in target, `${key} is no member any more: the guard would not be taken away`);
+  assert.ok(key in target, `property ${key} does not exist, so replacing it would have no effect`);
   const real = Object.getOwnPropertyDescriptor(target, key);
   Object.defineProperty(target, key, { ...descriptor, configurable: true });
   return () => {
--- a/test/support/settings-file.ts
+++ b/test/support/settings-file.ts
@@ -1,4 +1,4 @@
-/** A settings file of one controller, as the operators write it. */
+/** The settings file of one controller in the form that operators write. */
 
 export const SETTINGS = {
   member: 'velodrome-0',
