--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -10,7 +10,7 @@
   /** Settings of the balancer; null if it is off. */
   balancing: object | null;
   machines: number;
-  /** How long jobs are submitted, in virtual time. */
+  /** Duration of job submission, in virtual time. */
   submissionMinutes: number;
   /** The virtual time at which one controller crashes for 5 s; null if none does. */
   crashAtMs: number | null;
