--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -109,7 +109,7 @@
     this.workers.push(
       new SimulatedWorker(
         id,
-        { imageFetchMs: 500, checkpointMs: 1000, leaseMs: LEASE_MS, runMs, checkpointed },
+        { imageFetchMs: 500, checkpointDurationMs: 1000, leaseMs: LEASE_MS, runMs, checkpointed },
         this.now,
       ),
     );
@@ -168,7 +168,7 @@
     const machineByTask = new Map<string, string>();
     for (const worker of this.workers) {
       let cpus = 0;
-      for (const key of worker.occupyingTasks()) {
+      for (const key of worker.executingTasks()) {
         assert.ok(
           !machineByTask.has(key),
           `${key} is on ${machineByTask.get(key)} and ${worker.id} at ${this.now}`,
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -7,7 +7,7 @@
 import { keys } from '../../src/protocol/keys';
 import { ReplicaView } from '../../src/storage/replica-view';
 import { StateStoreClient } from '../../src/storage/state-store-client';
-import { settle, VirtualTime } from '../standin/clock';
+import { flushPromises, VirtualTime } from '../standin/clock';
 
 type ScriptedResponse = HttpResponse | null;
 
@@ -99,7 +99,7 @@
     await t.test(name, async () => {
       const harness = new PartitionActorHarness(responses);
       harness.actor.send({ kind: 'handover', to: 'b', incarnation: 9 });
-      await settle();
+      await flushPromises();
       await harness.time.run(20_000);
       assert.equal(harness.actor.active, staysActive);
       assert.ok(harness.transactionCount < 200, `${harness.transactionCount} requests in 20 s`);
@@ -131,7 +131,7 @@
       // A controller attempts the transfer at each tick; one tick is enough here.
       harness.time.at(1000, () => (harness.alive = false));
       harness.time.at(4000, () => (harness.alive = true));
-      await settle();
+      await flushPromises();
       await harness.time.run(20_000);
       assert.equal(harness.core.machines.get(MACHINE)?.cordoned, cordoned);
     });
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -6,31 +6,34 @@
 import { join } from 'node:path';
 import { type HttpResponse } from '../../src/transport/http-client';
 import { FakeCloud } from './fake-cloud';
-import { type FleetHooks, type FakeWorker } from './fake-worker';
+import { type FakeWorkerHooks, type FakeWorker } from './fake-worker';
 import { sendRequest, serveFake } from './http-front';
 import { RealTime } from './real-time';
 import { FakeStateStore } from './store';
 
-const MACHINE_TYPE = { label: 'small', cpus: 4, memory: 16 };
+const MACHINE_TYPE = { label: 'small', cpus: 4, memoryGb: 16 };
 const RESPONSE_TIMEOUT_MS = 4000;
 const PAGE_SIZE = 1000;
 const BOOT_MS = 2000;
 const LIST_LAG_MS = 1000;
 
-/** What a loopback cluster consists of. */
+/** The size, timing and settings of a loopback cluster. */
 export interface LoopbackOptions {
   controllers: number;
   machines: number;
   heartbeatIntervalMs: number;
   leaseMs: number;
   teams: { name: string; cpus: number; cpus_max: number }[];
-  /** A file of features; null: none. */
+  /** Path of the features file; null if there is none. */
   features: string | null;
-  hooks: Pick<FleetHooks, 'taskStarted' | 'taskCompleted' | 'runMs' | 'checkpointMs' | 'taskStopped'>;
+  hooks: Pick<
+    FakeWorkerHooks,
+    'taskStarted' | 'taskCompleted' | 'runMs' | 'checkpointDurationMs' | 'taskStopped'
+  >;
 }
 
-/** Ports that nobody listens on now. */
-async function freePorts(count: number): Promise<number[]> {
+/** Finds ports on which no process listens at the moment. */
+async function findFreePorts(count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, '127.0.0.1'));
   await Promise.all(servers.map((server) => new Promise((resolve) => server.once('listening', resolve))));
   const ports = servers.map((server) => (server.address() as AddressInfo).port);
@@ -38,7 +41,7 @@
   return ports;
 }
 
-/** Controllers as real processes on the loopback interface, with fakes for all else. */
+/** Controllers as real processes on the loopback interface, with fakes for workers, cloud and state store. */
 export class LoopbackCluster {
   readonly cloud: FakeCloud;
   private readonly time = new RealTime();
@@ -53,12 +56,12 @@
     private readonly options: LoopbackOptions,
     private readonly ports: number[],
   ) {
-    const hooks: FleetHooks = {
+    const hooks: FakeWorkerHooks = {
       ...options.hooks,
       leaseExpired: () => undefined,
-      deliver: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
+      deliverHeartbeat: (index, worker, heartbeat) => this.deliverHeartbeat(index, worker, heartbeat),
       controllerIndex: (name) => Number(name.split('-')[1]),
-      controllers: options.controllers,
+      controllerCount: options.controllers,
       heartbeatIntervalMs: options.heartbeatIntervalMs,
       leaseMs: options.leaseMs,
     };
@@ -70,17 +73,17 @@
       maxMachines: options.machines,
       listLagMs: LIST_LAG_MS,
       bootMs: BOOT_MS,
-      pageMachines: PAGE_SIZE,
+      machinesPerPage: PAGE_SIZE,
     });
     for (let i = 0; i < options.machines; i++) this.cloud.addMachine(MACHINE_TYPE.label, 'a', true, 0);
   }
 
   static async start(options: LoopbackOptions): Promise<LoopbackCluster> {
-    const cluster = new LoopbackCluster(options, await freePorts(2 + 2 * options.controllers));
-    const [store = 0, cloud = 0] = cluster.ports;
+    const cluster = new LoopbackCluster(options, await findFreePorts(2 + 2 * options.controllers));
+    const [storePort = 0, cloudPort = 0] = cluster.ports;
     cluster.servers.push(
-      serveFake(store, (method, path, body) => cluster.store.request(method, path, body, () => false)),
-      serveFake(cloud, (method, path, body) => cluster.cloud.request(method, path, body)),
+      serveFake(storePort, (method, path, body) => cluster.store.request(method, path, body, () => false)),
+      serveFake(cloudPort, (method, path, body) => cluster.cloud.request(method, path, body)),
     );
     for (let i = 0; i < options.controllers; i++) cluster.startController(i);
     return cluster;
@@ -128,12 +131,12 @@
     );
   }
 
-  /** Ends a controller with no signal that it could act on. */
+  /** Kills a controller with a signal that it cannot handle. */
   killController(index: number): void {
     this.processes.get(index)?.kill('SIGKILL');
   }
 
-  /** Asks a controller; null: no answer in time. */
+  /** Sends a user's request to a controller; the response is null if none arrives in time. */
   request(index: number, path: string, body: object, method: string): Promise<HttpResponse | null> {
     return sendRequest(
       this.agent(`users-${index}`),
@@ -145,7 +148,7 @@
     );
   }
 
-  /** Where a controller answers users. */
+  /** The address on which a controller serves users. */
   address(index: number): string {
     return `127.0.0.1:${this.port(index, 0)}`;
   }
