--- a/src/coordination/balancing/core-move-executor.ts
+++ b/src/coordination/balancing/core-move-executor.ts
@@ -5,12 +5,12 @@
 import { countFitting } from '../partition/resources';
 import { type CoreSnapshot } from './core-snapshot';
 
-/** Added to the time that a task states for its checkpoint: the stop must not cut it short. */
+/** Added to the checkpoint duration that a job states, so that the grace period does not cut the checkpoint short. */
 const CHECKPOINT_GRACE_MARGIN_S = 1;
 
-/** Carries the steps of moves out on a partition: reservations on machines, stops, and holds of tasks. */
+/** Carries out the steps of moves on a partition: reservations on machines, stop commands, and holds on tasks. */
 export class CoreMoveExecutor implements MoveExecutor {
-  /** Tasks that only their move may start, each with what it counts for against its team's limit. */
+  /** Tasks that only their move may start, by task key, with the specification that stays counted in the team's usage. */
   private readonly heldTasks = new Map<string, JobSpec>();
 
   constructor(
@@ -18,8 +18,8 @@
     private readonly snapshot: CoreSnapshot,
   ) {}
 
-  reserve(id: string, { job, index }: TaskId): boolean {
-    const machine = this.core.machines.get(id);
+  reserve(machineId: string, { job, index }: TaskId): boolean {
+    const machine = this.core.machines.get(machineId);
     const spec = this.core.jobs.get(job)?.spec;
     const free = machine && this.core.freeOn(machine);
     if (!machine || !spec || !free || countFitting(free, spec) === 0) return false;
@@ -29,13 +29,13 @@
     return true;
   }
 
-  release(id: string, { job, index }: TaskId): void {
-    this.core.machines.get(id)?.releaseReservation(taskKey(job, index));
+  release(machineId: string, { job, index }: TaskId): void {
+    this.core.machines.get(machineId)?.releaseReservation(taskKey(job, index));
     this.snapshot.invalidateMachines();
   }
 
-  stop(id: string, { job, index }: TaskId): void {
-    const task = this.core.machines.get(id)?.tasks.get(taskKey(job, index));
+  stop(machineId: string, { job, index }: TaskId): void {
+    const task = this.core.machines.get(machineId)?.tasks.get(taskKey(job, index));
     if (!task || task.stop) return;
     const hasCheckpoints = (task.spec?.checkpointIntervalS ?? 0) > 0;
     const checkpointS = task.spec?.checkpointDurationS ?? 0;
@@ -48,7 +48,8 @@
     if (!job || this.heldTasks.has(key)) return;
     job.delayRetry(index, untilMs);
     this.heldTasks.set(key, job.spec);
-    // What the task used stays counted, or another task of its team could take it and the move could not end.
+    // The task stays counted in its team's usage. Otherwise another task of the team could use up the team's limit, and
+    // the move could not be completed.
     this.core.quota.addUsage(job.spec, 1);
   }
 
@@ -60,19 +61,19 @@
     this.core.jobs.get(ref)?.clearRetryDelay(index);
   }
 
-  reserveForJob(id: string, ref: string): void {
+  reserveForJob(machineId: string, ref: string): void {
     const spec = this.core.jobs.get(ref)?.spec;
-    if (spec) this.core.machines.get(id)?.reserve(jobReservationKey(ref), spec);
+    if (spec) this.core.machines.get(machineId)?.reserve(jobReservationKey(ref), spec);
     this.snapshot.invalidateMachines();
   }
 
-  releaseJobReservation(id: string, ref: string): void {
-    this.core.machines.get(id)?.releaseReservation(jobReservationKey(ref));
+  releaseJobReservation(machineId: string, ref: string): void {
+    this.core.machines.get(machineId)?.releaseReservation(jobReservationKey(ref));
     this.snapshot.invalidateMachines();
   }
 }
 
-/** Names the reservation for the next task of a job, whichever that is. */
+/** The key of the reservation for the next task of a job, whichever task that is. */
 function jobReservationKey(ref: string): string {
   return `${ref}/next`;
 }
--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -15,14 +15,17 @@
 import { countWithinQuota } from '../partition/resources';
 import { jobsWithinGuarantee } from '../partition/scheduling-order';
 
-/** A task that has been pending for this many heartbeats of its machines is not merely between two of them. */
-const MIN_PENDING_HEARTBEATS = 2;
-/** The free resources of a machine on which nothing may be started. */
+/**
+ * A job's tasks count as pending after this many heartbeat intervals. Tasks start only in answers to heartbeats, so a
+ * shorter wait may just be the time between two heartbeats.
+ */
+const MIN_PENDING_HEARTBEAT_INTERVALS = 2;
+/** Stated as free for a machine with a task of an unknown job: its usage is unknown, so nothing may be started there. */
 const NO_RESOURCES = { cpus: 0, accelerators: 0, memoryGb: 0 };
 
-/** How the load balancer sees a partition: jobs, machines and tasks as its owner has them at present. */
+/** The load balancer's view of a partition: the jobs, machines and tasks as the partition's owner knows them now. */
 export class CoreSnapshot implements PartitionSnapshot {
-  /** The moment for which everything is stated, in milliseconds of the steady clock. */
+  /** The time to which all data refer, in milliseconds of the steady clock. */
   now = 0;
   private readonly jobSnapshots = new WeakMap<JobSpec, JobSnapshot>();
   private machineSnapshots: MachineSnapshot[] | null = null;
@@ -33,13 +36,13 @@
     return this.core.epoch;
   }
 
-  /** States everything anew as of this moment. */
+  /** Makes the snapshot current as of `now`, in milliseconds of the steady clock. */
   refresh(now: number): void {
     this.now = now;
     this.invalidateMachines();
   }
 
-  /** To be called when free resources have changed. */
+  /** Discards the cached state of the machines. Must be called when free resources have changed. */
   invalidateMachines(): void {
     this.machineSnapshots = null;
   }
@@ -50,9 +53,9 @@
     const guaranteed = jobsWithinGuarantee(jobs, core.quota.teams);
     const pending: PendingTasks[] = [];
     for (const job of jobs) {
-      const tasks = this.startableTasks(job);
+      const tasks = this.startableTaskCount(job);
       const pendingMs = now - job.firstSeenAt;
-      if (tasks === 0 || pendingMs < MIN_PENDING_HEARTBEATS * core.heartbeatIntervalMs) continue;
+      if (tasks === 0 || pendingMs < MIN_PENDING_HEARTBEAT_INTERVALS * core.heartbeatIntervalMs) continue;
       pending.push({
         spec: this.jobSnapshot(job.spec),
         tasks,
@@ -63,8 +66,8 @@
     return pending;
   }
 
-  /** Pending tasks of a job that lack nothing but a machine. */
-  private startableTasks(job: PartitionJob): number {
+  /** How many pending tasks of a job could start now if a machine had room; 0 for a job with zone constraints. */
+  private startableTaskCount(job: PartitionJob): number {
     const { spec } = job;
     if (job.heldByPipeline || job.pendingCount === 0 || job.state !== 'open') return 0;
     if (spec.singleZone || spec.spreadZones) return 0;
@@ -99,8 +102,8 @@
     ];
   }
 
-  tasksOn(id: string): TaskSnapshot[] {
-    const machine = this.core.machines.get(id);
+  tasksOn(machineId: string): TaskSnapshot[] {
+    const machine = this.core.machines.get(machineId);
     if (!machine) return [];
     const tasks: TaskSnapshot[] = [];
     for (const task of machine.tasks.values()) if (task.spec) tasks.push(this.taskSnapshot(task, task.spec));
@@ -122,7 +125,7 @@
   private pinReason(task: InFlightTask, spec: JobSpec): TaskSnapshot['pinned'] {
     const { ref, index, stop, checkpointing, phase } = task;
     const job = this.core.jobs.get(ref);
-    // A start that was sent and not reported yet may not even have arrived.
+    // Until the worker has reported the task, the start command may not even have arrived.
     if (phase === 'sent') return 'starting';
     if (stop || checkpointing) return 'stopping';
     if (!job || job.state !== 'open' || job.isDone(index)) return 'job over';
@@ -130,9 +133,9 @@
     return spec.singleZone || spec.spreadZones ? 'zone bound' : null;
   }
 
-  allows(ref: string, id: string): boolean {
+  allows(ref: string, machineId: string): boolean {
     const job = this.core.jobs.get(ref);
-    const machine = this.core.machines.get(id);
+    const machine = this.core.machines.get(machineId);
     return job !== undefined && machine !== undefined && allowsMachine(job.spec, machine.record);
   }
 
@@ -144,10 +147,10 @@
     };
   }
 
-  /** What the balancer must know of a job, made once for each. */
+  /** The load balancer's view of a job, created once for each specification. */
   jobSnapshot(spec: JobSpec): JobSnapshot {
-    const known = this.jobSnapshots.get(spec);
-    if (known) return known;
+    const cached = this.jobSnapshots.get(spec);
+    if (cached) return cached;
     const { cpus, accelerators, memoryGb } = spec;
     const snapshot: JobSnapshot = {
       job: spec.ref,
@@ -166,7 +169,7 @@
   }
 }
 
-/** Images that a machine fetches for tasks that have not begun to run. */
+/** Images that a machine is fetching: needed by tasks that do not run yet, and not used by any task that runs. */
 function fetchingImages(machine: MachineState): Set<string> {
   const fetching = new Set<string>();
   const present = new Set<string>();
--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -6,9 +6,9 @@
 import { type Resources } from '../partition/resources';
 import { type PlacementSpreader } from '../partition/task-placement';
 
-/** Fills all machines of a partition to the same share of their CPUs. */
+/** Spreads new tasks so that all machines of a partition are filled to the same share of their CPUs. */
 export class EvenSpreader implements PlacementSpreader {
-  private level = 1;
+  private targetCpuRatio = 1;
 
   constructor(
     private readonly core: PartitionCore,
@@ -21,7 +21,7 @@
       const cpus = this.typeOf(machine)?.cpus ?? 0;
       fills.push({ cpus, used: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
     }
-    this.level = evenLevel(fills, pendingCpus);
+    this.targetCpuRatio = evenLevel(fills, pendingCpus);
   }
 
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
@@ -30,7 +30,13 @@
     const withoutImage = { fetching: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
     const savedFetchS = machine.images.has(spec.image) ? fetchSeconds(spec, withoutImage) : 0;
     const expectedS = this.core.estimates.expectedSeconds(spec);
-    return evenAllowance({ capacity: type, free }, this.level, savedFetchS, expectedS, this.localityWeight);
+    return evenAllowance(
+      { capacity: type, free },
+      this.targetCpuRatio,
+      savedFetchS,
+      expectedS,
+      this.localityWeight,
+    );
   }
 
   private typeOf(machine: MachineState): MachineType | undefined {
--- a/src/coordination/balancing/load-balancing.ts
+++ b/src/coordination/balancing/load-balancing.ts
@@ -5,7 +5,7 @@
 import { MachineTransferReview } from './machine-transfer-review';
 import { TaskMover } from './task-moves';
 
-/** Load balancing by the package of that name. Loaded only where the features file switches it on. */
+/** Creates load balancing based on the load-balancer package. Loaded only if the controller has a features file. */
 export function createLoadBalancing(settings: BalancerSettings, clock: Clock): LoadBalancing {
   return {
     forPartition: (core: PartitionCore) => new TaskMover(core, settings, () => clock.steady()),
--- a/src/coordination/balancing/machine-transfer-review.ts
+++ b/src/coordination/balancing/machine-transfer-review.ts
@@ -10,7 +10,7 @@
 
 type TransferAction = Extract<FleetAction, { kind: 'transfer' }>;
 
-/** Reviews planned transfers of machines by the load summaries that the partitions' owners send. */
+/** Allows or rejects planned machine transfers, based on the load summaries that the partitions' owners send. */
 export class MachineTransferReview implements FleetBalancing {
   private readonly summaries: SummaryStore;
   private readonly guard: MachineTransferGuard;
@@ -38,8 +38,8 @@
       }
       const { allowed, reason, fromS, toS } = this.guard.review(action, now, machines, drainCount);
       const { machine, fromPartition, toPartition, drain } = action;
-      const entry = { machine, fromPartition, toPartition, drain, reason, fromS, toS };
-      (allowed ? reviewed.allowed : reviewed.rejected).push(entry);
+      const logEntry = { machine, fromPartition, toPartition, drain, reason, fromS, toS };
+      (allowed ? reviewed.allowed : reviewed.rejected).push(logEntry);
       if (!allowed) continue;
       reviewed.actions.push(action);
       if (drain) drainCount++;
@@ -56,7 +56,7 @@
   }
 }
 
-/** Whether an action takes a machine to another partition; a drain that is revoked or goes to the cloud does not. */
+/** Whether an action transfers a machine to another partition. A revoked drain or a drain to the cloud does not. */
 function changesPartition(action: FleetAction): action is TransferAction {
   if (action.kind !== 'transfer') return false;
   return action.toPartition !== action.fromPartition && action.toPartition !== DRAIN_TO_CLOUD;
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -19,12 +19,12 @@
 import { CoreSnapshot } from './core-snapshot';
 import { EvenSpreader } from './even-spreader';
 
-/** The share of processor time that planning may take. */
+/** The share of the time that planning may take. */
 const PLANNING_TIME_RATIO = 0.04;
-/** Planning is due after this many times its interval at the latest, however much it costs. */
+/** Planning is due after this many times its minimum interval at the latest, however long it takes. */
 const MAX_PLAN_INTERVAL_RATIO = 10;
 
-/** Moves tasks within one partition: tells the balancer what becomes of tasks, and carries its moves on. */
+/** Moves tasks between the machines of one partition: passes task events to the balancer and advances its moves. */
 export class TaskMover implements PartitionBalancing {
   readonly balancer: PartitionBalancer;
   readonly spreader: PlacementSpreader | null;
@@ -35,8 +35,8 @@
   constructor(
     private readonly core: PartitionCore,
     settings: BalancerSettings,
-    /** The steady clock, in milliseconds. */
-    private readonly steady: () => number,
+    /** Returns the time of the steady clock, in milliseconds. */
+    private readonly steadyNow: () => number,
   ) {
     this.snapshot = new CoreSnapshot(core);
     this.executor = new CoreMoveExecutor(core, this.snapshot);
@@ -62,7 +62,7 @@
     const { tracker } = this.balancer;
     const task = { job: ref, index };
     tracker.handleEvent(task, { kind: 'source-gone' }, now);
-    // Changes nothing for a move that the event before has just brought to its target's turn.
+    // Has no effect on a move that `source-gone` has just put into the state `restarting`.
     tracker.handleEvent(task, { kind: 'target-gone' }, now);
   }
 
@@ -87,17 +87,17 @@
     this.balancer.tracker.targetLost(id, now);
   }
 
-  /** Starts what a machine's reservations are for, before placement gives the machine anything else. */
+  /** Starts the tasks for which resources of the machine are reserved, before placement starts any other task there. */
   answeringHeartbeat(machine: MachineState, commands: Command[], now: number): void {
     const { tracker } = this.balancer;
     if (tracker.isIdle) return;
-    this.noteReportedTasks(machine, now);
+    this.handleReportedTasks(machine, now);
     for (const task of tracker.startsOn(machine.id)) this.startAtTarget(task, machine, commands, now);
     for (const reservation of tracker.jobReservationsOn(machine.id))
       this.startInReservation(reservation, machine, commands, now);
   }
 
-  private noteReportedTasks(machine: MachineState, now: number): void {
+  private handleReportedTasks(machine: MachineState, now: number): void {
     const { tracker } = this.balancer;
     for (const { target, task } of tracker.movesInProgress) {
       if (target !== machine.id) continue;
@@ -109,14 +109,14 @@
   private startAtTarget(task: TaskId, machine: MachineState, commands: Command[], now: number): void {
     const { core, executor } = this;
     const job = core.jobs.get(task.job);
-    // The start itself takes what was reserved and held for it.
+    // Released first, so that the start can use the reserved resources and the held share of the team's limit.
     executor.release(machine.id, task);
     executor.releaseHeldTask(task);
     const started = job && core.placement.startReserved(job, task.index, machine, commands, now);
     this.balancer.tracker.handleEvent(task, { kind: started ? 'start-sent' : 'target-full' }, now);
   }
 
-  /** Starts a task of the job that the reservation is for; the reservation stays until its resources are free. */
+  /** Starts the next task of the job that a reservation is for. The reservation stays until its resources are free. */
   private startInReservation(
     reservation: JobReservation,
     machine: MachineState,
@@ -137,12 +137,12 @@
     tracker.tick(now);
     for (const move of tracker.movesInProgress)
       if (move.target !== null && this.isTargetLost(move, now)) tracker.targetLost(move.target, now);
-    // Until all machines have confirmed their tasks, too little is known for a plan.
+    // Until all machines have confirmed their tasks, too little is known about the partition to plan moves.
     if (this.core.unconfirmedCount > 0 || !this.pacer.isDue(now)) return;
     this.snapshot.refresh(now);
-    const startedAt = this.steady();
+    const startedAt = this.steadyNow();
     this.balancer.plan(now);
-    this.pacer.record(startedAt, this.steady());
+    this.pacer.record(startedAt, this.steadyNow());
   }
 
   private isTargetLost({ target, state }: Readonly<Move>, now: number): boolean {
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -1,4 +1,4 @@
-/** Puts a controller on the network: the port for users and workers, the port for peers, and links to them. */
+/** The network side of a controller: the port for users and workers, the port for peers, and the links to peers. */
 import type { Server } from 'node:http';
 import { parseAddress } from '../../transport/address';
 import { type Clock } from '../../transport/clock';
@@ -27,11 +27,11 @@
   policy: Policy;
   clock: Clock;
   log: Log;
-  /** Null: load is not balanced beyond what placement and planning do. */
+  /** Null if load balancing is off; load is then balanced only by task placement and fleet planning. */
   balancing: LoadBalancing | null;
 }
 
-/** Starts a controller and its servers, for as long as the process lives. A port that is taken is logged as an error. */
+/** Starts a controller and its servers, which run as long as the process. A port that is in use is logged as an error. */
 export function serve({ settings, policy, clock, log, balancing }: ControllerServerOptions): void {
   const peerLinks = new Map<string, PeerLink>();
   const controller = new Controller(settings, policy, clock, log, {
@@ -74,7 +74,7 @@
   controller.start();
 }
 
-/** Express and the HTTP server below it: loaded on the first request that is not plain, for loading delays a start. */
+/** Loads Express and the HTTP server below it, on the first request that is not plain: loading them would delay startup. */
 async function loadExpressServer(dependencies: ApiDependencies): Promise<Server> {
   const [{ createServer }, { createExpressApp }] = await Promise.all([
     import('node:http'),
@@ -91,7 +91,10 @@
   return () => (result ??= make());
 }
 
-/** A name that no other process of any controller ever has: by the time of day, and by chance if two start in the same moment. */
+/**
+ * Returns a name that no other process of any controller ever has. It contains the time of day, and a random suffix in case
+ * two processes start in the same millisecond.
+ */
 function createProcessIncarnation(member: string, clock: Clock): string {
   const randomSuffix = Math.floor(Math.random() * RANDOM_SUFFIX_RANGE).toString(36);
   return `${member}-${clock.wallClock().getTime().toString(36)}${randomSuffix}`;
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -1,4 +1,4 @@
-/** Composes one controller of its actors and services, and runs their timers. */
+/** Creates and connects the actors and services of one controller, and runs their timers. */
 import { schedulePeriodic, type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { Metrics } from '../../transport/metrics';
@@ -26,26 +26,26 @@
 
 const TICK_INTERVAL_MS = 250;
 const STATUS_INTERVAL_MS = 500;
-/** The library for histograms is loaded only after the start, which is short of processor time. */
+/** The histogram library is loaded this long after startup, during which processor time is scarce. */
 const METRICS_LOAD_DELAY_MS = 20_000;
-/** A watch is held by the state store for a fraction of the time after which its news would be too old. */
+/** The state store holds a watch for the staleness bound divided by this, so that it responds before the replica is too old. */
 const WATCHES_PER_STALENESS_BOUND = 4;
 
-/** What a controller reaches the rest of the world by. */
+/** The external dependencies of a controller: its connections, the name of its process, and its load balancing. */
 export interface ControllerDependencies {
   storeTransport: StoreTransport;
-  /** Watches are held for long; they have connections of their own. */
+  /** Watches hold their connections for a long time, so they have connections of their own. */
   watchTransport: StoreTransport;
   cloudTransport: CloudTransport;
-  /** Sends a frame to another controller; it is lost if there is no connection. */
+  /** Sends a frame to another controller. The frame is lost if there is no connection. */
   sendToPeer: (member: string, bytes: Buffer) => void;
-  /** Unique to this process: no other controller and no earlier process of this one ever had it. */
+  /** A name unique to this process: no other controller and no earlier process of this one has ever used it. */
   processIncarnation: string;
-  /** Null: load is not balanced beyond what placement and planning do. */
+  /** Null if load balancing is off; load is then balanced only by task placement and fleet planning. */
   balancing: LoadBalancing | null;
 }
 
-/** One controller. It acts only after `start`, and from then on for as long as the process lives. */
+/** One controller. It acts only after `start`, and then for as long as the process lives. */
 export class Controller {
   readonly jobService: JobService;
   private readonly metrics = new Metrics();
@@ -72,7 +72,7 @@
     this.maxStalenessMs = maxStalenessMs(settings.leaseMs, settings.cancelMs);
     this.stateStore = this.createStateStore();
     this.replica = new ReplicaView(this.stateStore.replica, log);
-    this.leaseExtensions = new LeaseExtensions(this.peers(), clock.steady());
+    this.leaseExtensions = new LeaseExtensions(this.peerNames(), clock.steady());
     this.membership = this.createMembership();
     this.leader = this.createLeader();
     this.partitions = this.createPartitions();
@@ -89,19 +89,19 @@
   start(): void {
     void this.stateStore.follow();
     this.membership.send({ kind: 'join' });
-    // Asks for the machine types at once: without them no submission can be taken.
+    // Requests the machine types at once: without them, no submission can be accepted.
     this.leader.send({ kind: 'tick' });
     schedulePeriodic(this.clock, TICK_INTERVAL_MS, () => this.tick());
     schedulePeriodic(this.clock, STATUS_INTERVAL_MS, () => this.statusPublisher.publishStatus());
     this.clock.schedule(METRICS_LOAD_DELAY_MS, () => this.metrics.load());
   }
 
-  /** Takes a worker's heartbeat; it is replied to exactly once, at once or within a few seconds. */
+  /** Handles a worker's heartbeat. Calls `reply` exactly once, immediately or within a few seconds. */
   receiveHeartbeat(heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void): void {
     this.heartbeats.receiveHeartbeat(heartbeat, reply);
   }
 
-  /** Takes a frame of another controller; `answer` sends frames back to it. */
+  /** Handles a frame from another controller; `answer` sends frames back to it. */
   receiveFrame(bytes: Buffer, answer: (bytes: Buffer) => void): void {
     this.messenger.receiveFrame(bytes, answer);
   }
@@ -111,7 +111,7 @@
     return this.readiness.ready();
   }
 
-  /** The controller's own part of `GET /status`. */
+  /** The controller's part of the response to `GET /status`. */
   status(): object {
     const { balancing } = this.dependencies;
     return {
@@ -127,7 +127,7 @@
     };
   }
 
-  /** How load is balanced: the whole fleet where this controller leads, else who does. */
+  /** The state of load balancing: the leader, the task moves in progress here and, if this controller leads, the fleet. */
   private balanceStatus({ fleet }: LoadBalancing): object {
     const leader = this.replica.leader?.member ?? null;
     const moves = [...this.partitions.values()].flatMap(
@@ -136,16 +136,19 @@
     return { leader, moves, fleet: this.leader.leading ? fleet.status(this.clock.steady()) : null };
   }
 
-  /** The machine types as the cloud last told us, else as another controller recorded them. */
+  /** The machine types last received from the cloud or, if there are none, those that another controller recorded. */
   private machineTypes(): ReadonlyMap<string, MachineType> {
     return this.leader.machineTypes.size > 0 ? this.leader.machineTypes : this.replica.machineTypes;
   }
 
-  private peers(): string[] {
+  private peerNames(): string[] {
     return this.settings.peers.map(({ member }) => member);
   }
 
-  /** Ownership is taken from a complete replica only: a partial one would release partitions that are still ours. */
+  /**
+   * Updates the owned partitions, from a complete replica only. With a partial one, partitions that this controller still
+   * owns would be released.
+   */
   private reconcilePartitions(): void {
     if (!this.stateStore.replica.synced) return;
     this.partitions.reconcile();
@@ -158,11 +161,14 @@
     this.leader.send({ kind: 'tick' });
   }
 
-  /** An owner asks for news though there may be none, so that an outage finds it with nearly all of its staleness bound left. */
+  /**
+   * Refreshes the replica of an owner at intervals, even without changes, so that nearly all of its staleness bound is left
+   * when an outage begins.
+   */
   private refreshReplica(): void {
     const now = this.clock.steady();
-    const since = Math.max(this.stateStore.replica.freshAsOf, this.refreshRequestedAt);
-    if (this.partitions.size === 0 || now - since < refreshIntervalMs(this.maxStalenessMs)) return;
+    const lastRefreshAt = Math.max(this.stateStore.replica.freshAsOf, this.refreshRequestedAt);
+    if (this.partitions.size === 0 || now - lastRefreshAt < refreshIntervalMs(this.maxStalenessMs)) return;
     this.refreshRequestedAt = now;
     void this.stateStore.ensureFresh();
   }
@@ -242,7 +248,7 @@
 
   private createReadiness(): Readiness {
     return new Readiness({
-      peers: this.peers(),
+      peers: this.peerNames(),
       clock: this.clock,
       stateStore: this.stateStore,
       machineTypesKnown: () => this.machineTypes().size > 0,
@@ -269,7 +275,7 @@
   private createStatusPublisher(): StatusPublisher {
     return new StatusPublisher({
       member: this.settings.member,
-      peers: this.peers(),
+      peers: this.peerNames(),
       clock: this.clock,
       stateStore: this.stateStore,
       replica: this.replica,
--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Brings workers' heartbeats to whoever may answer them. */
+/** Routing of workers' heartbeats to the actors or controllers that may answer them. */
 import { type Clock } from '../../transport/clock';
 import { type Metrics } from '../../transport/metrics';
 import { type MisroutedCount } from '../../protocol/peers';
@@ -22,12 +22,12 @@
 }
 
 /**
- * Routes each heartbeat by the recorded partition of its machine: to the partition's actor where it is owned here, else
- * back to the worker with the name of the owner. Every heartbeat is replied to exactly once.
+ * Routes each heartbeat by the recorded partition of its machine. If this controller owns the partition, its actor gets the
+ * heartbeat; otherwise the worker is redirected to the owner. Every heartbeat is replied to exactly once.
  */
 export class HeartbeatRouter {
   private readonly deferred: DeferredHeartbeats;
-  /** On the steady clock; null: none has come since the start of the process. */
+  /** On the steady clock; null if this process has received no heartbeat. */
   private lastHeartbeatAt: number | null = null;
 
   constructor(private readonly deps: HeartbeatRouterDependencies) {
@@ -49,12 +49,12 @@
     this.deferred.handleOwnerChanges();
   }
 
-  /** Milliseconds since the last heartbeat of any machine, -1: none has come yet. */
+  /** Milliseconds since the last heartbeat of any machine; -1 if none has been received. */
   sinceHeartbeatMs(now: number): number {
     return this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt;
   }
 
-  /** How many machines of other owners' partitions came here lately. */
+  /** How many machines of other owners' partitions recently sent heartbeats here. */
   misroutedCounts(now: number): MisroutedCount[] {
     return this.deferred.misrouted.counts(now);
   }
@@ -77,12 +77,12 @@
       });
       return;
     }
-    const stored = replica.partitions.get(machine.record.partition);
-    if (stored && mayDefer && this.deferred.defer(heartbeat, reply, stored)) return;
-    reply({ kind: 'redirect', owner: this.redirectTarget(stored?.record.owner) });
+    const storedPartition = replica.partitions.get(machine.record.partition);
+    if (storedPartition && mayDefer && this.deferred.defer(heartbeat, reply, storedPartition)) return;
+    reply({ kind: 'redirect', owner: this.redirectTarget(storedPartition?.record.owner) });
   }
 
-  /** A machine without a record is the leader's to register. */
+  /** Passes the heartbeat of a machine without a record to the leader, which registers the machine. */
   private answerUnknownMachine(heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void): void {
     const { leader, replica } = this.deps;
     if (!leader.leading)
@@ -91,7 +91,7 @@
     reply({ kind: 'busy' });
   }
 
-  /** Null: there is no other controller to name. */
+  /** The controller to redirect to; null if there is no other controller. */
   private redirectTarget(owner: string | undefined): string | null {
     return owner !== undefined && owner !== this.deps.member ? owner : null;
   }
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -21,13 +21,13 @@
   replica: ReplicaView;
   membership: Membership;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Null: tasks are not moved for the sake of balance. */
+  /** Null if load balancing is off; tasks are then not moved to balance load. */
   balancing: LoadBalancing | null;
 }
 
 /**
- * Keeps one actor for each partition whose record names this member and its present incarnation, and tells the actors
- * what changes in the state store.
+ * Keeps one actor for each partition whose record names this member and its current incarnation, and forwards changes of
+ * the state store to the actors.
  */
 export class OwnedPartitions {
   private readonly actors = new Map<string, PartitionActor>();
@@ -46,13 +46,13 @@
     return this.actors.values();
   }
 
-  /** The actor of the partition that a machine is recorded in, if this controller owns it. */
+  /** The actor of the partition in which a machine is recorded; undefined if this controller does not own it. */
   actorOfMachine(machine: string): PartitionActor | undefined {
     const stored = this.deps.replica.machines.get(machine);
     return stored && this.actors.get(stored.record.partition);
   }
 
-  /** Starts and releases actors as the state store says. To be called with a complete replica only. */
+  /** Creates and releases actors to match the owners in the state store. Must be called with a complete replica only. */
   reconcile(): void {
     const { replica, log } = this.deps;
     for (const [id, actor] of this.actors) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Hands a change of the replica to the actors that it concerns. */
+  /** Forwards a change of the replica to the actors that it concerns. */
   forwardReplicaEvent(event: ReplicaEvent): void {
     if (event.kind === 'members') return;
     for (const actor of this.actors.values()) forwardTo(actor, event);
@@ -143,7 +143,7 @@
         actor.send({ kind: 'machine-changed', id: machine, entry });
   }
 
-  /** Open jobs, and those closed ones that open jobs may depend on or that workers may still run. */
+  /** Sends the open jobs, and the closed jobs that open jobs may depend on or that workers may still run. */
   private sendRecordedJobs(actor: PartitionActor): void {
     const { replica } = this.deps;
     for (const { spec, acceptedAt, revision, state } of replica.jobs.values()) {
@@ -161,8 +161,8 @@
   if (event.kind === 'machine-removed') {
     actor.send({ kind: 'machine-changed', id: event.id, entry: null });
   } else if (event.kind === 'machine') {
-    const recordedHere = event.entry.record.partition === core.id;
-    actor.send({ kind: 'machine-changed', id: event.id, entry: recordedHere ? event.entry : null });
+    const recordedInPartition = event.entry.record.partition === core.id;
+    actor.send({ kind: 'machine-changed', id: event.id, entry: recordedInPartition ? event.entry : null });
   } else if (core.owns(event.job.spec.team)) {
     const { spec, acceptedAt, revision, state } = event.job;
     if (event.kind === 'closed') actor.send({ kind: 'job-closed', ref: spec.ref, state });
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers: encoding, decoding, and the actors that they are for. */
+/** Messages between controllers: encoding, decoding, and dispatch to the actors that they are for. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
@@ -11,11 +11,11 @@
 import { STORE_RESPONSE_TIMEOUT_MS, type Readiness } from './readiness';
 
 /**
- * The state store keeps this many changes for its watches, so a replica cannot be further ahead of ours: a status that
- * claims a higher revision is malformed.
+ * The state store keeps this many changes for its watches, so no replica can be further ahead of this controller's. A status
+ * that claims a higher revision is malformed.
  */
-const MAX_REVISION_LEAD_COUNT = 10_000;
-/** Bounds a frame that answers a status. */
+const MAX_REVISION_LEAD = 10_000;
+/** Bounds the size of a frame that answers a status. */
 const MAX_CANCELLATIONS_PER_PAGE = 500;
 
 type StatusMessage = Extract<PeerMessage, { kind: 'status' }>;
@@ -32,12 +32,12 @@
   leaseExtensions: LeaseExtensions;
   partitions: OwnedPartitions;
   readiness: Readiness;
-  /** Sends a frame to another controller; it is lost if there is no connection. */
+  /** Sends a frame to another controller. The frame is lost if there is no connection. */
   sendToPeer: (member: string, bytes: Buffer) => void;
   countMalformed: () => void;
 }
 
-/** Sends messages to controllers, this one included, and hands those that arrive to the actors they are for. */
+/** Sends messages to controllers, including this one, and dispatches received messages to the actors that they are for. */
 export class PeerMessenger {
   constructor(private readonly deps: PeerMessengerDependencies) {}
 
@@ -46,7 +46,7 @@
     else this.deps.sendToPeer(member, encodePeerMessage(message));
   }
 
-  /** Takes a frame of a peer; `answer` sends frames back to it. A malformed frame is logged, counted and dropped. */
+  /** Handles a frame from a peer; `answer` sends frames back to it. A malformed frame is logged, counted and dropped. */
   receiveFrame(bytes: Buffer, answer: (bytes: Buffer) => void): void {
     const message = decodePeerMessage(bytes);
     if (!message) {
@@ -58,22 +58,23 @@
     this.handlePeerMessage(message);
   }
 
-  /** Answers with the state of our connection to the store and, where one is due, with a lease extension. */
+  /** Answers with the state of this controller's connection to the store and, if it may grant one, a lease extension. */
   private answerStatus(status: StatusMessage, answer: (bytes: Buffer) => void): void {
     const { stateStore, replica, leaseExtensions, clock } = this.deps;
     const storeReachable = stateStore.respondedWithin(STORE_RESPONSE_TIMEOUT_MS);
     const extended = leaseExtensions.grant(
       status.member,
-      this.mayVouchFor(status),
+      this.mayExtendLeaseOf(status),
       storeReachable,
       clock.steady(),
     );
-    // A peer that is ahead of our replica still needs what we confirmed and do not see yet.
+    // A peer that is ahead of this replica still needs the cancellations that this controller has confirmed although its
+    // replica does not show them yet.
     const since = Math.min(status.revision, stateStore.replica.revision);
     const cancelled = extended ? replica.cancelledSince(since) : [];
     const pages = Math.max(1, Math.ceil(cancelled.length / MAX_CANCELLATIONS_PER_PAGE));
     for (let page = 0; page < pages; page++) {
-      const from = page * MAX_CANCELLATIONS_PER_PAGE;
+      const pageStart = page * MAX_CANCELLATIONS_PER_PAGE;
       const pong: PongMessage = {
         kind: 'pong',
         member: this.deps.member,
@@ -82,21 +83,21 @@
         extended,
         page,
         pages,
-        cancelled: cancelled.slice(from, from + MAX_CANCELLATIONS_PER_PAGE),
+        cancelled: cancelled.slice(pageStart, pageStart + MAX_CANCELLATIONS_PER_PAGE),
       };
       answer(encodePeerMessage(pong));
     }
   }
 
   /**
-   * Whether we know the asker's session lease and every cancellation that we have confirmed. Without a complete replica
-   * we cannot tell what an earlier process of this member confirmed.
+   * Whether this controller knows the sender's session lease and all cancellations that this controller has confirmed, and
+   * the sender's revision is plausible. Only a complete replica shows what an earlier process of this controller confirmed.
    */
-  private mayVouchFor({ member, memberIncarnation, revision }: StatusMessage): boolean {
+  private mayExtendLeaseOf({ member, memberIncarnation, revision }: StatusMessage): boolean {
     const { stateStore, replica } = this.deps;
-    const memberSeen = replica.members.get(member) === memberIncarnation;
-    const revisionPlausible = revision <= stateStore.replica.revision + MAX_REVISION_LEAD_COUNT;
-    return memberSeen && stateStore.replica.synced && revisionPlausible;
+    const sessionLeaseKnown = replica.members.get(member) === memberIncarnation;
+    const revisionPlausible = revision <= stateStore.replica.revision + MAX_REVISION_LEAD;
+    return sessionLeaseKnown && stateStore.replica.synced && revisionPlausible;
   }
 
   private handlePeerMessage(message: PeerMessage): void {
@@ -126,7 +127,7 @@
 
   private handlePong(pong: PongMessage, now: number): void {
     const { replica, leaseExtensions, readiness } = this.deps;
-    // The cancellations of an extension are recorded before it: only together with them does it count.
+    // The cancellations are recorded before the extension, which is valid only together with them.
     for (const { job, revision } of pong.cancelled) replica.recordCancellation(job, revision);
     leaseExtensions.recordResponse(pong.member, pong.sequence, pong.extended, pong.page, pong.pages);
     readiness.recordPeerStatus(pong.member, pong.storeReachable, now);
--- a/src/coordination/controller/readiness.ts
+++ b/src/coordination/controller/readiness.ts
@@ -2,11 +2,11 @@
 import { type Clock } from '../../transport/clock';
 import { type StateStoreClient } from '../../storage/state-store-client';
 
-/** A state store that has not responded for this long counts as out of reach, for status messages to peers. */
+/** In status messages to peers, a state store that has not responded for this long counts as unreachable. */
 export const STORE_RESPONSE_TIMEOUT_MS = 1500;
-/** The same for readiness, which should not change with every short pause. */
-const READY_STORE_SILENCE_MS = 3000;
-const PEER_SILENCE_MS = 2500;
+/** The same limit for readiness, which should not change with every short pause. */
+const READINESS_STORE_TIMEOUT_MS = 3000;
+const MAX_PEER_STATUS_AGE_MS = 2500;
 
 export interface ReadinessDependencies {
   peers: readonly string[];
@@ -15,31 +15,32 @@
   machineTypesKnown: () => boolean;
 }
 
-/** Weighs this controller's view of the state store against that of its peers. */
+/** Compares this controller's connection to the state store with those of its peers. */
 export class Readiness {
   private readonly peerStoreHealth = new Map<string, { storeReachable: boolean; at: number }>();
 
   constructor(private readonly deps: ReadinessDependencies) {}
 
-  /** Notes what a peer says about its own connection to the state store. */
+  /** Records what a peer reports about its own connection to the state store. */
   recordPeerStatus(member: string, storeReachable: boolean, now: number): void {
     this.peerStoreHealth.set(member, { storeReachable, at: now });
   }
 
   /**
-   * Not ready while the state store is out of reach for this controller and a peer reaches it, nor while neither the store
-   * nor any peer is heard: then users are served sooner by another controller. Ready if the store is down for all, for
-   * no other controller would do better.
+   * False while the state store is unreachable for this controller but reachable for a peer, and while this controller
+   * receives nothing from the store or any peer: another controller then serves users sooner. True if the store is
+   * unreachable for all, because no other controller would serve them better. False without a complete replica or without
+   * machine types.
    */
   ready(): boolean {
     const { peers, clock, stateStore, machineTypesKnown } = this.deps;
     if (!stateStore.replica.synced || !machineTypesKnown()) return false;
-    if (stateStore.respondedWithin(READY_STORE_SILENCE_MS)) return true;
+    if (stateStore.respondedWithin(READINESS_STORE_TIMEOUT_MS)) return true;
     const now = clock.steady();
-    const heardPeers = peers
+    const recentPeers = peers
       .map((peer) => this.peerStoreHealth.get(peer))
-      .filter((peer) => peer !== undefined && now - peer.at < PEER_SILENCE_MS);
-    const isolated = heardPeers.length === 0 && peers.length > 0;
-    return !isolated && !heardPeers.some((peer) => peer?.storeReachable);
+      .filter((peer) => peer !== undefined && now - peer.at < MAX_PEER_STATUS_AGE_MS);
+    const isolated = recentPeers.length === 0 && peers.length > 0;
+    return !isolated && !recentPeers.some((peer) => peer?.storeReachable);
   }
 }
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -1,4 +1,4 @@
-/** Tells the other controllers, and the leader above all, how this one fares. */
+/** Status messages to the other controllers, and load reports to the leader. */
 import { type Clock } from '../../transport/clock';
 import { WorkPacer } from '../../transport/work-pacer';
 import { type PartitionLoad } from '../../protocol/peers';
@@ -11,7 +11,7 @@
 import { type PeerMessenger } from './peer-messenger';
 import { STORE_RESPONSE_TIMEOUT_MS } from './readiness';
 
-/** Between two loads of the partitions: the leader plans with nothing much older than the upper bound. */
+/** Bounds the interval between two load reports: the leader plans with no load much older than the upper bound. */
 const LOAD_INTERVAL_MS = { min: 450, max: 1800 };
 /** The share of the time that computing and sending loads may take. */
 const LOAD_TIME_RATIO = 0.08;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Sends a status to all controllers, which also asks them for lease extensions. The leader's copy holds the loads of the
- * partitions owned here as well, as often as their cost allows.
+ * Sends a status to all controllers, which also requests lease extensions from them. The leader's copy also contains the
+ * loads of the partitions owned here, as often as their cost allows.
  */
 export class StatusPublisher {
   private readonly loadPacer = new WorkPacer({
@@ -75,7 +75,10 @@
         this.deps.messenger.send(leader, { kind: 'balance', summary: balancing.summary(now) });
   }
 
-  /** Loads of the active partitions; of one that is recovering rarely, for its first answers to workers need the time more. */
+  /**
+   * The loads of the active partitions. A recovering partition is included at most once per maximum interval, because its
+   * first answers to workers need the processor time more.
+   */
   private duePartitionLoads(now: number): PartitionLoad[] {
     const loads: PartitionLoad[] = [];
     for (const partition of this.deps.partitions.values()) {
--- a/src/coordination/membership/lease-extension.ts
+++ b/src/coordination/membership/lease-extension.ts
@@ -1,35 +1,37 @@
-/** Lease extensions between controllers: they keep an owner acting while the state store is down for all. */
+/** Lease extensions between controllers, which let an owner go on acting while the state store is down for all. */
 import { MAX_CLOCK_DRIFT_RATIO } from '../../transport/clock';
 
-/** How long an extension holds, from when it is granted. */
+/** The duration of an extension, from when it is granted. */
 export const LEASE_EXTENSION_MS = 3000;
-/** Clocks drift apart: the granter waits for longer than the extension, and the grantee counts it as shorter. */
+/** Because clocks drift apart, the granter counts an extension as longer than its duration, and the grantee as shorter. */
 const GRANTER_EXTENSION_MS = LEASE_EXTENSION_MS * (1 + 2 * MAX_CLOCK_DRIFT_RATIO);
 const GRANTEE_EXTENSION_MS = LEASE_EXTENSION_MS * (1 - 2 * MAX_CLOCK_DRIFT_RATIO);
-/** Timers fire late: this much before its end an extension counts as expired. */
+/** An extension counts as expired this long before its end, because timers fire late. */
 const EXTENSION_EXPIRY_MARGIN_MS = 300;
 const MAX_PENDING_REQUEST_COUNT = 16;
 /** A response that claims more pages than this is malformed. */
 const MAX_PAGE_COUNT = 1000;
 
 /**
- * While the state store is down for all, each peer of a controller agrees to take none of its partitions over for a while.
- * A failover is written by a leader, and every possible leader has agreed; so while all extensions hold, none is written.
- * Four rules make that safe:
+ * While the state store is down for all, each peer of a controller agrees not to take over any of its partitions for a
+ * limited time. A failover is written by a leader, and every possible leader has agreed. So no failover is written while
+ * all extensions are valid. Four rules make that safe:
  *
- * - An extension is granted only to a member incarnation whose session lease the granter has not seen end: otherwise a
- *   failover may be under way already.
- * - The grantee counts an extension from when it asked for it.
- * - A process that has just started waits for the longest extension that an earlier process of its member may have granted.
- * - An extension counts only together with all cancellations that its granter knows and the grantee may not: otherwise an
- *   owner whose replica is older than its peers' would go on running tasks that users have cancelled through them.
+ * - An extension is granted only to a member incarnation whose session lease the granter has not seen end. Otherwise a
+ *   failover may already be in progress.
+ * - The grantee counts the duration of an extension from when it sent the request.
+ * - A process that has just started takes over nothing for as long as the longest extension that an earlier process of its
+ *   member may have granted.
+ * - An extension is valid only together with all cancellations that its granter knows and the grantee may not know.
+ *   Otherwise an owner whose replica is older than those of its peers would go on running tasks that users have cancelled
+ *   through the peers.
  */
 export class LeaseExtensions {
-  /** Granted by us: until when we take no partition of a member over. */
+  /** Granted by this controller: until when it takes over no partition of a member. */
   private readonly grantedUntil = new Map<string, number>();
-  /** Granted to us, by peer. */
+  /** Granted to this controller, by peer. */
   private readonly received = new Map<string, { expiresAt: number; requestedAt: number }>();
-  /** By peer, the pages received of its latest response. */
+  /** The pages received of each peer's latest response. */
   private readonly receivedPages = new Map<string, { sequence: number; pages: Set<number> }>();
   /** When the latest requests were sent, by sequence number. */
   private readonly requestedAt = new Map<number, number>();
@@ -41,7 +43,7 @@
     private readonly startedAt: number,
   ) {}
 
-  /** Notes that all peers are asked now, and returns the sequence number that their responses will carry. */
+  /** Records a request to all peers at `now`, and returns the sequence number that their responses will carry. */
   recordRequest(now: number): number {
     this.requestedAt.set(++this.lastSequence, now);
     this.requestedAt.delete(this.lastSequence - MAX_PENDING_REQUEST_COUNT);
@@ -49,8 +51,9 @@
   }
 
   /**
-   * Notes a page of a peer's response, whose cancellations must have been recorded already. The extension counts once all
-   * pages of one response are here; a response to a forgotten request, or of no peer of ours, is ignored.
+   * Records a page of a peer's response, whose cancellations must have been recorded already. The extension is valid once
+   * all pages of one response have been received. Ignores a response to a request that is no longer stored, and a response
+   * from a member that is not a peer.
    */
   recordResponse(peer: string, sequence: number, extended: boolean, page = 0, pageCount = 1): void {
     const requestedAt = this.requestedAt.get(sequence);
@@ -65,7 +68,7 @@
     });
   }
 
-  /** Returns whether all pages of this response are here now; pages of earlier responses are dropped. */
+  /** Returns whether all pages of this response have been received. Pages of earlier responses are dropped. */
   private recordPage(peer: string, sequence: number, page: number, pageCount: number): boolean {
     let received = this.receivedPages.get(peer);
     if (received && received.sequence > sequence) return false;
@@ -75,7 +78,10 @@
     return received.pages.size === pageCount;
   }
 
-  /** Every cancellation that any peer had confirmed by this moment of our steady clock is known here. */
+  /**
+   * The time on the steady clock up to which every cancellation that any peer has confirmed is known here; negative infinity
+   * until every peer has granted an extension.
+   */
   get freshAsOf(): number {
     return Math.min(
       ...this.peers.map((peer) => this.received.get(peer)?.requestedAt ?? Number.NEGATIVE_INFINITY),
@@ -83,8 +89,8 @@
   }
 
   /**
-   * Grants an extension to a peer, and returns whether it did: only while we cannot reach the state store, and only to a
-   * member incarnation whose session lease has not ended as far as we know.
+   * Grants an extension to a peer only while this controller cannot reach the state store, and only to a member incarnation
+   * whose session lease has not ended as far as this controller knows. Returns whether the extension was granted.
    */
   grant(member: string, memberKnown: boolean, storeReachable: boolean, now: number): boolean {
     if (storeReachable || !memberKnown) return false;
@@ -92,13 +98,13 @@
     return true;
   }
 
-  /** Whether our own grants permit that a failed member's partitions are assigned to others. */
+  /** Whether the extensions granted by this controller permit assigning a failed member's partitions to others. */
   permitsTakeover(member: string, now: number): boolean {
     if (now < this.startedAt + GRANTER_EXTENSION_MS) return false;
     return now >= (this.grantedUntil.get(member) ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Whether the extensions of all peers to us hold. */
+  /** Whether the extensions that all peers granted to this controller are valid. */
   extendedByAllPeers(now: number): boolean {
     return this.peers.every((peer) => now < (this.received.get(peer)?.expiresAt ?? Number.NEGATIVE_INFINITY));
   }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Membership of this controller in the cluster: a session lease in the state store, renewed for as long as it runs. */
+/** Membership of this controller in the cluster: a session lease in the state store, renewed while the controller runs. */
 import { MAX_CLOCK_DRIFT_RATIO, type Clock } from '../../transport/clock';
 import { Actor } from '../../transport/actor';
 import { type Log } from '../../transport/log';
@@ -8,16 +8,16 @@
 import { type MemberRecord } from '../../protocol/records';
 import { type LeaseExtensions } from './lease-extension';
 
-/** How long a session lease lasts without renewal: the time in which a failed controller is noticed. */
+/** How long a session lease lasts without renewal, and so the time within which a failed controller is detected. */
 export const SESSION_LEASE_MS = 4000;
 const LEASE_RENEWAL_INTERVAL_MS = 800;
 const FAILED_RENEWAL_RETRY_MS = 250;
-/** Timers fire late: this much before its end a session lease counts as expired. */
+/** A session lease counts as expired this long before its end, because timers fire late. */
 const LEASE_EXPIRY_MARGIN_MS = 250;
 const REJOIN_DELAY_MS = 100;
-/** After a request that the state store has not answered, or while the previous session lease runs on. */
+/** Delay after a request that the state store has not answered, or while the previous session lease is still valid. */
 const JOIN_RETRY_MS = 300;
-/** After another writer got in between. */
+/** Delay after the member record was not written, for example because another writer came first. */
 const JOIN_CONFLICT_RETRY_MS = 200;
 const JOIN_AFTER_REVOCATION_MS = 1;
 
@@ -28,7 +28,7 @@
   clock: Clock;
   log: Log;
   extensions: LeaseExtensions;
-  /** How long workers may be answered without knowing what was cancelled (see staleness-bound.ts). */
+  /** How long workers may be answered without knowing new cancellations (see staleness-bound.ts). */
   maxStalenessMs: number;
   /** Called each time a session lease has been acquired. */
   onJoined: () => void;
@@ -40,7 +40,7 @@
   kind: 'joined';
   leaseId: number;
   incarnation: number;
-  /** Steady time at which the lease was asked for. */
+  /** Steady time at which the lease was requested. */
   sentAt: number;
 }
 
@@ -51,12 +51,12 @@
   | { kind: 'renewed'; leaseId: number; result: RenewalResult; sentAt: number };
 
 /**
- * The session lease of this controller, and with it the right to act. Whoever acts asks `alive()` first, every time: the
- * right may end between any two moments.
+ * The session lease of this controller, and with it the permission to act. Every action must be preceded by a check of
+ * `alive()`, because the permission may end at any time.
  */
 export class Membership extends Actor<MembershipMessage> {
   readonly name: string;
-  /** Revision of our member record, a fencing token for all that we write; 0: we hold no session lease. */
+  /** Revision of this controller's member record, a fencing token for all its writes; 0 if it holds no session lease. */
   memberIncarnation = 0;
   private currentLeaseId: number | null = null;
   /** On the steady clock. */
@@ -76,20 +76,20 @@
     );
   }
 
-  /** The last moment of the steady clock up to which every cancellation that any controller confirmed is known here. */
+  /** The latest time on the steady clock up to which every cancellation that any controller has confirmed is known here. */
   get freshAsOf(): number {
     return Math.max(this.deps.stateStore.replica.freshAsOf, this.deps.extensions.freshAsOf);
   }
 
   /**
-   * Whether workers may be answered: each answer renews the leases of their tasks, so we must be allowed to act and must
-   * know recent enough cancellations (see staleness-bound.ts).
+   * Whether workers may be answered. Each answer renews the leases of their tasks, so this controller must be allowed to act
+   * and must know recent enough cancellations (see staleness-bound.ts).
    */
   mayRenewLeases(): boolean {
     return this.alive() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
   }
 
-  /** Id of the session lease in the state store, 0: none. */
+  /** Id of the session lease in the state store; 0 if there is none. */
   get sessionLeaseId(): number {
     return this.currentLeaseId ?? 0;
   }
@@ -111,7 +111,7 @@
   private handleJoined({ leaseId, incarnation, sentAt }: JoinedMessage): void {
     this.currentLeaseId = leaseId;
     this.memberIncarnation = incarnation;
-    this.extendLease(sentAt);
+    this.updateLeaseExpiry(sentAt);
     this.deps.log.info({ memberIncarnation: incarnation }, 'session lease acquired');
     this.deps.onJoined();
     this.sendLater('renew', LEASE_RENEWAL_INTERVAL_MS);
@@ -131,7 +131,7 @@
       case 'ended':
         return this.handleExpiry();
       case 'renewed':
-        this.extendLease(sentAt);
+        this.updateLeaseExpiry(sentAt);
         return this.sendLater('renew', LEASE_RENEWAL_INTERVAL_MS);
       case 'failed':
         return this.sendLater('renew', FAILED_RENEWAL_RETRY_MS);
@@ -146,19 +146,19 @@
     this.sendLater('join', REJOIN_DELAY_MS);
   }
 
-  /** Counted from when the request was sent: the state store cannot have begun the new period earlier. */
-  private extendLease(sentAt: number): void {
+  /** Counts the lease from when the request was sent: the state store cannot have started the new period earlier. */
+  private updateLeaseExpiry(sentAt: number): void {
     this.leaseExpiresAt = Math.max(
       this.leaseExpiresAt,
       sentAt + SESSION_LEASE_MS * (1 - 2 * MAX_CLOCK_DRIFT_RATIO) - LEASE_EXPIRY_MARGIN_MS,
     );
   }
 
-  private sendLater(kind: 'join' | 'renew', ms: number): void {
-    this.deps.clock.schedule(ms, () => this.send({ kind }));
+  private sendLater(kind: 'join' | 'renew', delayMs: number): void {
+    this.deps.clock.schedule(delayMs, () => this.send({ kind }));
   }
 
-  /** One attempt to acquire a session lease and to write the member record under it. */
+  /** Makes one attempt to acquire a session lease and to write the member record under it. */
   private async join(): Promise<void> {
     const { name, stateStore, clock } = this.deps;
     const key = keys.member(name);
@@ -178,7 +178,10 @@
     this.send({ kind: 'joined', leaseId, incarnation: written.revision, sentAt });
   }
 
-  /** An earlier process of this controller is no more, for only one runs at a time: its session lease need not run out. */
+  /**
+   * Revokes the session lease of an earlier process of this controller. Only one process runs at a time, so that process has
+   * ended, and there is no need to wait until its lease expires.
+   */
   private async endPreviousSession(leaseId: number | null): Promise<void> {
     const revoked = leaseId !== null && (await this.deps.stateStore.endLease(leaseId));
     if (!revoked) this.deps.log.info('waiting for the previous session lease to expire');
--- a/src/coordination/membership/misrouted-heartbeats.ts
+++ b/src/coordination/membership/misrouted-heartbeats.ts
@@ -1,23 +1,23 @@
 import { type MisroutedCount } from '../../protocol/peers';
 
-/** A machine counts as misrouted for this long: it tries the owner, pauses for 4 s, and comes again. */
+/** A machine counts as misrouted for this long: it tries the owner, waits for 4 s, and sends its heartbeat here again. */
 const MISROUTED_WINDOW_MS = 6000;
-/** Heartbeats are deferred if this share of a partition's machines came to the wrong controller within the window. */
-const MIN_DEFERRING_RATIO = 0.1;
-const DEFERRING_WINDOW_MS = 2000;
-/** Fewer misrouted machines than this show nothing. */
+/** Heartbeats are deferred if at least this share of a partition's machines was misrouted within DEFERRAL_WINDOW_MS. */
+const MIN_DEFERRAL_RATIO = 0.1;
+const DEFERRAL_WINDOW_MS = 2000;
+/** Fewer misrouted machines than this are not significant. */
 const MIN_MISROUTED_COUNT = 2;
 
-/** The machines whose heartbeats came to this controller although another one owns their partition. */
+/** The machines that sent heartbeats to this controller although another one owns their partition. */
 export class MisroutedHeartbeats {
-  /** Partition, machine, time; a partition's machines in the order in which they came last. */
+  /** Time of the last heartbeat by partition and machine. A partition's machines are ordered by that time. */
   private readonly lastSeenAt = new Map<string, Map<string, number>>();
 
-  /** Takes a misrouted heartbeat, and forgets those that no longer count. */
+  /** Records a misrouted heartbeat, and removes the machines of its partition that no longer count as misrouted. */
   record(partition: string, machine: string, now: number): void {
     let machines = this.lastSeenAt.get(partition);
     if (!machines) this.lastSeenAt.set(partition, (machines = new Map<string, number>()));
-    // Deleted first, so that it goes to the end of the map's order.
+    // Deleted first, so that the machine moves to the end of the map's order.
     machines.delete(machine);
     machines.set(machine, now);
     for (const [id, at] of machines) {
@@ -26,13 +26,13 @@
     }
   }
 
-  /** Whether so many of a partition's machines come here that its owner may be about to change. */
-  exceedsDeferralRatio(partition: string, machines: number, now: number): boolean {
-    const recent = this.countWithin(partition, DEFERRING_WINDOW_MS, now);
-    return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRING_RATIO * machines;
+  /** Whether so many of a partition's machines send heartbeats here that its owner may be about to change. */
+  exceedsDeferralRatio(partition: string, machineCount: number, now: number): boolean {
+    const recent = this.countWithin(partition, DEFERRAL_WINDOW_MS, now);
+    return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRAL_RATIO * machineCount;
   }
 
-  /** Misrouted machines by partition, as they are sent to the leader. */
+  /** The number of misrouted machines of each partition, as sent to the leader. */
   counts(now: number): MisroutedCount[] {
     return [...this.lastSeenAt.keys()].map((partition) => ({
       partition,
--- a/src/coordination/membership/reachability.ts
+++ b/src/coordination/membership/reachability.ts
@@ -1,36 +1,39 @@
 import { type MisroutedCount, type PartitionLoad } from '../../protocol/peers';
 
-/** Fewer misrouted machines than this show nothing. */
+/** Fewer misrouted machines than this are not significant. */
 const MIN_MISROUTED_COUNT = 2;
-/** An owner is unreachable if this share of its machines is silent, and this share of them came to other controllers. */
+/** An owner is unreachable if at least these shares of its machines are silent, and send heartbeats to other controllers. */
 const MIN_SILENT_RATIO = 0.8;
 const MIN_MISROUTED_RATIO = 0.25;
-/** A machine is silent after this many heartbeat intervals and the margin. */
+/** A machine is silent after more than this many heartbeat intervals plus the margin without a heartbeat. */
 const MAX_SILENT_INTERVALS = 1.25;
 const SILENT_MARGIN_MS = 1000;
-/** A controller that machines could not reach gets no partition for at least this long. */
+/** A controller that machines could not reach is avoided for at least this long: partitions go to other members first. */
 const MIN_AVOIDANCE_MS = 20_000;
-/** After this long it may get one again although it receives no heartbeats: perhaps no machine had a reason to come. */
+/** After this long it is not avoided even if it receives no heartbeats: perhaps no machine had a reason to send any. */
 const MAX_AVOIDANCE_MS = 60_000;
 const MAX_STATS_AGE_MS = 6000;
 
-/** What a controller tells the leader of the heartbeats that it receives. */
+/** What a controller reports to the leader about the heartbeats that it receives. */
 export interface HeartbeatStats {
   misrouted: readonly MisroutedCount[];
-  /** Time since it last received any heartbeat, -1: never. */
+  /** Time since it last received any heartbeat; -1 if it never has. */
   sinceHeartbeatMs: number;
 }
 
 /**
- * How well machines reach the controllers, as the leader sees it. An owner that only its machines cannot reach keeps its
- * session lease and its partitions, and the other controllers redirect its machines back to it: without a handover, the
+ * The leader's view of which controllers machines can reach. An owner that is unreachable only for its machines keeps its
+ * session lease and its partitions, and the other controllers redirect its machines back to it. Without a handover, the
  * leases of all its tasks would expire.
  */
 export class Reachability {
   private readonly statsByMember = new Map<string, HeartbeatStats & { at: number }>();
   private readonly avoidedSince = new Map<string, number>();
 
-  /** Takes a member's stats; a member that receives heartbeats again is no longer avoided after a while. */
+  /**
+   * Records a member's stats. After the minimum time, a member is no longer avoided if it receives heartbeats again; after
+   * the maximum time, in any case.
+   */
   recordStats(member: string, stats: HeartbeatStats, now: number): void {
     this.statsByMember.set(member, { ...stats, at: now });
     const since = this.avoidedSince.get(member);
@@ -39,14 +42,15 @@
     if (receivesHeartbeats || now - since > MAX_AVOIDANCE_MS) this.avoidedSince.delete(member);
   }
 
-  /** Whether machines have lately failed to reach this controller. */
+  /** Whether machines have recently failed to reach this controller. */
   isAvoided(member: string): boolean {
     return this.avoidedSince.has(member);
   }
 
   /**
-   * The member that should get a partition because its machines reach that member and not the owner; null: the owner keeps
-   * it. Machines that are gone come to no controller, so their silence changes nothing. The owner is avoided from then on.
+   * Returns the member that should take over a partition because its machines reach that member and not the owner; null if
+   * the owner keeps it. Machines that no longer exist send heartbeats to no controller, so their silence changes nothing. An
+   * owner that is replaced is avoided from then on.
    */
   selectReplacementOwner(
     owner: string,
@@ -59,7 +63,7 @@
     const booted = load.machines.filter((machine) => machine.sinceHeartbeatMs >= 0);
     const silent = booted.filter((machine) => machine.sinceHeartbeatMs > maxSilentMs).length;
     if (booted.length === 0 || silent < MIN_SILENT_RATIO * booted.length) return null;
-    // An owner that receives any heartbeat is not cut off but overloaded, and a handover would add to the load.
+    // An owner that receives any heartbeat is not unreachable but overloaded, and a handover would add to the load.
     const sinceAnyHeartbeatMs = this.statsByMember.get(owner)?.sinceHeartbeatMs ?? 0;
     if (sinceAnyHeartbeatMs < maxSilentMs) return null;
     const counts = this.misroutedCounts(load.partition, owner, members, now);
@@ -69,7 +73,7 @@
     return counts.sort((a, b) => b.machines - a.machines)[0]?.member ?? null;
   }
 
-  /** How many of a partition's machines came lately to each of the other members that may get it. */
+  /** How many of a partition's machines recently sent heartbeats to each of the other members that may take it over. */
   private misroutedCounts(
     partition: string,
     owner: string,
--- a/src/coordination/requests/api-responses.ts
+++ b/src/coordination/requests/api-responses.ts
@@ -1,4 +1,4 @@
-/** Responses to users, and what the plain routes and the Express routes have in common. */
+/** Responses to users, as shared by the plain routes and the Express routes. */
 import { type Log } from '../../transport/log';
 
 /** An HTTP response to a user. */
@@ -10,13 +10,13 @@
   retryAfterS?: number;
 }
 
-/** No job has this ref. */
+/** The response if no job has the requested ref. */
 export const JOB_NOT_FOUND: ApiResponse = { status: 404, body: { error: 'no such job' } };
 
-/** A request met a defect; it may be repeated. */
+/** The response to a request that failed because of a defect; the request may be repeated. */
 export const REQUEST_FAILED: ApiResponse = { status: 503, body: { error: 'failed' }, retryAfterS: 1 };
 
-/** A rejected submission is not repeated by its user, so the operators should find out why. */
+/** Logs a rejected submission. Its user does not repeat it, so the operators should find out why it was rejected. */
 export function logRejection(log: Log, { status, body }: ApiResponse): void {
   if (status === 400 || status === 422) log.info({ rejection: body }, 'job rejected');
 }
--- a/src/coordination/requests/express-app.ts
+++ b/src/coordination/requests/express-app.ts
@@ -10,23 +10,23 @@
 } from './heartbeat-gateway';
 import { type JobService } from './job-service';
 
-/** What the HTTP interface needs of a controller. */
+/** What the HTTP interface needs from a controller. */
 export interface ApiDependencies extends HeartbeatDependencies {
   jobService: JobService;
   ready: () => boolean;
   status: () => object;
 }
 
-/** The Express routes, for every request that is not plain (see plain-routes.ts): HTTP alone, without decisions. */
+/** Creates the Express routes, for every request that is not plain (see plain-routes.ts). They make no decisions. */
 export function createExpressApp(dependencies: ApiDependencies): express.Express {
   const { jobService, log } = dependencies;
   const app = express();
   app.disable('x-powered-by');
   app.set('etag', false);
   const json = express.json({ limit: MAX_BODY_BYTES, strict: false, type: () => true });
-  const respond = (res: Response, answer: ApiResponse): void => {
-    if (answer.retryAfterS !== undefined) res.setHeader('Retry-After', String(answer.retryAfterS));
-    res.status(answer.status).json(answer.body);
+  const respond = (res: Response, response: ApiResponse): void => {
+    if (response.retryAfterS !== undefined) res.setHeader('Retry-After', String(response.retryAfterS));
+    res.status(response.status).json(response.body);
   };
 
   app.post(API_PATHS.heartbeat, json, (req: Request, res: Response) => {
@@ -41,9 +41,9 @@
     respond(res, JOB_REF_PATTERN.test(ref) ? await jobService.cancel(ref) : JOB_NOT_FOUND);
   });
   app.post(API_PATHS.jobs, json, async (req: Request, res: Response) => {
-    const answer = await jobService.submit(req.body);
-    logRejection(log, answer);
-    respond(res, answer);
+    const response = await jobService.submit(req.body);
+    logRejection(log, response);
+    respond(res, response);
   });
   app.get(API_PATHS.ready, (_req: Request, res: Response) => {
     res.status(dependencies.ready() ? 200 : 503).json({});
@@ -54,7 +54,7 @@
   app.use((_req: Request, res: Response) => {
     res.status(404).json({ error: 'no such path' });
   });
-  // Express tells an error handler by its four arguments.
+  // Express recognizes an error handler by its four parameters.
   app.use((error: unknown, req: Request, res: Response, next: NextFunction) => {
     if (res.headersSent) return next(error);
     const status = (error as { status?: number }).status;
--- a/src/coordination/requests/heartbeat-gateway.ts
+++ b/src/coordination/requests/heartbeat-gateway.ts
@@ -9,19 +9,19 @@
   type Heartbeat,
 } from '../../protocol/workers';
 
-/** The reply to a heartbeat: of the machine's owner, a redirection to it, or a request to try again later (`busy`). */
+/** The reply to a heartbeat: the answer of the machine's owner, a redirect to the owner, or a request to retry (`busy`). */
 export type HeartbeatReply =
   | { kind: 'answer'; token: number; commands: Command[] }
   | { kind: 'redirect'; owner: string | null }
   | { kind: 'busy' };
 
 export interface HeartbeatDependencies {
-  /** Calls `reply` exactly once, at once or within a few seconds. */
+  /** Calls `reply` exactly once, immediately or within a few seconds. */
   receiveHeartbeat: (heartbeat: Heartbeat, reply: (reply: HeartbeatReply) => void) => void;
   log: Log;
 }
 
-/** The largest body of a request that is read. */
+/** The size of the largest request body that is read. */
 export const MAX_BODY_BYTES = 64 * 1024;
 export const MALFORMED_HEARTBEAT = { error: 'not a report' };
 
@@ -43,7 +43,7 @@
   });
 }
 
-/** The same for heartbeats that were read straight from the socket. */
+/** Creates the handler that responds to heartbeats read directly from the socket. */
 export function plainHeartbeatHandler(dependencies: HeartbeatDependencies): PlainHandler {
   return (text, answer) => {
     let body: unknown;
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -1,4 +1,4 @@
-/** What users ask of the cluster: submissions, cancellations and the status of jobs. */
+/** The service for users: submissions, cancellations and status queries of jobs. */
 import { type Clock } from '../../transport/clock';
 import { type Metrics } from '../../transport/metrics';
 import { type ReplicaView } from '../../storage/replica-view';
@@ -21,12 +21,16 @@
 import { infeasibleReason } from '../partition/placement';
 import { JOB_NOT_FOUND, type ApiResponse } from './api-responses';
 
-const unavailable = (error: string): ApiResponse => ({ status: 503, body: { error }, retryAfterS: 1 });
+const unavailableResponse = (error: string): ApiResponse => ({
+  status: 503,
+  body: { error },
+  retryAfterS: 1,
+});
 const DURABLE_WRITE_TIMEOUT_MS = 3000;
 const MAX_CANCEL_ATTEMPT_COUNT = 6;
-/** Status queries that wait for the state store beyond this many are shed: their users would have given up before the response. */
+/** If this many status queries wait for the state store, others are shed: their users would give up before the response. */
 const MAX_PENDING_QUERY_COUNT = 400;
-/** Submissions that wait for the state store beyond this many are shed: heartbeats and scheduling decisions come first. */
+/** If this many submissions wait for the state store, others are shed: heartbeats and scheduling decisions come first. */
 const MAX_PENDING_SUBMISSION_COUNT = 300;
 
 export interface JobServiceDependencies {
@@ -35,14 +39,14 @@
   batcher: SubmissionBatcher;
   clock: Clock;
   teams: ReadonlyMap<string, Team>;
-  /** Empty as long as no controller has heard of them from the cloud. */
+  /** By name; empty until a controller has received the machine types from the cloud. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
   metrics: Metrics;
 }
 
 /**
- * Responds to users on any controller, from the replica of the state store alone: the owner of a job's partition need not be
- * alive for it. A status that may still change is given only once the replica is no older than the query.
+ * Responds to users on any controller, from the replica of the state store alone, so the owner of a job's partition need not
+ * be alive. A status that may still change is returned only once the replica is no older than the query.
  */
 export class JobService {
   private pendingQueryCount = 0;
@@ -51,12 +55,12 @@
 
   constructor(private readonly deps: JobServiceDependencies) {}
 
-  /** Accepts a job durably, or says why not. Safe to repeat: a job is known by its ref. */
+  /** Accepts a job durably, or returns the reason why not. Safe to repeat, because a job is identified by its ref. */
   submit(body: unknown): Promise<ApiResponse> {
     return this.measure('submission', this.acceptSubmission(body));
   }
 
-  /** The state of a job as it is now, or an error if that cannot be told in time. */
+  /** Returns the current state of a job, or an error if it cannot be determined in time. */
   status(ref: string): Promise<ApiResponse> {
     return this.measure('question', this.answerStatusQuery(ref));
   }
@@ -66,9 +70,9 @@
     return this.measure('cancellation', this.cancelJob(ref));
   }
 
-  private async measure(operation: string, answer: Promise<ApiResponse>): Promise<ApiResponse> {
+  private async measure(operation: string, response: Promise<ApiResponse>): Promise<ApiResponse> {
     const startedAt = this.deps.clock.steady();
-    const result = await answer;
+    const result = await response;
     this.deps.metrics.record(operation, this.deps.clock.steady() - startedAt);
     return result;
   }
@@ -77,18 +81,20 @@
     const submission = parseSubmission(body);
     if (!submission.ok) return { status: 400, body: { error: submission.reason } };
     const { spec } = submission;
-    // A job that was accepted once stays accepted, whatever teams and machine types there are by now.
+    // A job that was accepted once stays accepted, whatever teams and machine types exist now.
     if (this.deps.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
     const team = this.deps.teams.get(spec.team);
-    const catalog = [...this.deps.machineTypes().values()];
-    if (team && catalog.length === 0) return this.answerUnavailable('machine types not known yet');
+    const machineTypes = [...this.deps.machineTypes().values()];
+    if (team && machineTypes.length === 0) return this.answerUnavailable('machine types not known yet');
     const job = { spec, acceptedAt: this.deps.clock.wallClock().toISOString() };
-    const impossibleReason = team ? infeasibleReason(spec, catalog, team.limit) : `unknown team ${spec.team}`;
+    const rejectionReason = team
+      ? infeasibleReason(spec, machineTypes, team.limit)
+      : `unknown team ${spec.team}`;
     const tooLarge = !this.deps.batcher.fitsInValue(job);
-    if (impossibleReason !== null || tooLarge || spec.pipeline) {
+    if (rejectionReason !== null || tooLarge || spec.pipeline) {
       if (!(await this.deps.stateStore.ensureFresh())) return this.answerUnavailable('no answer yet');
       if (this.deps.replica.jobs.has(spec.ref)) return this.answerKnownJob(spec.ref);
-      const reason = impossibleReason ?? pipelineLinkError(spec, this.deps.replica);
+      const reason = rejectionReason ?? pipelineLinkError(spec, this.deps.replica);
       if (reason !== null) return { status: 422, body: { error: reason } };
       if (tooLarge) return { status: 400, body: { error: 'the description is too large to be kept' } };
     }
@@ -104,13 +110,13 @@
   }
 
   private async answerKnownJob(ref: string): Promise<ApiResponse> {
-    const answer = await this.answerStatusQuery(ref);
-    return answer.status === 404 ? unavailable('no answer yet') : answer;
+    const response = await this.answerStatusQuery(ref);
+    return response.status === 404 ? unavailableResponse('no answer yet') : response;
   }
 
   private answerUnavailable(error: string): ApiResponse {
     this.counters.unavailable++;
-    return unavailable(error);
+    return unavailableResponse(error);
   }
 
   private async answerStatusQuery(ref: string): Promise<ApiResponse> {
@@ -142,30 +148,37 @@
       );
       if (result.kind === 'applied') {
         this.counters.cancelled++;
-        // Before the user hears of it: from now on an extension of ours must tell it, and our own partitions must know.
+        // Recorded before the user gets the response: from now on, lease extensions granted by this controller must include
+        // the cancellation, and the partitions that it owns must know of it.
         this.deps.replica.recordCancellation(ref, result.revision);
         return { status: 200, body: { ref, status: 'aborted' } };
       }
-      // Some job of the partition ended between reading and writing: look again.
+      // After a conflict, the loop reads again: some job of the partition ended between the read and the write.
       if (result.kind !== 'conflict') break;
     }
     return this.answerUnavailable('no durable answer in time');
   }
 
-  /** What must hold for a job to be cancelled: nobody did so yet, and nobody wrote down that it has ended. */
+  /**
+   * The conditions for cancelling a job: it has not been cancelled yet, and no terminal state has been written for it. Null
+   * if the partition of its team is unknown.
+   */
   private openJobConditions(job: StoredJob): Condition[] | null {
     const partition = this.deps.replica.partitionOfTeam(job.spec.team)?.id;
     if (partition === undefined) return null;
-    const last = this.deps.replica.lastTerminalStatesIndex(partition);
-    const current = keys.terminalStates(partition, last);
+    const lastIndex = this.deps.replica.lastTerminalStatesIndex(partition);
+    const currentKey = keys.terminalStates(partition, lastIndex);
     return [
       { key: keys.cancel(job.spec.ref), revision: 0 },
-      { key: current, revision: this.deps.stateStore.revisionOf(current) },
-      { key: keys.terminalStates(partition, last + 1), revision: 0 },
+      { key: currentKey, revision: this.deps.stateStore.revisionOf(currentKey) },
+      { key: keys.terminalStates(partition, lastIndex + 1), revision: 0 },
     ];
   }
 
-  /** A final state never changes, so the replica's word is enough; anything else must be as it is now. */
+  /**
+   * Returns a job, `absent` if there is none, or null if that cannot be determined in time. A terminal state never changes,
+   * so the replica as it is suffices for it; any other state must be current.
+   */
   private async findJob(ref: string): Promise<StoredJob | 'absent' | null> {
     const known = this.deps.replica.jobs.get(ref);
     if (known && isTerminal(known)) return known;
@@ -177,32 +190,35 @@
     const progress = this.deps.replica.progressOf(spec.ref);
     const running = state === 'open' ? (progress?.runningCount ?? 0) : 0;
     const done = state === 'done' ? spec.tasks : (progress?.doneCount ?? 0);
-    const open: JobStatus = running > 0 ? 'running' : 'queued';
-    // A job that failed for its pipeline's sake is over for us but not for its user, who alone may cancel it.
-    const status = state === 'done' || state === 'cancelled' ? state : open;
-    return jobStatusBody(spec.ref, status, done, running, this.pipelineStanding(spec));
+    const openStatus: JobStatus = running > 0 ? 'running' : 'queued';
+    // A job that failed because of its pipeline is over for the scheduler but not for its user, who alone may cancel it.
+    const status = state === 'done' || state === 'cancelled' ? state : openStatus;
+    return jobStatusBody(spec.ref, status, done, running, this.pipelineStatus(spec));
   }
 
-  private pipelineStanding({ ref, pipeline }: JobSpec): ({ ref: string } & PipelineJobStatus) | undefined {
+  private pipelineStatus({ ref, pipeline }: JobSpec): ({ ref: string } & PipelineJobStatus) | undefined {
     if (!pipeline) return undefined;
-    const members = (this.deps.replica.pipelines.get(pipeline.ref) ?? []).map((j) => ({
-      ...j,
-      order: j.revision,
+    const members = (this.deps.replica.pipelines.get(pipeline.ref) ?? []).map((job) => ({
+      ...job,
+      order: job.revision,
     }));
-    const standing = evaluatePipeline(members, new Set()).standing.get(ref);
-    return standing && { ref: pipeline.ref, ...standing };
+    const status = evaluatePipeline(members, new Set()).standing.get(ref);
+    return status && { ref: pipeline.ref, ...status };
   }
 }
 
-/** Whether the state of a job never changes any more. */
+/** Whether the state of a job can no longer change. */
 function isTerminal({ state }: StoredJob): boolean {
   return state === 'done' || state === 'cancelled';
 }
 
-/** Why a job cannot hang together with the jobs that it names, or null. They are known already, so no cycle is. */
+/**
+ * Returns why a job cannot be linked to the jobs that it names; null if it can. Those jobs must be known already, so links
+ * never form a cycle.
+ */
 function pipelineLinkError({ ref, team, pipeline }: JobSpec, replica: ReplicaView): string | null {
-  const named = pipeline ? [...pipeline.after.map((e) => e.job), pipeline.alternateFor] : [];
-  for (const job of named) {
+  const linkedJobs = pipeline ? [...pipeline.after.map((e) => e.job), pipeline.alternateFor] : [];
+  for (const job of linkedJobs) {
     if (job === null) continue;
     if (job === ref) return `pipeline: ${ref} hangs on itself`;
     const other = replica.jobs.get(job)?.spec;
--- a/src/coordination/requests/plain-routes.ts
+++ b/src/coordination/requests/plain-routes.ts
@@ -8,8 +8,8 @@
 const JOB_PATH_PATTERN = /^\/v2\/runs\/(job-[0-9]{1,18})(\/cancel)?$/;
 
 /**
- * The frequent requests, in their plain form. Each is answered exactly as the Express routes answer it; a request in any other
- * form (another path, a query, an unusual job ref) is left to those.
+ * Creates the routes of the frequent requests in their plain form. Each is answered exactly as the Express routes answer it.
+ * A request in any other form (another path, a query, an unusual job ref) is left to the Express routes.
  */
 export function plainRoutes(dependencies: ApiDependencies): (request: PlainRequest) => PlainRoute | null {
   const { jobService, log } = dependencies;
@@ -19,9 +19,9 @@
   });
   const heartbeats: PlainRoute = { kind: 'queued', handle: plainHeartbeatHandler(dependencies) };
   const submissions = directRoute(async (body) => {
-    const answer = await jobService.submit(JSON.parse(body) as unknown);
-    logRejection(log, answer);
-    return answer;
+    const response = await jobService.submit(JSON.parse(body) as unknown);
+    logRejection(log, response);
+    return response;
   });
   const readiness: PlainRoute = {
     kind: 'direct',
@@ -31,10 +31,13 @@
     if (method === 'POST' && path === API_PATHS.heartbeat) return contentLength > 0 ? heartbeats : null;
     if (method === 'POST' && path === API_PATHS.jobs) return contentLength > 0 ? submissions : null;
     if (method === 'GET' && path === API_PATHS.ready) return contentLength === 0 ? readiness : null;
-    const [, ref, cancels] = JOB_PATH_PATTERN.exec(path) ?? [];
+    const [, ref, cancelSuffix] = JOB_PATH_PATTERN.exec(path) ?? [];
     if (ref === undefined) return null;
-    if (method === 'POST') return cancels === undefined ? null : directRoute(() => jobService.cancel(ref));
-    return cancels === undefined && contentLength === 0 ? directRoute(() => jobService.status(ref)) : null;
+    if (method === 'POST')
+      return cancelSuffix === undefined ? null : directRoute(() => jobService.cancel(ref));
+    return cancelSuffix === undefined && contentLength === 0
+      ? directRoute(() => jobService.status(ref))
+      : null;
   };
 }
 
--- a/test/membership/lease-extension.test.ts
+++ b/test/membership/lease-extension.test.ts
@@ -2,31 +2,47 @@
 import { test } from 'node:test';
 import { LEASE_EXTENSION_MS, LeaseExtensions } from '../../src/coordination/membership/lease-extension';
 
-test('lease extensions', async (t) => {
+test('lease extensions are granted during a store outage, block takeovers, and are valid only from all peers', async (t) => {
   const extendedAt = 10_000;
   const extensions = new LeaseExtensions(['b', 'c'], 0);
   const cases: [string, () => unknown, unknown][] = [
-    ['no extension while the store answers', () => extensions.grant('b', true, true, extendedAt), false],
     [
-      'none to a member whose session lease has ended for us',
+      'none is granted while the store is reachable',
+      () => extensions.grant('b', true, true, extendedAt),
+      false,
+    ],
+    [
+      'none is granted to a member whose session lease is known to have ended',
       () => extensions.grant('b', false, false, extendedAt),
       false,
     ],
-    ['else it is given', () => extensions.grant('b', true, false, extendedAt), true],
-    ['and kept', () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS), false],
     [
-      'until it has run out',
+      'one is granted to a live member while the store is unreachable',
+      () => extensions.grant('b', true, false, extendedAt),
+      true,
+    ],
+    [
+      'a takeover is not permitted before the extension has expired',
+      () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS),
+      false,
+    ],
+    [
+      'a takeover is permitted once the extension has expired',
       () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS + 10),
       true,
     ],
-    ['others are not covered', () => extensions.permitsTakeover('c', extendedAt), true],
     [
-      'a process that has just started sits out what it may have extended before',
+      'a takeover is permitted from a member without an extension',
+      () => extensions.permitsTakeover('c', extendedAt),
+      true,
+    ],
+    [
+      'a process that has just started permits no takeover while an earlier extension may be valid',
       () => new LeaseExtensions(['b'], 50_000).permitsTakeover('b', 50_000 + LEASE_EXTENSION_MS),
       false,
     ],
     [
-      "one peer's extension is not enough",
+      'an extension from one of two peers is not sufficient',
       () => {
         extensions.recordResponse('b', extensions.recordRequest(20_000), true);
         return extensions.extendedByAllPeers(20_001);
@@ -34,22 +50,22 @@
       false,
     ],
     [
-      'all of them are, counted from the asking',
+      'extensions from all peers are sufficient, and their duration counts from the request',
       () => {
-        const seq = extensions.recordRequest(20_000);
-        extensions.recordResponse('b', seq, true);
-        extensions.recordResponse('c', seq, true);
+        const sequence = extensions.recordRequest(20_000);
+        extensions.recordResponse('b', sequence, true);
+        extensions.recordResponse('c', sequence, true);
         return [extensions.extendedByAllPeers(22_600), extensions.extendedByAllPeers(22_800)];
       },
       [true, false],
     ],
     [
-      'an answer to a question long forgotten counts nothing',
+      'a response to a request that is no longer stored is ignored',
       () => {
-        const old = extensions.recordRequest(30_000);
+        const oldSequence = extensions.recordRequest(30_000);
         for (let i = 0; i < 20; i++) extensions.recordRequest(31_000);
-        extensions.recordResponse('b', old, true);
-        extensions.recordResponse('c', old, true);
+        extensions.recordResponse('b', oldSequence, true);
+        extensions.recordResponse('c', oldSequence, true);
         return extensions.extendedByAllPeers(30_001);
       },
       false,
@@ -58,20 +74,24 @@
   for (const [name, act, expected] of cases) await t.test(name, () => assert.deepEqual(act(), expected));
 });
 
-test('an extension counts with all that its giver knows to be cancelled', async (t) => {
-  type Answer = [peer: string, askedAt: number, page: number, pages: number];
-  const cases: [string, Answer[], number][] = [
+test('an extension is valid only with all cancellations that its granter knows', async (t) => {
+  type Response = [peer: string, requestedAt: number, page: number, pages: number];
+  const cases: [string, Response[], number][] = [
     [
-      'known is what the last of the peers said',
+      'cancellations are known up to the earliest of the latest responses of all peers',
       [
         ['b', 1000, 0, 1],
         ['c', 1500, 0, 1],
       ],
       1000,
     ],
-    ['a peer that said nothing leaves nothing known', [['b', 1000, 0, 1]], Number.NEGATIVE_INFINITY],
     [
-      'a page that is missing is no extension',
+      'without a response from every peer, no cancellations count as known',
+      [['b', 1000, 0, 1]],
+      Number.NEGATIVE_INFINITY,
+    ],
+    [
+      'a response with a missing page is not valid',
       [
         ['b', 1000, 0, 2],
         ['c', 1000, 0, 1],
@@ -79,7 +99,7 @@
       Number.NEGATIVE_INFINITY,
     ],
     [
-      'all pages are, in any order',
+      'a response with all pages is valid, in whatever order they arrive',
       [
         ['b', 1000, 1, 2],
         ['c', 1000, 0, 1],
@@ -88,7 +108,7 @@
       1000,
     ],
     [
-      'a page that comes twice is one',
+      'a page that arrives twice counts once',
       [
         ['b', 1000, 0, 2],
         ['b', 1000, 0, 2],
@@ -97,7 +117,7 @@
       -Infinity,
     ],
     [
-      'pages of two answers do not make one',
+      'pages of two responses do not make one valid response',
       [
         ['b', 1000, 0, 2],
         ['b', 1500, 1, 2],
@@ -106,7 +126,7 @@
       -Infinity,
     ],
     [
-      'a page out of range counts nothing',
+      'a page out of range is ignored',
       [
         ['b', 1000, 3, 2],
         ['c', 1000, 0, 1],
@@ -114,7 +134,7 @@
       -Infinity,
     ],
     [
-      'an old answer that comes late takes nothing back',
+      'a late response to an earlier request changes nothing',
       [
         ['b', 1500, 0, 1],
         ['c', 1500, 0, 1],
@@ -123,17 +143,17 @@
       1500,
     ],
   ];
-  for (const [name, answers, expected] of cases) {
+  for (const [name, responses, expected] of cases) {
     await t.test(name, () => {
       const extensions = new LeaseExtensions(['b', 'c'], 0);
-      const seqs = new Map([1000, 1500].map((at) => [at, extensions.recordRequest(at)]));
-      for (const [peer, at, page, pages] of answers)
-        extensions.recordResponse(peer, seqs.get(at) ?? 0, true, page, pages);
+      const sequences = new Map([1000, 1500].map((at) => [at, extensions.recordRequest(at)]));
+      for (const [peer, at, page, pages] of responses)
+        extensions.recordResponse(peer, sequences.get(at) ?? 0, true, page, pages);
       assert.equal(extensions.freshAsOf, expected);
       assert.equal(extensions.extendedByAllPeers(2000), expected > 0);
     });
   }
-  await t.test('an answer to what was never asked', () => {
+  await t.test('a response to a request that was never sent is ignored', () => {
     const extensions = new LeaseExtensions(['b'], 0);
     extensions.recordResponse('b', extensions.recordRequest(1000) + 1, true);
     assert.equal(extensions.extendedByAllPeers(1001), false);
--- a/test/membership/staleness-bound.test.ts
+++ b/test/membership/staleness-bound.test.ts
@@ -3,21 +3,21 @@
 import { MAX_CLOCK_DRIFT_RATIO } from '../../src/transport/clock';
 import { refreshIntervalMs, maxStalenessMs } from '../../src/coordination/membership/staleness-bound';
 
-test('how long an owner may not know what was cancelled follows the settings', async (t) => {
+test('the staleness bound lets tasks stop within the cancellation time of the settings', async (t) => {
   for (const [leaseMs, cancelMs] of [
     [12_000, 37_000],
     [19_000, 49_000],
     [15_250, 40_250],
     [60_000, 70_000],
   ] as const) {
-    await t.test(`lease ${leaseMs}, cancellation ${cancelMs}`, () => {
+    await t.test(`lease ${leaseMs} ms, cancellation ${cancelMs} ms`, () => {
       const staleMs = maxStalenessMs(leaseMs, cancelMs);
       assert.ok(staleMs > 0 && refreshIntervalMs(staleMs) < staleMs / 4);
-      // Our clock and the worker's may both run slow against the user's.
+      // The owner's clock and the worker's may both run slow compared with the user's.
       assert.ok((staleMs + leaseMs) * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) + 1000 < cancelMs);
     });
   }
-  await t.test('settings that leave no time allow a moment', () =>
+  await t.test('settings that leave no time give the minimum bound of 1 s', () =>
     assert.equal(maxStalenessMs(30_000, 20_000), 1000),
   );
 });
--- a/test/requests/job-service.test.ts
+++ b/test/requests/job-service.test.ts
@@ -4,22 +4,22 @@
 import { VirtualTime } from '../standin/clock';
 import { jobServiceOver, ONE_ZONE_TYPE, SILENT_LOG, SUBMISSION } from '../support/api-fixture';
 
-test('submissions and questions beyond what can wait for the store are shed at once', async () => {
-  const never = { call: () => new Promise<never>(() => undefined) };
+test('submissions and status queries beyond the limit of those that wait for the store are shed at once', async () => {
+  const unansweredTransport = { call: () => new Promise<never>(() => undefined) };
   const clock = new VirtualTime().clock(() => true);
   const stateStore = new StateStoreClient(
-    { transport: never, watchTransport: never, clock, log: SILENT_LOG },
+    { transport: unansweredTransport, watchTransport: unansweredTransport, clock, log: SILENT_LOG },
     { requestRate: 1e6, writeRate: 1e6, controllers: 1 },
   );
   const jobService = jobServiceOver(stateStore, clock, () => [ONE_ZONE_TYPE]);
   for (let n = 0; n < 300; n++) void jobService.submit({ ...SUBMISSION, ref: `job-${n}` });
-  const answer = await jobService.submit({ ...SUBMISSION, ref: 'job-1000' });
-  assert.equal(answer.status, 429);
-  assert.ok((answer.retryAfterS ?? 0) >= 1);
-  // Users ask many times as often on some days; what waits too long is answered after they have given up.
+  const submitted = await jobService.submit({ ...SUBMISSION, ref: 'job-1000' });
+  assert.equal(submitted.status, 429);
+  assert.ok((submitted.retryAfterS ?? 0) >= 1);
+  // On some days users send many times as many queries; those that wait too long are answered after the user gave up.
   for (let n = 0; n < 400; n++) void jobService.status(`job-${n}`);
-  const asked = await jobService.status('job-1000');
-  assert.equal(asked.status, 429);
-  assert.ok((asked.retryAfterS ?? 0) >= 1);
+  const queried = await jobService.status('job-1000');
+  assert.equal(queried.status, 429);
+  assert.ok((queried.retryAfterS ?? 0) >= 1);
   assert.equal(jobService.counters.shed, 2);
 });
--- a/test/requests/plain-routes.test.ts
+++ b/test/requests/plain-routes.test.ts
@@ -12,12 +12,12 @@
   commands: [{ op: 'start', ref: 'job-1', index: 2, attempt: 3 }],
 };
 
-// A faster answer must not be another one: whatever is asked, the plain routes and express say the same.
-test('plain routes answer as the general gateway does', async () => {
+// Guards against plain routes that are faster but send other responses than the Express routes to the same request.
+test('plain routes send the same responses as the Express routes', async () => {
   const generalPort = await api.serveGeneral();
   const known = { ...SUBMISSION, ref: 'job-777' };
   assert.equal((await api.ask('POST', '/v2/runs', JSON.stringify(known))).status, 201);
-  // From now on nothing that is asked changes anything.
+  // After this cancellation, no request changes any state.
   assert.equal((await api.ask('POST', '/v2/runs/job-777/cancel')).status, 200);
   const field = fc.constantFrom(...Object.keys(SUBMISSION));
   const changed = fc
@@ -26,9 +26,16 @@
   const reordered = fc
     .shuffledSubarray(Object.entries(known), { minLength: Object.keys(known).length })
     .map((entries) => JSON.stringify(Object.fromEntries(entries)));
-  const doubled = field.map((name) => `{"${name}":null,${JSON.stringify(known).slice(1)}`);
-  const cut = fc.nat(JSON.stringify(known).length).map((n) => JSON.stringify(known).slice(0, n));
-  const body = fc.oneof(changed, reordered, doubled, cut, fc.json(), fc.constantFrom('', '\ufeff{}', ' {} '));
+  const duplicated = field.map((name) => `{"${name}":null,${JSON.stringify(known).slice(1)}`);
+  const truncated = fc.nat(JSON.stringify(known).length).map((n) => JSON.stringify(known).slice(0, n));
+  const body = fc.oneof(
+    changed,
+    reordered,
+    duplicated,
+    truncated,
+    fc.json(),
+    fc.constantFrom('', '\ufeff{}', ' {} '),
+  );
   const paths = [
     '/v2/runs',
     '/v2/runs/job-777',
@@ -36,19 +43,19 @@
     '/v2/runs/job-777/cancel/',
     '/v2/runs/x',
   ];
-  const odd = [
+  const unusualPaths = [
     '/v2/runs/',
     '/V2/runs/job-777',
     '/v2/runs/job%2d777',
     '/v2/runs/job-777?a=b',
     '/v2/runs/job-888/cancel',
   ];
-  const path = fc.constantFrom(...paths, ...odd, '/ready', '/hello', '/hello/', '/nothing');
+  const path = fc.constantFrom(...paths, ...unusualPaths, '/ready', '/hello', '/hello/', '/nothing');
   await fc.assert(
-    fc.asyncProperty(fc.constantFrom('GET', 'POST'), path, body, async (method, to, text) => {
+    fc.asyncProperty(fc.constantFrom('GET', 'POST'), path, body, async (method, target, text) => {
       const content = method === 'POST' ? text : undefined;
-      const plain = await api.ask(method, to, content);
-      assert.deepEqual(plain, await api.ask(method, to, content, generalPort));
+      const plain = await api.ask(method, target, content);
+      assert.deepEqual(plain, await api.ask(method, target, content, generalPort));
     }),
     { numRuns: 150 },
   );
