--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -28,7 +28,7 @@
 const STATUS_INTERVAL_MS = 500;
 /** The histogram library is loaded this long after startup, during which processor time is scarce. */
 const METRICS_LOAD_DELAY_MS = 20_000;
-/** The state store holds a watch for the staleness bound divided by this, so that it responds before the replica is too old. */
+/** The state store holds a watch for the staleness bound divided by this, and so responds before the replica is too old. */
 const WATCHES_PER_STALENESS_BOUND = 4;
 
 /** The external dependencies of a controller: its connections, the name of its process, and its load balancing. */
--- a/src/coordination/membership/staleness-bound.ts
+++ b/src/coordination/membership/staleness-bound.ts
@@ -1,7 +1,7 @@
 /** The bound on how stale an owner's knowledge of cancellations may be. */
 import { MAX_CLOCK_DRIFT_RATIO } from '../../transport/clock';
 
-/** Time from when an owner knows of a cancellation until the task has stopped, beyond the lease: late timers and messages. */
+/** Time, beyond the lease, from when an owner knows of a cancellation until its task has stopped: late timers, messages. */
 const TASK_STOP_MS = 1500;
 /** If the settings leave no time at all, workers are still answered while known cancellations are less than this old. */
 const MIN_STALENESS_MS = 1000;
--- a/test/membership/lease-extension.test.ts
+++ b/test/membership/lease-extension.test.ts
@@ -3,37 +3,37 @@
 import { LEASE_EXTENSION_MS, LeaseExtensions } from '../../src/coordination/membership/lease-extension';
 
 test('lease extensions are granted during a store outage, block takeovers, and are valid only from all peers', async (t) => {
-  const extendedAt = 10_000;
+  const grantedAt = 10_000;
   const extensions = new LeaseExtensions(['b', 'c'], 0);
   const cases: [string, () => unknown, unknown][] = [
     [
       'none is granted while the store is reachable',
-      () => extensions.grant('b', true, true, extendedAt),
+      () => extensions.grant('b', true, true, grantedAt),
       false,
     ],
     [
       'none is granted to a member whose session lease is known to have ended',
-      () => extensions.grant('b', false, false, extendedAt),
+      () => extensions.grant('b', false, false, grantedAt),
       false,
     ],
     [
       'one is granted to a live member while the store is unreachable',
-      () => extensions.grant('b', true, false, extendedAt),
+      () => extensions.grant('b', true, false, grantedAt),
       true,
     ],
     [
       'a takeover is not permitted before the extension has expired',
-      () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS),
+      () => extensions.permitsTakeover('b', grantedAt + LEASE_EXTENSION_MS),
       false,
     ],
     [
       'a takeover is permitted once the extension has expired',
-      () => extensions.permitsTakeover('b', extendedAt + LEASE_EXTENSION_MS + 10),
+      () => extensions.permitsTakeover('b', grantedAt + LEASE_EXTENSION_MS + 10),
       true,
     ],
     [
       'a takeover is permitted from a member without an extension',
-      () => extensions.permitsTakeover('c', extendedAt),
+      () => extensions.permitsTakeover('c', grantedAt),
       true,
     ],
     [
--- a/test/membership/reachability.test.ts
+++ b/test/membership/reachability.test.ts
@@ -7,36 +7,46 @@
 
 test('an owner that its machines cannot reach is replaced and avoided', async (t) => {
   const HEARTBEAT_INTERVAL_MS = 2000;
-  const silent = (n: number, ms: number): MachineLoad[] =>
-    Array.from({ length: n }, (_, i) => machineLoad(`i-${i}`, { sinceHeartbeatMs: ms }));
+  const machineLoads = (count: number, ageMs: number): MachineLoad[] =>
+    Array.from({ length: count }, (_, i) => machineLoad(`i-${i}`, { sinceHeartbeatMs: ageMs }));
   // Machines of the owner `a`, number of its machines misrouted to each member, and expected new owner.
   const cases: [string, MachineLoad[], Record<string, number>, string | null][] = [
     [
       'an owner that receives heartbeats from its machines keeps the partition',
-      silent(8, 1000),
+      machineLoads(8, 1000),
       { b: 8 },
       null,
     ],
     [
       'an owner that receives none is replaced by the member that most of its machines reach',
-      silent(8, 6000),
+      machineLoads(8, 6000),
       { b: 4, c: 1 },
       'b',
     ],
     // Machines that no longer exist send heartbeats to no controller: a handover would only cost a takeover.
-    ['an owner whose silent machines reach no other member keeps the partition', silent(8, 6000), {}, null],
-    ['an owner with a single misrouted machine keeps the partition', silent(8, 6000), { b: 1 }, null],
+    [
+      'an owner whose silent machines reach no other member keeps the partition',
+      machineLoads(8, 6000),
+      {},
+      null,
+    ],
+    ['an owner with a single misrouted machine keeps the partition', machineLoads(8, 6000), { b: 1 }, null],
     [
       'an owner with only half of its machines silent, as in a zone outage, keeps the partition',
-      [...silent(4, 6000), ...silent(4, 500)],
+      [...machineLoads(4, 6000), ...machineLoads(4, 500)],
       { b: 4 },
       null,
     ],
-    ['an owner whose machines are all still booting keeps the partition', silent(8, -1), { b: 8 }, null],
+    [
+      'an owner whose machines are all still booting keeps the partition',
+      machineLoads(8, -1),
+      { b: 8 },
+      null,
+    ],
     // Owners overloaded after a takeover received heartbeats too late; partitions were handed over repeatedly for minutes.
     [
       'an owner that receives some heartbeats late is overloaded and keeps the partition',
-      silent(8, 6000),
+      machineLoads(8, 6000),
       { a: 0, b: 8 },
       null,
     ],
@@ -80,7 +90,7 @@
       reachability.recordStats('b', stats(8), 0);
       reachability.selectReplacementOwner(
         'a',
-        partitionLoad('p0', [], silent(8, 6000)),
+        partitionLoad('p0', [], machineLoads(8, 6000)),
         HEARTBEAT_INTERVAL_MS,
         ['a', 'b'],
         100,
--- a/test/requests/plain-routes.test.ts
+++ b/test/requests/plain-routes.test.ts
@@ -15,19 +15,21 @@
 // Guards against plain routes that are faster but send other responses than the Express routes to the same request.
 test('plain routes send the same responses as the Express routes', async () => {
   const generalPort = await api.serveGeneral();
-  const known = { ...SUBMISSION, ref: 'job-777' };
-  assert.equal((await api.ask('POST', '/v2/runs', JSON.stringify(known))).status, 201);
+  const knownSubmission = { ...SUBMISSION, ref: 'job-777' };
+  assert.equal((await api.ask('POST', '/v2/runs', JSON.stringify(knownSubmission))).status, 201);
   // After this cancellation, no request changes any state.
   assert.equal((await api.ask('POST', '/v2/runs/job-777/cancel')).status, 200);
   const field = fc.constantFrom(...Object.keys(SUBMISSION));
   const changed = fc
     .tuple(field, fc.oneof(fc.jsonValue(), fc.constantFrom(1e300, -1, 2 ** 63, 'x'.repeat(300))))
-    .map(([name, value]) => JSON.stringify({ ...known, [name]: value }));
+    .map(([name, value]) => JSON.stringify({ ...knownSubmission, [name]: value }));
   const reordered = fc
-    .shuffledSubarray(Object.entries(known), { minLength: Object.keys(known).length })
+    .shuffledSubarray(Object.entries(knownSubmission), { minLength: Object.keys(knownSubmission).length })
     .map((entries) => JSON.stringify(Object.fromEntries(entries)));
-  const duplicated = field.map((name) => `{"${name}":null,${JSON.stringify(known).slice(1)}`);
-  const truncated = fc.nat(JSON.stringify(known).length).map((n) => JSON.stringify(known).slice(0, n));
+  const duplicated = field.map((name) => `{"${name}":null,${JSON.stringify(knownSubmission).slice(1)}`);
+  const truncated = fc
+    .nat(JSON.stringify(knownSubmission).length)
+    .map((n) => JSON.stringify(knownSubmission).slice(0, n));
   const body = fc.oneof(
     changed,
     reordered,
