--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -202,7 +202,7 @@
       ...job,
       order: job.revision,
     }));
-    const status = evaluatePipeline(members, new Set()).standing.get(ref);
+    const status = evaluatePipeline(members, new Set()).statusByJob.get(ref);
     return status && { ref: pipeline.ref, ...status };
   }
 }
