--- a/test/membership/reachability.test.ts
+++ b/test/membership/reachability.test.ts
@@ -9,8 +9,9 @@
   const HEARTBEAT_INTERVAL_MS = 2000;
   const machineLoads = (count: number, ageMs: number): MachineLoad[] =>
     Array.from({ length: count }, (_, i) => machineLoad(`i-${i}`, { sinceHeartbeatMs: ageMs }));
+  type MisroutedByMember = Record<string, number>;
   // Machines of the owner `a`, number of its machines misrouted to each member, and expected new owner.
-  const cases: [string, MachineLoad[], Record<string, number>, string | null][] = [
+  const cases: [string, MachineLoad[], MisroutedByMember, string | null][] = [
     [
       'an owner that receives heartbeats from its machines keeps the partition',
       machineLoads(8, 1000),
