--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -1,4 +1,9 @@
-import { evenAllowance, evenLevel, fetchSeconds, type MachineFill } from '@heathbridge/load-balancer';
+import {
+  evenCpuAllowance,
+  evenUtilization,
+  fetchSeconds,
+  type MachineCpuUsage,
+} from '@heathbridge/load-balancer';
 import { type MachineType } from '../../protocol/cloud';
 import { type JobSpec } from '../../protocol/jobs';
 import { type MachineState } from '../partition/machine';
@@ -8,7 +13,7 @@
 
 /** Spreads new tasks so that all machines of a partition are filled to the same share of their CPUs. */
 export class EvenSpreader implements PlacementSpreader {
-  private targetCpuRatio = 1;
+  private targetUtilization = 1;
 
   constructor(
     private readonly core: PartitionCore,
@@ -16,23 +21,23 @@
   ) {}
 
   updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void {
-    const fills: MachineFill[] = [];
+    const fills: MachineCpuUsage[] = [];
     for (const machine of machines) {
       const cpus = this.typeOf(machine)?.cpus ?? 0;
-      fills.push({ cpus, used: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
+      fills.push({ cpus, usedCpus: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
     }
-    this.targetCpuRatio = evenLevel(fills, pendingCpus);
+    this.targetUtilization = evenUtilization(fills, pendingCpus);
   }
 
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
     const type = this.typeOf(machine);
     if (!type) return 0;
-    const withoutImage = { fetching: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
+    const withoutImage = { activeFetchCount: 0, fetchGbPerS: type.fetchGbPerS, hasImage: () => false };
     const savedFetchS = machine.images.has(spec.image) ? fetchSeconds(spec, withoutImage) : 0;
     const expectedS = this.core.estimates.expectedSeconds(spec);
-    return evenAllowance(
+    return evenCpuAllowance(
       { capacity: type, free },
-      this.targetCpuRatio,
+      this.targetUtilization,
       savedFetchS,
       expectedS,
       this.localityWeight,
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -142,7 +142,7 @@
       if (!conditions) break;
       const result = await this.deps.stateStore.transact(
         conditions,
-        [{ put: keys.cancel(ref), value: 1 }],
+        [{ put: keys.cancellation(ref), value: 1 }],
         RequestPriority.Decision,
         DURABLE_WRITE_TIMEOUT_MS,
       );
@@ -169,7 +169,7 @@
     const lastIndex = this.deps.replica.lastTerminalStatesIndex(partition);
     const currentKey = keys.terminalStates(partition, lastIndex);
     return [
-      { key: keys.cancel(job.spec.ref), revision: 0 },
+      { key: keys.cancellation(job.spec.ref), revision: 0 },
       { key: currentKey, revision: this.deps.stateStore.revisionOf(currentKey) },
       { key: keys.terminalStates(partition, lastIndex + 1), revision: 0 },
     ];
