--- a/src/coordination/balancing/core-snapshot.ts
+++ b/src/coordination/balancing/core-snapshot.ts
@@ -53,12 +53,12 @@
     const guaranteed = jobsWithinGuarantee(jobs, core.quota.teams);
     const pending: PendingTasks[] = [];
     for (const job of jobs) {
-      const tasks = this.startableTaskCount(job);
+      const taskCount = this.startableTaskCount(job);
       const pendingMs = now - job.firstSeenAt;
-      if (tasks === 0 || pendingMs < MIN_PENDING_HEARTBEAT_INTERVALS * core.heartbeatIntervalMs) continue;
+      if (taskCount === 0 || pendingMs < MIN_PENDING_HEARTBEAT_INTERVALS * core.heartbeatIntervalMs) continue;
       pending.push({
         spec: this.jobSnapshot(job.spec),
-        taskCount: tasks,
+        taskCount,
         pendingS: pendingMs / 1000,
         withinGuarantee: guaranteed.has(job),
       });
--- a/src/coordination/membership/staleness-bound.ts
+++ b/src/coordination/membership/staleness-bound.ts
@@ -3,7 +3,7 @@
 
 /** Time, beyond the lease, from when an owner knows of a cancellation until its task has stopped: late timers, messages. */
 const TASK_STOP_MS = 1500;
-/** If the settings leave no time at all, workers are still answered while known cancellations are less than this old. */
+/** If the settings leave no time at all, workers are still answered while knowledge of cancellations is newer than this. */
 const MIN_STALENESS_MS = 1000;
 const REFRESHES_PER_STALENESS_BOUND = 8;
 const MAX_REFRESH_INTERVAL_MS = 2000;
@@ -14,15 +14,17 @@
  * answer may keep a task of that job running for another lease. The last answer before the owner learns of the cancellation
  * is therefore sent by `freshAsOf + maxStalenessMs`, and then
  *
- *     freshAsOf + maxStalenessMs + leaseMs + TASK_STOP_MS <= confirmed + cancelMs
+ *     freshAsOf + maxStalenessMs + workerLeaseMs + TASK_STOP_MS <= confirmed + cancellationDeadlineMs
  *
  * while both steady clocks drift apart. The same bound holds with a live session lease, with an extended lease, during an
  * election and for a new owner, because all of them answer workers through `Membership.mayRenewLeases`.
  */
-export function maxStalenessMs(leaseMs: number, cancelMs: number): number {
+export function maxStalenessMs(workerLeaseMs: number, cancellationDeadlineMs: number): number {
   return Math.max(
     MIN_STALENESS_MS,
-    cancelMs * (1 - 2 * MAX_CLOCK_DRIFT_RATIO) - leaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) - TASK_STOP_MS,
+    cancellationDeadlineMs * (1 - 2 * MAX_CLOCK_DRIFT_RATIO) -
+      workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) -
+      TASK_STOP_MS,
   );
 }
 
