--- a/src/protocol/policy-script.ts
+++ b/src/protocol/policy-script.ts
@@ -1,12 +1,15 @@
 /**
- * Runs the Lua script of a policy file. A script can only compute: it reaches no files, network or other code, and is ended
- * if it takes too many steps or too much memory.
+ * Runs the Lua script of a policy file. A script can only compute: it has no access to files, network or other code, and is
+ * ended if it takes too many steps or too much memory.
  */
 
-/** What a script returned, or the one-line message with which it failed; that names the file and, if known, the line. */
+/**
+ * The value that a script returned, or the one-line message with which it failed. The message names the file and, if known, the
+ * line.
+ */
 export type ScriptOutcome = { ok: true; value: unknown } | { ok: false; message: string };
 
-/** More than any sensible policy needs, and over in a fraction of a second. */
+/** More than any sensible policy needs, and executed in a fraction of a second. */
 const MAX_SCRIPT_STEPS = 200_000;
 const MAX_SCRIPT_BYTES = 64 * 1024 * 1024;
 const LIMIT_CHECK_INTERVAL_STEPS = 10;
@@ -14,8 +17,8 @@
 const MAX_TABLE_ENTRIES = 1000;
 
 /**
- * Removed from the script's globals: functions that lead to files or other code, those that work for long inside one step,
- * where no step is counted, and those that would catch the error that ends a script.
+ * Globals that are removed: functions that give access to files or other code, functions that work for long inside one step,
+ * where no step is counted, and functions that would catch the error that ends a script.
  */
 const FORBIDDEN_GLOBALS = [
   'dofile',
@@ -32,7 +35,7 @@
 
 type LuaFunction = (...args: unknown[]) => unknown;
 
-/** The part of fengari that is used here; the package brings no types. */
+/** The part of fengari that is used here; the package has no type declarations. */
 interface Fengari {
   lua: Record<string, LuaFunction> & Record<string, number>;
   lauxlib: Record<string, LuaFunction>;
@@ -43,34 +46,34 @@
 
 /** Runs the text of a script; `path` names it in messages. Never throws because of the script. */
 export function runPolicyScript(path: string, text: string): ScriptOutcome {
-  // Loaded only if there is a policy, as loading it would delay every start.
+  // Loaded only if there is a policy, because loading it would delay every start.
   // eslint-disable-next-line @typescript-eslint/no-require-imports
-  const machine = new LuaMachine(require('fengari') as Fengari);
-  machine.openLibraries();
-  machine.limitResources();
-  return machine.run(path, text);
+  const runtime = new LuaRuntime(require('fengari') as Fengari);
+  runtime.openLibraries();
+  runtime.limitResources();
+  return runtime.run(path, text);
 }
 
-/** A Lua state and its stack; indices are those of the Lua C API, -1 the top of the stack. */
-class LuaMachine {
+/** A Lua state and its stack. Indices are those of the Lua C API; -1 is the top of the stack. */
+class LuaRuntime {
   private readonly state: unknown;
 
   constructor(private readonly fengari: Fengari) {
-    this.state = this.auxiliary('luaL_newstate');
+    this.state = this.callAuxiliary('luaL_newstate');
   }
 
-  /** Opens the base and the math library, without the globals that a script may not use. */
+  /** Opens the base and math libraries and removes the forbidden globals. */
   openLibraries(): void {
     const { lualib } = this.fengari;
     this.openLibrary('_G', lualib['luaopen_base']);
     this.openLibrary('math', lualib['luaopen_math']);
     for (const name of FORBIDDEN_GLOBALS) {
       this.call('lua_pushnil');
-      this.call('lua_setglobal', this.text(name));
+      this.call('lua_setglobal', this.toLuaString(name));
     }
   }
 
-  /** From now on a script that takes too many steps or too much memory fails. */
+  /** Makes a script that takes too many steps or too much memory fail from now on. */
   limitResources(): void {
     const { lua } = this.fengari;
     let steps = 0;
@@ -78,8 +81,8 @@
     const checkLimits = (): void => {
       steps += LIMIT_CHECK_INTERVAL_STEPS;
       if (steps <= MAX_SCRIPT_STEPS && memoryUsedBytes() - bytesBefore < MAX_SCRIPT_BYTES) return;
-      this.auxiliary('luaL_where', this.state, 0);
-      this.call('lua_pushstring', this.text('the script takes too long or too much memory'));
+      this.callAuxiliary('luaL_where', this.state, 0);
+      this.call('lua_pushstring', this.toLuaString('the script takes too long or too much memory'));
       this.call('lua_concat', 2);
       this.call('lua_error');
     };
@@ -88,15 +91,18 @@
 
   run(path: string, text: string): ScriptOutcome {
     const ok = this.fengari.lua['LUA_OK'];
-    const source = this.text(text);
-    const chunkName = this.text(`@${path}`);
-    const loaded = this.auxiliary('luaL_loadbuffer', this.state, source, source.length, chunkName) === ok;
+    const source = this.toLuaString(text);
+    const chunkName = this.toLuaString(`@${path}`);
+    const loaded = this.callAuxiliary('luaL_loadbuffer', this.state, source, source.length, chunkName) === ok;
     if (loaded && this.call('lua_pcall', 0, 1, 0) === ok) return { ok: true, value: this.valueAt(-1) };
     const message = this.call('lua_tostring', -1) as Uint8Array | null;
-    return { ok: false, message: message ? this.fengari.to_jsstring(message) : `${path}: failed` };
+    return {
+      ok: false,
+      message: message ? this.fengari.to_jsstring(message) : `${path}: the script failed without a message`,
+    };
   }
 
-  /** The value at an index as JavaScript has it; null for what a policy has no use for, such as functions. */
+  /** The JavaScript value at a stack index; null for types that a policy has no use for, such as functions. */
   private valueAt(index: number, depth = 0): unknown {
     const { lua } = this.fengari;
     switch (this.call('lua_type', index)) {
@@ -120,7 +126,7 @@
     let entries = 0;
     this.call('lua_pushnil');
     while (this.call('lua_next', tableIndex)) {
-      // Only string keys: reading a number as a string would change it, and end the iteration.
+      // Only string keys: reading a number key as a string would change it and end the iteration.
       if (this.call('lua_type', -2) === stringType && entries++ < MAX_TABLE_ENTRIES) {
         table[this.stringAt(-2)] = this.valueAt(-1, depth + 1);
       }
@@ -134,20 +140,20 @@
   }
 
   private openLibrary(name: string, opener: unknown): void {
-    this.auxiliary('luaL_requiref', this.state, this.text(name), opener, 1);
+    this.callAuxiliary('luaL_requiref', this.state, this.toLuaString(name), opener, 1);
     this.call('lua_settop', 0);
   }
 
-  private text(text: string): Uint8Array {
+  private toLuaString(text: string): Uint8Array {
     return this.fengari.to_luastring(text);
   }
 
-  /** Calls a function of the Lua C API with this machine's state. */
+  /** Calls a function of the Lua C API with this runtime's state. */
   private call(name: string, ...args: unknown[]): unknown {
     return (this.fengari.lua[name] as LuaFunction)(this.state, ...args);
   }
 
-  private auxiliary(name: string, ...args: unknown[]): unknown {
+  private callAuxiliary(name: string, ...args: unknown[]): unknown {
     return this.fengari.lauxlib[name]?.(...args);
   }
 }
--- a/src/storage/fleet-edit.ts
+++ b/src/storage/fleet-edit.ts
@@ -3,34 +3,34 @@
 import { type Condition, type Write } from '../protocol/store';
 import { type ReplicaView } from './replica-view';
 
-/** A transaction that changes machines of a partition. */
+/** A transaction that changes the records of machines of one partition. */
 export interface FleetEdit {
-  /** The machines that this edit changes; the others are left for the next one. */
+  /** The machines that this edit changes. The remaining ones need further edits. */
   ids: string[];
   conditions: Condition[];
   writes: Write[];
 }
 
-/** Limits of a stored value and of a transaction. */
+/** The state store's limits on the size of a value, in bytes, and on the operations of a transaction. */
 export interface FleetLimits {
   valueBytes: number;
   txnOps: number;
 }
 
-/** The new record of each machine; null: the machine no longer exists. */
+/** The new record of each machine, or null if the machine no longer exists. */
 export type FleetChanges = ReadonlyMap<string, MachineRecord | null>;
 
-type Machines = [string, FleetWrite][];
+type MachineWrites = [string, FleetWrite][];
 
-/** The part of a value that the machines of one edit may take. */
+/** Maximum share of a value's size that the machines of one edit may take. */
 const MAX_EDIT_SIZE_RATIO = 0.4;
-/** What an id takes beside its characters: quotes and commas. */
+/** Bytes that an id takes besides its characters: quotes and commas. */
 const ID_OVERHEAD_BYTES = 4;
 
 /**
- * Changes many machines of a partition with few writes: rewrites the values that hold them, and puts those that go to another
- * partition into a new value there, named `name`. Machines that stay as they are keep the revision of their last change, for
- * fencing tokens and the proof that a machine was empty when it came depend on it.
+ * Plans the change of many machines of a partition with few writes. Rewrites the values that hold them, and writes machines
+ * that move to another partition into a new value of that partition, named `name`. Unchanged machines keep the revision of
+ * their last change, because fencing tokens and the proof that a machine was empty on arrival depend on it.
  */
 export function planFleetEdit(
   replica: ReplicaView,
@@ -41,12 +41,12 @@
 ): FleetEdit {
   const { ids, touchedKeys, transfers } = chooseMachines(replica, partition, changes, limits);
   const changed = new Set(ids);
-  const rest = touchedKeys.map((key) => ({
+  const remaining = touchedKeys.map((key) => ({
     key,
     machines: remainingMachines(replica.fleetInKey(key), partition, changes, changed),
   }));
   const conditions = touchedKeys.map((key) => ({ key, revision: replica.storeReplica.revisionOf(key) }));
-  const writes = rewriteValues(replica, rest, limits);
+  const writes = rewriteValues(replica, remaining, limits);
   for (const [target, machines] of transfers) {
     const key = keys.fleet(target, name);
     conditions.push({ key, revision: 0 });
@@ -56,25 +56,28 @@
 }
 
 /**
- * Whether the transaction that first wrote this value may be carried out once more. A leader repeats one whose response is
- * lost, and the lost one may be applied late; it is conditional on the absence of the key and on the leader. Were the key
- * removed while that leader leads, machines that were transferred meanwhile would be in this value again, and their tasks
- * would be started a second time.
+ * Whether the transaction that first wrote this value may still be applied again. A leader retries a transaction whose response
+ * is lost, and an earlier attempt may be applied late. The transaction is conditional on the absence of the key and on the
+ * leader. If the key were removed while that leader leads, such an attempt would put machines that were transferred meanwhile
+ * into this value again, and their tasks would be started a second time.
  */
 export function initialWriteMayBeRetried(replica: ReplicaView, key: string): boolean {
   return replica.leader !== null && leaderTermOfFleetKey(key) === replica.leader.term;
 }
 
-/** The first machines that one transaction can change, the values that hold them, and who goes to which partition. */
+/**
+ * The first machines that one transaction can change, the keys of the values that hold them, and the machines that move to each
+ * target partition.
+ */
 function chooseMachines(
   replica: ReplicaView,
   partition: string,
   changes: FleetChanges,
   limits: FleetLimits,
-): { ids: string[]; touchedKeys: string[]; transfers: ReadonlyMap<string, Machines> } {
+): { ids: string[]; touchedKeys: string[]; transfers: ReadonlyMap<string, MachineWrites> } {
   const ids: string[] = [];
   const touchedKeys = new Set<string>();
-  const transfers = new Map<string, Machines>();
+  const transfers = new Map<string, MachineWrites>();
   let freeBytes = limits.valueBytes * MAX_EDIT_SIZE_RATIO;
   for (const [id, change] of changes) {
     const machine = replica.machines.get(id);
@@ -94,10 +97,13 @@
   return { ids, touchedKeys: [...touchedKeys], transfers };
 }
 
-/** Writes what remains in each value; values that fit into one become one, so that later edits touch fewer. */
+/**
+ * Plans the writes of the machines that remain in each value. Values that fit into one are merged, so that later edits touch
+ * fewer keys.
+ */
 function rewriteValues(
   replica: ReplicaView,
-  values: readonly { key: string; machines: Machines }[],
+  values: readonly { key: string; machines: MachineWrites }[],
   limits: FleetLimits,
 ): Write[] {
   const merged = encodeFleet(values.flatMap(({ machines }) => machines));
@@ -115,8 +121,8 @@
   partition: string,
   changes: FleetChanges,
   changed: ReadonlySet<string>,
-): Machines {
-  const remaining: Machines = [];
+): MachineWrites {
+  const remaining: MachineWrites = [];
   for (const [id, entry] of fleet) {
     const change = changed.has(id) ? changes.get(id) : undefined;
     if (change === undefined) remaining.push([id, entry]);
