--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -25,7 +25,7 @@
 /** A kind of machine that always boots late counts as more expensive by this multiple of its price. */
 const LATE_BOOT_COST_RATIO = 1.5;
 /** The minimum CPUs and duration that a task counts for in estimates. */
-const MIN_TASK_CPUS = 0.1;
+const MIN_COUNTED_TASK_CPUS = 0.1;
 const MIN_TASK_DURATION_S = 5;
 /** At equal prices, makes the zone with fewer machines the cheaper one. */
 const ZONE_TIE_BREAK_COST = 1e-6;
@@ -133,7 +133,7 @@
 }
 
 function countedCpus({ cpus }: Demand): number {
-  return Math.max(cpus, MIN_TASK_CPUS);
+  return Math.max(cpus, MIN_COUNTED_TASK_CPUS);
 }
 
 function cpusSuitableFor(demand: Demand, { machines }: PlannedPartition): number {
--- a/src/coordination/partition/in-flight-task.ts
+++ b/src/coordination/partition/in-flight-task.ts
@@ -10,7 +10,7 @@
   spec: JobSpec | null;
   phase: 'sent' | 'reported';
   /** Identifies the heartbeat whose answer contained the start, or which first reported the task. */
-  sentInHeartbeat: { agentEpoch: number; sequence: number };
+  originHeartbeat: { agentEpoch: number; sequence: number };
   /** Set once the task is to be stopped, else null. With a grace period of 0 seconds the task is killed. */
   stop: { graceS: number } | null;
   /** Whether the task is saving a checkpoint before it stops. */
--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -112,7 +112,7 @@
   }
 
   /** Fails a job that runs at most once, because one of its tasks was started and lost. Other jobs run the task again. */
-  handleLostTask(job: PartitionJob): void {
+  failIfRunsAtMostOnce(job: PartitionJob): void {
     if (job.runsAtMostOnce && this.pipelines.markInterrupted(job.ref)) this.applyPipeline(job.ref);
   }
 
@@ -122,7 +122,7 @@
    */
   failInterruptedJobs(): void {
     for (const job of this.options.jobs.values())
-      if (job.runsAtMostOnce && job.hasInterruptedTasks) this.handleLostTask(job);
+      if (job.runsAtMostOnce && job.hasInterruptedTasks) this.failIfRunsAtMostOnce(job);
   }
 
   /**
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -43,7 +43,7 @@
   revision: number;
   /** Whether every task that an earlier owner started and that can be on the machine has been reported. */
   confirmed: boolean;
-  private readonly inFlight = new Map<string, InFlightTask>();
+  private readonly tasksByKey = new Map<string, InFlightTask>();
   private readonly usage = new MachineUsage();
   /** Exits in the last heartbeat that the worker was not told to forget yet. */
   private readonly exitedAttempts = new Map<string, TaskExit>();
@@ -62,7 +62,7 @@
   /** Number of task failures on the machine since the last success on it, by job. */
   readonly failuresByJob = new Map<string, number>();
   /** Whether a task has succeeded on the machine. */
-  healthy = false;
+  hadTaskSuccess = false;
   /** The partition to which the machine is transferred once it is drained; null if it stays. */
   transferTarget: string | null = null;
   /** Whether the machine is being transferred or deprovisioned, so that no task may be started on it. */
@@ -92,20 +92,20 @@
 
   /** Tasks in flight, by `taskKey`. */
   get tasks(): ReadonlyMap<string, InFlightTask> {
-    return this.inFlight;
+    return this.tasksByKey;
   }
 
   private addTask(task: InFlightTask): void {
     this.removeTask(task);
-    this.inFlight.set(taskKey(task.ref, task.index), task);
+    this.tasksByKey.set(taskKey(task.ref, task.index), task);
     this.usage.addTask(task.spec);
   }
 
   private removeTask(task: InFlightTask): void {
     const key = taskKey(task.ref, task.index);
-    const known = this.inFlight.get(key);
+    const known = this.tasksByKey.get(key);
     if (!known) return;
-    this.inFlight.delete(key);
+    this.tasksByKey.delete(key);
     this.usage.removeTask(known.spec);
   }
 
@@ -169,14 +169,14 @@
    */
   expireLease(now: number, leaseMs: number): InFlightTask[] | null {
     if (!this.leaseExpired(this.leaseRenewedAt, now, leaseMs)) return null;
-    if (this.inFlight.size === 0 && this.confirmed) return null;
+    if (this.tasksByKey.size === 0 && this.confirmed) return null;
     this.confirmed = true;
     return this.removeAllTasks();
   }
 
   /** Removes and returns all tasks, because the machine is gone or its worker's lease has expired. */
   removeAllTasks(): InFlightTask[] {
-    const lost = [...this.inFlight.values()];
+    const lost = [...this.tasksByKey.values()];
     for (const task of lost) this.removeTask(task);
     return lost;
   }
@@ -213,8 +213,8 @@
 
   /** Drops the tasks that were started in earlier agent epochs: a new epoch begins without tasks. */
   private applyNewAgentEpoch({ agentEpoch }: Heartbeat, outcome: HeartbeatOutcome): void {
-    for (const task of [...this.inFlight.values()])
-      if (task.sentInHeartbeat.agentEpoch < agentEpoch) this.dropLost(task, outcome);
+    for (const task of [...this.tasksByKey.values()])
+      if (task.originHeartbeat.agentEpoch < agentEpoch) this.dropLost(task, outcome);
     // The worker's lease had expired: its heartbeats may reach this owner while the answers do not reach the worker.
     if (this.agentEpoch > 0) this.requireNewToken();
   }
@@ -234,7 +234,7 @@
   private applyExit(task: HeartbeatTask, outcome: HeartbeatOutcome): void {
     const { ref, index, attempt } = task;
     const key = taskKey(ref, index);
-    const known = this.inFlight.get(key);
+    const known = this.tasksByKey.get(key);
     const inFlight = known?.attempt === attempt ? known : null;
     const exit: TaskExit = { ref, index, attempt, reason: task.exit ?? 'other', inFlight };
     this.exitedAttempts.set(`${key}#${attempt}`, exit);
@@ -249,7 +249,7 @@
       if (task.phase === 'exited') continue;
       const key = taskKey(task.ref, task.index);
       liveKeys.add(key);
-      const inFlight = this.inFlight.get(key);
+      const inFlight = this.tasksByKey.get(key);
       if (inFlight) updateInFlight(inFlight, task, now);
       else outcome.unknownTasks.push(task);
     }
@@ -262,9 +262,9 @@
    */
   private dropVanished(heartbeat: Heartbeat, liveKeys: ReadonlySet<string>, outcome: HeartbeatOutcome): void {
     let startLost = false;
-    for (const [key, task] of [...this.inFlight]) {
+    for (const [key, task] of [...this.tasksByKey]) {
       if (liveKeys.has(key)) continue;
-      const { agentEpoch, sequence } = task.sentInHeartbeat;
+      const { agentEpoch, sequence } = task.originHeartbeat;
       if (!isAfter(heartbeat, agentEpoch, sequence)) continue;
       startLost ||= task.phase === 'sent';
       this.dropLost(task, outcome);
@@ -285,7 +285,7 @@
       commands.push({ op: 'forget', ref: exit.ref, index: exit.index, attempt: exit.attempt });
       this.exitedAttempts.delete(key);
     }
-    for (const { ref, index, attempt, stop, checkpointing } of this.inFlight.values()) {
+    for (const { ref, index, attempt, stop, checkpointing } of this.tasksByKey.values()) {
       // A second stop would cut the checkpoint short. Only a stop without a grace period is meant to do that.
       if (!stop || (checkpointing && stop.graceS > 0)) continue;
       commands.push({ op: 'stop', ref, index, attempt, gracePeriodS: stop.graceS });
@@ -307,7 +307,7 @@
       stop: null,
       checkpointing: false,
       runningSince: null,
-      sentInHeartbeat: { agentEpoch: this.agentEpoch, sequence: this.sequence },
+      originHeartbeat: { agentEpoch: this.agentEpoch, sequence: this.sequence },
     });
     return { op: 'start', ref: spec.ref, index, attempt };
   }
@@ -324,7 +324,7 @@
       stop: null,
       checkpointing: task.phase === 'checkpointing',
       runningSince: task.phase === 'running' ? now : null,
-      sentInHeartbeat: { agentEpoch: this.agentEpoch, sequence: this.sequence },
+      originHeartbeat: { agentEpoch: this.agentEpoch, sequence: this.sequence },
     };
     this.addTask(adopted);
     return adopted;
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -28,8 +28,8 @@
   const targetUnchanged = { key: keys.member(member), revision: incarnation };
   for (let outcomeUnknown = false; ;) {
     const result = await store.transact([targetUnchanged], [put], RequestPriority.Decision);
-    const takenOver = result.kind === 'conflict' && result.failed.includes(partitionKey);
-    if (result.kind === 'applied' || takenOver) return true;
+    const recordChanged = result.kind === 'conflict' && result.failed.includes(partitionKey);
+    if (result.kind === 'applied' || recordChanged) return true;
     if (result.kind === 'conflict' || (result.kind === 'refused' && !outcomeUnknown)) return false;
     outcomeUnknown ||= result.kind === 'unknown';
     await store.waitToRetry();
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -49,7 +49,7 @@
 }
 
 function demands(partition: PartitionState, now: number): Demand[] {
-  const found = new Map<string, Demand>();
+  const demandsByKey = new Map<string, Demand>();
   const remainingByTeam = new Map<string, ResourceQuota>();
   const allZones = new Set([...partition.machineTypes().values()].flatMap((t) => t.zones));
   for (const job of partition.jobsInSchedulingOrder()) {
@@ -67,13 +67,13 @@
     const { workload, cpus, accelerators, memoryGb, machineTypes, spot, priority } = spec;
     const zones = eligibleZones(spec, allZones, inFlightByZone(job));
     const key = JSON.stringify([workload, cpus, memoryGb, machineTypes, zones, spot]);
-    const existing = found.get(key);
+    const existing = demandsByKey.get(key);
     if (existing) {
       existing.expectedS =
         (existing.expectedS * existing.tasks + expectedS * tasks) / (existing.tasks + tasks);
       existing.tasks += tasks;
     } else {
-      found.set(key, {
+      demandsByKey.set(key, {
         workload,
         cpus,
         accelerators,
@@ -87,7 +87,7 @@
       });
     }
   }
-  return [...found.values()];
+  return [...demandsByKey.values()];
 }
 
 /** Number of tasks in flight in each zone for a job that must share or spread over zones; empty for any other job. */
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -7,7 +7,7 @@
 import { type TaskObserver } from './task-observer';
 import { type TeamQuota } from './team-quota';
 
-const MIN_RETRY_DELAY_MS = 250;
+const RETRY_BASE_DELAY_MS = 250;
 const MAX_RETRY_DELAY_MS = 30_000;
 /** Added to the estimated duration of a checkpoint, so that a task is not killed if its estimate is slightly too short. */
 const CHECKPOINT_MARGIN_S = 1;
@@ -80,7 +80,7 @@
     job.requeue(task.index);
     if (job.isPending(task.index)) this.observer?.taskRequeued(task.ref, task.index, now);
     jobSet.markIfDone(job);
-    if (lost && task.phase === 'reported') jobSet.handleLostTask(job);
+    if (lost && task.phase === 'reported') jobSet.failIfRunsAtMostOnce(job);
   }
 
   /** Handles an exit that a worker has reported. The worker reports it again until it is told to forget it. */
@@ -108,7 +108,7 @@
 
   private handleSuccess(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
     machine.failuresByJob.clear();
-    machine.healthy = true;
+    machine.hadTaskSuccess = true;
     if (job.isDone(exit.index)) return;
     if (!job.isPending(exit.index)) this.killInFlightAttempt(job, exit.index);
     job.markDone(exit.index);
@@ -119,7 +119,7 @@
 
   private handleFailure(job: PartitionJob, machine: MachineState, exit: TaskExit, now: number): void {
     if (exit.reason !== 'stopped') this.observer?.taskFailed(exit.ref, exit.index, now);
-    if (exit.reason !== 'no_room' && exit.reason !== 'busy') this.deps.jobSet.handleLostTask(job);
+    if (exit.reason !== 'no_room' && exit.reason !== 'busy') this.deps.jobSet.failIfRunsAtMostOnce(job);
     if (exit.reason === 'error' || exit.reason === 'unknown') this.retryLater(job, machine, exit, now);
     else if (exit.reason === 'no_room') job.delayRetry(exit.index, now + this.deps.heartbeatIntervalMs);
   }
@@ -134,7 +134,7 @@
     if (exit.reason === 'error')
       machine.failuresByJob.set(job.ref, (machine.failuresByJob.get(job.ref) ?? 0) + 1);
     const failures = job.countFailure(exit.index);
-    job.delayRetry(exit.index, now + Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** failures));
+    job.delayRetry(exit.index, now + Math.min(MAX_RETRY_DELAY_MS, RETRY_BASE_DELAY_MS * 2 ** failures));
     if (job.failsEverywhere) job.backOff(now);
   }
 
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -16,7 +16,7 @@
 /** Number of failures on a machine without a success in between after which it is quarantined. */
 const QUARANTINE_FAILURE_COUNT = 3;
 /** Once a job has been known for this long, it no longer takes precedence on machines that have its image. */
-const MAX_IMAGE_AFFINITY_WAIT_MS = 30_000;
+const MAX_IMAGE_PRECEDENCE_MS = 30_000;
 /** Attempt numbers available in one epoch, so that the attempts of a later owner have larger numbers. */
 const ATTEMPTS_PER_EPOCH = 1_000_000;
 /** A machine is given no task once its last heartbeat is older than this many heartbeat intervals and a margin. */
@@ -84,7 +84,7 @@
     for (const [ref, n] of machine.failuresByJob) {
       const job = this.context.jobs.get(ref);
       if (!job || job.failsEverywhere) continue;
-      if (job.doneCount > 0 || !machine.healthy) failures += n;
+      if (job.doneCount > 0 || !machine.hadTaskSuccess) failures += n;
       else unprovenJobs++;
     }
     return failures >= QUARANTINE_FAILURE_COUNT || unprovenJobs >= QUARANTINE_FAILURE_COUNT;
@@ -195,7 +195,7 @@
   /**
    * Starts pending tasks on a machine whose heartbeat is being answered: first fit in scheduling order, in two passes for each
    * priority. The first pass considers only jobs whose image the machine has, because fetching an image often takes as long as
-   * running a task. It excludes jobs known for `MAX_IMAGE_AFFINITY_WAIT_MS` or longer, so that a job defers others no longer than
+   * running a task. It excludes jobs known for `MAX_IMAGE_PRECEDENCE_MS` or longer, so that a job defers others no longer than
    * that. The second pass considers all jobs.
    */
   placeTasks(machine: MachineState, commands: Command[], now: number): void {
@@ -211,7 +211,7 @@
       for (; to < queue.length && queue[to]?.effectivePriority === priority; to++) {
         const job = queue[to] as PartitionJob;
         if (job.startableCount(allConfirmed) === 0 || !machine.images.has(job.spec.image)) continue;
-        if (now - job.firstSeenAt < MAX_IMAGE_AFFINITY_WAIT_MS)
+        if (now - job.firstSeenAt < MAX_IMAGE_PRECEDENCE_MS)
           this.startFitting(job, machine, free, commands, now);
       }
       for (let i = from; i < to; i++) {
--- a/src/coordination/pipeline/recovery-pass.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -128,11 +128,11 @@
   job: number,
   released: ReadonlySet<number>,
 ): boolean {
-  let fallback = nodes.some((n) => n.alternates.includes(job));
+  let needsRelease = nodes.some((n) => n.alternates.includes(job));
   for (const edge of edges) {
     if (edge.to !== job) continue;
     if (edge.kind === 'begin_on_commit' && nodes[edge.from]?.state !== 'done') return false;
-    if (edge.kind === 'force_begin_on_abort') fallback = true;
+    if (edge.kind === 'force_begin_on_abort') needsRelease = true;
   }
-  return !fallback || released.has(job);
+  return !needsRelease || released.has(job);
 }
--- a/test/partition/priority.test.ts
+++ b/test/partition/priority.test.ts
@@ -20,7 +20,7 @@
     { kind: 'finished' as const, workload: 'other', withinS: 1 },
   ];
   const estimates = new RuntimeEstimates();
-  const waits = (ageS: number, startedRatio = 0, withinGuarantee = false): WaitState => ({
+  const waitState = (ageS: number, startedRatio = 0, withinGuarantee = false): WaitState => ({
     ageS,
     startedRatio,
     withinGuarantee,
@@ -75,33 +75,34 @@
     ],
     [
       'a job that has waited for long without starting a task is raised',
-      () => agedPriority(3, waits(160), objectives),
+      () => agedPriority(3, waitState(160), objectives),
       1,
     ],
     [
       'a job that has started some tasks is not raised at that age',
-      () => agedPriority(3, waits(160, 0.1), objectives),
+      () => agedPriority(3, waitState(160, 0.1), objectives),
       3,
     ],
     [
       'a job that has started less than half of its tasks is raised at a higher age',
-      () => agedPriority(3, waits(220, 0.1), objectives),
+      () => agedPriority(3, waitState(220, 0.1), objectives),
       1,
     ],
     [
       'a job that has started half of its tasks is not raised at that age',
-      () => agedPriority(3, waits(220, 0.5), objectives),
+      () => agedPriority(3, waitState(220, 0.5), objectives),
       3,
     ],
-    ['a job of the highest priority keeps it', () => agedPriority(0, waits(160), objectives), 0],
+    ['a job of the highest priority keeps it', () => agedPriority(0, waitState(160), objectives), 0],
     [
       'a job within its guarantee is raised sooner, but not before urgent jobs',
-      () => agedPriority(3, waits(50, 1, true), []),
+      () => agedPriority(3, waitState(50, 1, true), []),
       2,
     ],
     [
       'a job within its guarantee is raised after a share of the configured time',
-      () => [40, 50].map((s) => agedPriority(3, waits(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
+      () =>
+        [40, 50].map((s) => agedPriority(3, waitState(s, 0, true), [{ kind: 'guarantee', withinS: 150 }])),
       [3, 2],
     ],
     [
