--- a/src/coordination/fleet/capacity-plan.ts
+++ b/src/coordination/fleet/capacity-plan.ts
@@ -36,7 +36,7 @@
   readonly emptyPool: EmptyMachine[];
   /** The load of each machine by its id, as sent by its partition's owner. */
   readonly loadOf = new Map<string, MachineLoad>();
-  /** Number of machines in use or being provisioned, by zone. */
+  /** Number of machines by zone: those of the fleet that are not being deprovisioned, and those that the plan requests. */
   readonly machinesByZone = new Map<string, number>();
   /** Whether no partition has had a submission for more than NO_SUBMISSIONS_S. */
   readonly noRecentSubmissions: boolean;
@@ -75,12 +75,12 @@
     return machine.booting && type !== undefined && machine.ageMs > LATE_BOOT_RATIO * type.bootS * 1000;
   }
 
-  /** Ids of the machines that the actions decided so far transfer. */
+  /** Ids of the machines that the actions decided so far transfer or drain. Contains the empty id if there are other actions. */
   transferredMachines(): Set<string> {
     return new Set(this.actions.map((action) => (action.kind === 'transfer' ? action.machine : '')));
   }
 
-  /** Adds an action that drains a machine for another partition or for the cloud. */
+  /** Adds an action that drains a machine for another partition or for the cloud; for its own partition, it revokes the drain. */
   drain(machine: string, fromPartition: string, toPartition: string): void {
     this.actions.push({ kind: 'transfer', machine, fromPartition, toPartition, drain: true });
   }
--- a/src/coordination/fleet/fleet-history.ts
+++ b/src/coordination/fleet/fleet-history.ts
@@ -8,6 +8,7 @@
   firstSeenAt: number;
   /** When the machine was provisioned, according to a list that shows it as booting; else when this leader first saw it. */
   bootingSince: number;
+  /** When this leader last ordered its transfer or a drain to the cloud; -Infinity if it never did. */
   transferredAt: number;
   firstListedAt: number | null;
   status: ListedMachine['status'] | null;
--- a/src/coordination/fleet/machine-rebalancer.ts
+++ b/src/coordination/fleet/machine-rebalancer.ts
@@ -20,7 +20,7 @@
 /** More may be drained at a time if the recipient needs more than this many times as long as the donor. */
 const FAR_BEHIND_RATIO = 2;
 const MAX_DRAINING_CPU_RATIO_FAR_BEHIND = 0.1;
-/** A donor without unmet demand drains machines that hold up to this share of its free CPUs, however busy they are. */
+/** A donor without unmet demand drains machines that hold up to this share of its free CPUs and empty within MAX_IDLE_DRAIN_S. */
 const MAX_IDLE_TRANSFER_RATIO = 0.5;
 const MAX_IDLE_DRAIN_S = 90;
 /** This many machines may drain in any case, because in a small fleet the ratios amount to less than one machine. */
@@ -157,6 +157,7 @@
     for (const load of donor.load.machines) {
       if (load.transferTarget === null) continue;
       const cpus = this.plan.typeOf(load.machine)?.cpus ?? 0;
+      // The sum above lacks this machine's free CPUs: a share of them adds to the budget, and all of them are spent.
       spend(budget, cpus, (1 - MAX_IDLE_TRANSFER_RATIO) * load.freeCpus);
     }
     return budget;
--- a/src/coordination/fleet/planned-partition.ts
+++ b/src/coordination/fleet/planned-partition.ts
@@ -56,7 +56,7 @@
   }
 }
 
-/** CPUs of the machines that a partition has in use. */
+/** CPUs of the machines that a partition has in use or that the plan has added to it. */
 export function totalCpus({ machines }: PlannedPartition): number {
   return machines.reduce((sum, { type }) => sum + type.cpus, 0);
 }
--- a/src/coordination/fleet/scale-in.ts
+++ b/src/coordination/fleet/scale-in.ts
@@ -21,6 +21,7 @@
 const DEFAULT_BOOT_S = 60;
 /** The cloud charges for a machine for at least this long (PROTOCOL, "Controller nodes -> cloud"). */
 const MIN_CHARGED_MS = 60_000;
+/** A machine that is silent for longer than this is returned to the cloud, unless the leases of its tasks may still be valid. */
 const MAX_SILENT_MS = 30_000;
 /** The leases of a silent machine's tasks have certainly expired this long after the lease time. */
 const LEASE_MARGIN_MS = 5000;
@@ -47,7 +48,11 @@
   return MAX_BOOT_TIME_RATIO * bootS * 1000 + BOOT_TIME_MARGIN_MS;
 }
 
-/** Time since a heartbeat to any owner. To its present owner, a machine that fell silent during a handover was never silent. */
+/**
+ * Time since the last heartbeat that any owner received, or that the present owner received if that is longer ago. The present
+ * owner's value alone does not suffice: if a machine fell silent during a handover, its new owner has never received a heartbeat
+ * from it and reports -1.
+ */
 function silentMs({ id, sinceHeartbeatMs }: FleetMachine, { loadOf }: CapacityPlan): number {
   return Math.max(sinceHeartbeatMs, loadOf.get(id)?.sinceHeartbeatMs ?? 0);
 }
@@ -122,7 +127,7 @@
   }
 }
 
-/** CPUs of tasks that earlier drains have stopped or will stop, and that need resources elsewhere. */
+/** CPUs in use on machines that are being drained to the cloud. Tasks that a drain stops need them on other machines. */
 function drainingTaskCpus(plan: CapacityPlan, machines: readonly MachineLoad[]): number {
   const draining = machines.filter(drainsToCloud);
   return draining.reduce((sum, load) => sum + (plan.typeOf(load.machine)?.cpus ?? 0) - load.freeCpus, 0);
--- a/src/coordination/fleet/scale-out.ts
+++ b/src/coordination/fleet/scale-out.ts
@@ -17,7 +17,9 @@
 const DEFAULT_TARGET_COMPLETION_S = 60;
 /** A transfer takes one heartbeat that is redirected, and another that shows the machine to its new owner. */
 const TRANSFER_DURATION_S = 6;
-/** Limits of one round. Demand that is left over is planned for in the next round. */
+/**
+ * Limits of one round; scale-ins count as provisioning requests. Demand that is left over is planned for in the next round.
+ */
 const MAX_TRANSFERS_PER_ROUND = 60;
 const MAX_PROVISION_REQUESTS_PER_ROUND = 400;
 /** On-demand machines cost more, and are requested once work would take more than this many times its target time. */
@@ -111,7 +113,7 @@
     plan.actions.push({ kind: 'transfer', machine, fromPartition, toPartition, drain: false });
 }
 
-/** Plans a request for a machine unless the partition can do without. Returns false if none is requested. */
+/** Plans a request for a machine unless the partition can do without one. Returns false if none is requested. */
 function requestMachine(plan: CapacityPlan, partition: PlannedPartition, pending: PendingDemand): boolean {
   const { demand, tasks } = pending;
   const targetS = TARGET_COMPLETION_S[demand.priority] ?? DEFAULT_TARGET_COMPLETION_S;
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -16,7 +16,7 @@
 import { type PartitionLoads } from './partition-loads';
 
 const MIN_PLANNING_INTERVAL_MS = 500;
-/** Interval of planning without new partition loads, when there is little to decide. */
+/** Interval of planning without new partition loads, when there is little to decide, and upper bound of the pacer's interval. */
 const MAX_PLANNING_INTERVAL_MS = 2500;
 /** The share of CPU time that planning may take. */
 const PLANNING_TIME_RATIO = 0.15;
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -57,8 +57,13 @@
 
 /**
  * Actor that runs in every controller and claims leadership. While it leads, it assigns partitions to controllers and machines
- * to partitions, and manages the machines in the cloud. Every decision is conditional on the leader's term, so that a leader
- * that was replaced without noticing changes nothing.
+ * to partitions, and manages the machines in the cloud.
+ *
+ * A leader that was replaced may act for a while without noticing. It assigns no partition and records no machine, because
+ * these writes are conditional on its term. It can still remove the records of machines that are gone, remove empty values and
+ * write the machine types: these writes are conditional only on the revisions of the values that they change. Requests to the
+ * cloud and messages to partition owners are conditional on neither; an owner applies what it is asked to do under its
+ * partition's epoch.
  */
 export class Leader extends Actor<Message> {
   private readonly leadership: Leadership;
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -19,11 +19,11 @@
 
 /**
  * Leader election through the leader record in the state store. At most one controller leads: the record is created only if
- * there is none, it is bound to the session lease of its writer, and every decision of a leader is conditional on the record's
- * revision, which is its term.
+ * there is none, and it is bound to the session lease of its writer. The record's revision is the leader's term, on which its
+ * assignments of partitions and its records of new machines are conditional.
  */
 export class Leadership {
-  /** Revision of the leader record that this controller last wrote, 0 if it has written none. Fences its decisions. */
+  /** Revision of the leader record that this controller last wrote; 0 if it has written none. */
   term = 0;
   /** Start of the current term, in milliseconds of the steady clock. */
   since = 0;
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -22,7 +22,7 @@
   onList: (machines: ListedMachine[], requestedAt: number) => void;
 }
 
-/** Compares the cloud's machine list with the recorded machines, to register unknown machines and remove those that are gone. */
+/** Compares the cloud's machine list with the recorded machines, to register unknown machines and mark terminated ones. */
 export class MachineListReconciler {
   private requestedAt = Number.NEGATIVE_INFINITY;
   private fetching = false;
@@ -48,7 +48,7 @@
     for (const machine of listed) {
       names.add(machine.name);
       history.recordListed(machine, requestedAt, now);
-      // Its request was carried out late, or the machine is older than the first controller.
+      // A machine is unknown if its request was carried out late or is not answered yet, or if no controller has requested it.
       if (!registry.knows(machine.name)) registry.register(machine.name, machine);
     }
     this.markUnlisted(names, requestedAt, now);
--- a/src/coordination/leader/machine-provisioner.ts
+++ b/src/coordination/leader/machine-provisioner.ts
@@ -57,7 +57,7 @@
       .then((result) => onResult({ request, partitions }, result));
   }
 
-  /** Records the machines that a call provisioned. Until then, the requested machines count as being provisioned. */
+  /** Records the machines that a call provisioned. Until they are recorded, the requested machines count as being provisioned. */
   handleResult({ request, partitions }: ProvisionCall, result: ProvisionResult, now: number): void {
     const { registry, history } = this.deps;
     const provisioned = result.kind === 'provisioned' ? result.machines : [];
--- a/src/coordination/leader/machine-registry.ts
+++ b/src/coordination/leader/machine-registry.ts
@@ -24,14 +24,14 @@
 }
 
 /**
- * Records new machines for partitions and removes the records of machines that are gone. Only the leader's records are applied,
- * and a leader knows everything that was recorded before its term, so no machine is ever recorded twice.
+ * Records new machines for partitions and removes the records of machines that are gone. Only the current leader can record new
+ * machines, and it knows everything that was recorded before its term, so no machine is ever recorded twice.
  */
 export class MachineRegistry {
   /** The term under which machines are recorded, 0 until this controller first leads. */
   leaderTerm = 0;
   private readonly writer: NewMachineWriter;
-  /** Machines whose records were removed. */
+  /** Machines whose records were removed and that were not recorded again. */
   private readonly removed = new Set<string>();
   /** The partition of each machine that is being recorded. */
   private readonly recording = new Map<string, string>();
@@ -64,7 +64,10 @@
     this.terminated.add(id);
   }
 
-  /** Removes the records of machines that are gone and, with them, every task in flight on these machines. */
+  /**
+   * Removes the records of machines that are gone and, with them, every task in flight on these machines. The writes are
+   * conditional on the revisions of the values that they change, not on the leader's term.
+   */
   async removeTerminated(): Promise<void> {
     const { replica, stateStore } = this.deps;
     if (this.removing || this.terminated.size === 0) return;
@@ -104,7 +107,10 @@
     if (isNewer || this.deps.replica.machines.size === 0) this.register(machine, heartbeat);
   }
 
-  /** Records a machine that no known request provisioned, for the partition with the fewest machines. */
+  /**
+   * Records a machine that no known request provisioned, for the partition with the fewest machines. Does nothing if there is no
+   * partition, or if the machine is already known or its record was removed.
+   */
   register(id: string, { type, zone, spot }: MachineKind): void {
     const partition = this.smallestPartition();
     if (!partition || this.removed.has(id) || this.knows(id)) return;
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -65,7 +65,7 @@
     const { stateStore } = this.deps;
     if (result.kind === 'applied')
       return stateStore.whenCaughtUp(result.revision, REPLICA_CATCH_UP_TIMEOUT_MS);
-    // Either an earlier attempt of this controller was applied, or it no longer leads; a fresh replica shows which.
+    // Either an earlier attempt of this controller was applied, or this controller no longer leads; a fresh replica shows which.
     return result.kind === 'conflict' && stateStore.ensureFresh();
   }
 
--- a/src/coordination/leader/partition-assignment.ts
+++ b/src/coordination/leader/partition-assignment.ts
@@ -48,7 +48,10 @@
   sendTo: (member: string, message: PeerMessage) => void;
 }
 
-/** Number of partitions that each live member owns, including what this round of assignment has assigned so far. */
+/**
+ * Number of partitions that each live member owns, including what this round of assignment has assigned so far, plus
+ * LEADER_PARTITION_WEIGHT for the leader.
+ */
 type PartitionCounts = Map<string, number>;
 
 /** A change of a partition's owner. */
@@ -64,7 +67,8 @@
 
 /**
  * Decides which controller owns which partition. A partition changes owners only in the state store, conditional on the
- * leader's term, the partition's epoch and the new owner's membership, so no two controllers hold the same epoch.
+ * partition's epoch and the new owner's membership, so no two controllers hold the same epoch. The leader writes the change,
+ * conditional also on its term; in a handover, the present owner writes it.
  */
 export class PartitionAssignment {
   readonly reachability = new Reachability();
--- a/src/coordination/leader/partition-loads.ts
+++ b/src/coordination/leader/partition-loads.ts
@@ -35,7 +35,8 @@
   /**
    * Whether a partition has changed owners so recently that many of its machines have sent no heartbeat, so that nothing is
    * known of what the partition lacks. Planning a fleet of hundreds of machines at that time would take CPU time from the
-   * owner, which may be this controller, while it must answer the machines' heartbeats.
+   * owner, which may be this controller, while it must answer the machines' heartbeats. The first call
+   * for an epoch records when that epoch was first seen.
    */
   isSettling({ partition, epoch, machines, unconfirmed }: PartitionLoad, now: number): boolean {
     const known = this.firstSeen.get(partition);
--- a/src/coordination/partition/heartbeat-handler.ts
+++ b/src/coordination/partition/heartbeat-handler.ts
@@ -34,7 +34,8 @@
 
 /**
  * Handles the heartbeats of a partition's workers. The cost of a heartbeat is proportional to the number of tasks on its machine,
- * plus one pass over the open jobs if the machine has free resources. It never includes a pass over all machines.
+ * plus a fixed number of passes over the open jobs if the machine has free resources. It includes a pass over all machines only if
+ * the scheduling order must be recomputed, or a job with pending tasks must share or spread over zones.
  */
 export class HeartbeatHandler {
   constructor(private readonly deps: HeartbeatHandlerDependencies) {}
--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -36,7 +36,7 @@
 export class JobSet {
   private readonly pipelines = new PartitionPipelines();
   private readonly unwrittenTerminalStates = new Map<string, TerminalState>();
-  /** Steady time in milliseconds at which a job was last added. */
+  /** Steady time in milliseconds at which a job was last added; 0 if none was. */
   lastArrivalAt = 0;
 
   constructor(private readonly options: JobSetOptions) {}
@@ -111,7 +111,10 @@
       if (jobs.get(member)?.finished === false) this.unwrittenTerminalStates.set(member, state);
   }
 
-  /** Fails a job that runs at most once, because one of its tasks was started and lost. Other jobs run the task again. */
+  /**
+   * Fails a job that runs at most once, after one of its tasks was started and has ended without being done. Any other job is left
+   * open and runs the task again.
+   */
   failIfRunsAtMostOnce(job: PartitionJob): void {
     if (job.runsAtMostOnce && this.pipelines.markInterrupted(job.ref)) this.applyPipeline(job.ref);
   }
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -53,7 +53,7 @@
   readonly inFlight = new Map<number, MachineState>();
   /** Machines on which a task of the job failed. */
   readonly failedMachines = new Set<string>();
-  /** Machines on which tasks of the job were started before its first task was done; empty from then on. */
+  /** Machines on which tasks of the job were in flight before its first task was done; empty from then on. */
   private readonly triedMachines = new Set<string>();
   /** Steady time in milliseconds before which a task is not started again, by the task's index. */
   private readonly retryNotBefore = new Map<number, number>();
@@ -64,7 +64,10 @@
   private retryPauseMs = 1000;
   /** Tasks from this index on may not be started yet: a later owner will assume that they were never started. */
   startWatermark: number;
-  /** Tasks below this index are not started until all machines are confirmed: an earlier owner may have started them. */
+  /**
+   * Tasks below this index are not started until all machines are confirmed: an earlier owner may have started them, or other tasks
+   * of the job that determine their zone.
+   */
   readonly unconfirmedBelow: number;
   /** Number of pending tasks below `unconfirmedBelow`. */
   unconfirmedCount = 0;
@@ -226,8 +229,9 @@
   }
 
   /**
-   * Number of pending tasks that may be started. Until all machines are confirmed, tasks that an earlier owner may have started are
-   * excluded. The counts are maintained incrementally: a search at every first heartbeat after a failover would delay the answers.
+   * Number of pending tasks, without those below `unconfirmedBelow` until all machines are confirmed. The start watermark, the
+   * pipeline and retry delays are not taken into account. The counts are maintained incrementally: a search at every first
+   * heartbeat after a failover would delay the answers.
    */
   startableCount(allConfirmed: boolean): number {
     return allConfirmed ? this.pendingCount : this.pendingCount - this.unconfirmedCount;
@@ -267,8 +271,8 @@
   }
 
   /**
-   * The smallest start watermark that allows `n` pending tasks to start. Tasks that wait until all machines are confirmed are not
-   * counted.
+   * The smallest start watermark that allows `n` pending tasks to start, or all if there are fewer. Tasks that wait until all
+   * machines are confirmed are not counted.
    */
   watermarkToStart(n: number, allConfirmed: boolean): number {
     let remaining = n;
@@ -278,7 +282,7 @@
     return i;
   }
 
-  /** Progress to be recorded. The list of finished tasks is truncated to at most `maxLength` bytes. */
+  /** Progress to be recorded. The text that lists the finished tasks is truncated to at most `maxLength` characters. */
   progress(maxLength: number): JobProgress {
     const doneRanges = encodeRanges(this.taskStates, (s) => s >= TaskState.Done, maxLength);
     return {
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -11,9 +11,9 @@
   core: PartitionCore;
   store: PartitionStore;
   limits: FleetLimits;
-  /** Whether the partition has been handed over, so that nothing is written any more. */
+  /** Whether the partition is handed over or being handed over, so that nothing is written any more. */
   isReleased: () => boolean;
-  /** Called once it is known whether the change of these machines' records was applied, or once the partition is handed over. */
+  /** Called once it is known whether the change of these machines' records was applied, or once the partition is released. */
   onDecided: (machines: string[]) => void;
 }
 
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Repeats a write until its outcome is known, and resolves once the replica shows it. Until then the machines stay cordoned. An
-   * attempt whose response was lost may still be applied, so it is repeated until it is applied, or until it can no longer be
-   * applied because the values have changed. Stops as well if the partition has been handed over.
+   * Repeats a write until its outcome is known, and resolves once the replica shows the outcome. Until then the machines stay
+   * cordoned. An attempt whose response was lost may still be applied, so the write is repeated until it is applied, or until it
+   * can no longer be applied because the values have changed. Resolves without an outcome once the partition is released.
    */
   private async writeUntilDecided(conditions: Condition[], writes: Write[]): Promise<void> {
     const { store, isReleased } = this.options;
--- a/src/coordination/partition/machine.ts
+++ b/src/coordination/partition/machine.ts
@@ -47,7 +47,7 @@
   private readonly usage = new MachineUsage();
   /** Exits in the last heartbeat that the worker was not told to forget yet. */
   private readonly exitedAttempts = new Map<string, TaskExit>();
-  /** Images that the machine has or is fetching. */
+  /** Images of the tasks that were started or adopted on the machine, which is assumed to have or to be fetching them. */
   readonly images = new Set<string>();
   /** Epoch of the worker's agent. The agent begins each epoch without tasks. */
   private agentEpoch = 0;
@@ -59,9 +59,9 @@
   lastHeartbeatAt: number | null = null;
   /** Time since which the machine has had no task. Valid only while it has none. */
   idleSince: number;
-  /** Number of task failures on the machine since the last success on it, by job. */
+  /** Number of task exits with reason `error` on the machine since the last success on it, by job. */
   readonly failuresByJob = new Map<string, number>();
-  /** Whether a task has succeeded on the machine. */
+  /** Whether a task has succeeded on the machine since it became known to this owner. */
   hadTaskSuccess = false;
   /** The partition to which the machine is transferred once it is drained; null if it stays. */
   transferTarget: string | null = null;
@@ -139,7 +139,7 @@
   }
 
   /**
-   * The fencing token to answer with. It is larger than any token of an earlier owner, and larger again after `requireNewToken`.
+   * The fencing token to answer with. It is larger than any token of an earlier owner; `requireNewToken` increases it.
    */
   token(partitionEpoch: number): number {
     return this.firstToken(partitionEpoch) + this.tokenOffset;
@@ -151,13 +151,14 @@
 
   /**
    * Requires the worker to show a new token, which proves that answers reach it. Until then no task is started, because the starts
-   * would be lost.
+   * would be lost. Once all `TOKENS_PER_EPOCH` tokens are used, the last one is required again.
    */
   private requireNewToken(): void {
     this.tokenAcknowledged = false;
     if (this.tokenOffset < TOKENS_PER_EPOCH - 1) this.tokenOffset++;
   }
 
+  /** Whether a lease that was renewed at `renewedAt` has expired even if the worker's clock and this one drift apart. */
   private leaseExpired(renewedAt: number, now: number, leaseMs: number): boolean {
     return now - renewedAt > leaseMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_MS;
   }
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -43,7 +43,7 @@
   teams: readonly Team[];
   /** Returns the machine types by name, as the cloud last listed them. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Returns the specification of a job that is no longer open; its tasks may still be on machines. */
+  /** Returns the specification of a job that is no longer open; its tasks may still be on machines. Undefined if unknown. */
   specOfClosedJob: (ref: string) => JobSpec | undefined;
   options: PartitionOptions;
   /**
@@ -54,8 +54,8 @@
 }
 
 /**
- * A task that has run for at most this time is not stopped for the transfer of its machine to another partition: it would lose all
- * the work it has done.
+ * A task that has run for at most this time is not stopped for the transfer of its machine to another partition: stopped soon after
+ * each start, it would make no progress.
  */
 const MIN_RUN_BEFORE_STOP_MS = 30_000;
 /** Share of a stored value that the list of finished tasks of one job may take. */
@@ -178,7 +178,7 @@
     this.machineSet.upsert(id, record, revision, now);
   }
 
-  /** Removes a machine that is gone, and requeues its tasks. */
+  /** Removes a machine that is gone or belongs to another partition, and requeues its tasks. */
   removeMachine(id: string, now: number): void {
     const machine = this.machineSet.remove(id);
     if (!machine) return;
@@ -202,7 +202,7 @@
 
   /**
    * Drains a machine for its transfer to another partition, or to the cloud if `partition` is `DRAIN_TO_CLOUD`. If `partition` is
-   * this partition, the drain is cancelled.
+   * this partition, the drain is cancelled. Does nothing if the machine is unknown or cordoned.
    */
   drainForTransfer(id: string, partition: string, now: number): void {
     const machine = this.machineSet.setTransferTarget(id, partition);
@@ -215,9 +215,8 @@
 
   /**
    * Whether a task may be stopped so that its machine can be transferred to another partition. The remaining machines must have
-   * room for the task, and it must have run for more than `MIN_RUN_BEFORE_STOP_MS`: stopped soon after each start, it would make
-   * no progress. Neither is required when the machine is drained to the cloud, because the deprovisioning of an expensive machine
-   * must not wait.
+   * room for the task, and it must have run for more than `MIN_RUN_BEFORE_STOP_MS`. Neither is required when the machine is drained
+   * to the cloud, because the deprovisioning of an expensive machine must not wait.
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -13,9 +13,9 @@
 
 /**
  * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to true
- * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition stays here.
- * Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and tasks
- * started in the meantime would be unknown to the new owner.
+ * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition keeps its
+ * owner. Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and
+ * tasks started in the meantime would be unknown to the new owner.
  */
 export async function handOverPartition(
   store: PartitionStore,
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -9,7 +9,10 @@
 /** Share of its expected run time that a task is expected to need at least, however long it has run. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/** The load of a partition, as its owner publishes it to the leader: pending tasks within their teams' quota, and machines. */
+/**
+ * The load of a partition, as its owner publishes it to the leader: the remaining work of running tasks, the backlog of pending
+ * tasks, the demands of pending tasks within their teams' quota, and the machines.
+ */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
@@ -33,7 +36,7 @@
       return {
         machine: m.id,
         tasks: m.tasks.size,
-        // Negative while tasks are stopped to make room: more is reserved than is free.
+        // Free resources are negative while tasks are stopped to make room, because more is reserved than is free.
         freeCpus: Math.max(0, free.cpus),
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
--- a/src/coordination/partition/partition-messages.ts
+++ b/src/coordination/partition/partition-messages.ts
@@ -35,15 +35,20 @@
   /** Sent for a job that had terminated before this owner took over. */
   | { kind: 'job-terminated'; spec: JobSpec; revision: number; state: JobState }
   /**
-   * Transfers a machine, or drains it first if `drain` is true. A drain whose `toPartition` is the actor's own partition cancels
-   * the drain in progress.
+   * Transfers a machine to another partition, or drains it first if `drain` is true. With `drain`, `toPartition` may also be
+   * `DRAIN_TO_CLOUD`, which deprovisions the machine once it is drained, or the actor's own partition, which cancels a drain.
    */
   | { kind: 'move'; machine: string; toPartition: string; drain: boolean }
   /** Deprovisions a machine; only if it is empty, unless `force` is true. */
   | { kind: 'retire'; machine: string; reason: string; force: boolean }
+  /** Hands the partition over to the member `to` in this incarnation. */
   | { kind: 'handover'; to: string; incarnation: number }
-  /** This and the next message are sent by the actor to itself once the state store has what was written. */
+  /** Sent by the actor to itself once the state store has the progress of these jobs. */
   | { kind: 'progress-written'; jobs: ReadonlyMap<string, JobProgress> }
+  /** Sent by the actor to itself once the state store lists these machines as assigned. */
   | { kind: 'machines-assigned'; machines: string[] }
-  /** Sent by the actor to itself once it is known whether a change of these machines' records was applied. */
+  /**
+   * Sent by the actor to itself once it is known whether a change of these machines' records was applied, or once the partition is
+   * released.
+   */
   | { kind: 'records-decided'; machines: string[] };
--- a/src/coordination/partition/partition-state.ts
+++ b/src/coordination/partition/partition-state.ts
@@ -18,7 +18,7 @@
   readonly quota: Pick<TeamQuota, 'usageOf' | 'remaining'>;
   /** Number of machines that may still run tasks of an earlier owner that were not reported to this one. */
   readonly unconfirmedCount: number;
-  /** Steady time in milliseconds at which a job was last added. */
+  /** Steady time in milliseconds at which a job was last added; 0 if none was. */
   readonly lastJobArrivalAt: number;
   /** Maximum size in bytes of the list of finished tasks of one job in a stored value. */
   readonly maxDoneRangesBytes: number;
--- a/src/coordination/partition/priority.ts
+++ b/src/coordination/partition/priority.ts
@@ -1,7 +1,7 @@
 import { PRIORITIES, type JobSpec } from '../../protocol/jobs';
 import { type Objective } from '../../protocol/settings';
 
-/** The deadlines of a job in seconds from its submission, earliest first. */
+/** The deadlines of a job in seconds from acceptance, earliest first; empty if it has none. */
 export function deadlinesOf(spec: JobSpec, objectives: readonly Objective[]): number[] {
   const deadlines: number[] = [];
   for (const objective of objectives) {
@@ -26,8 +26,8 @@
 
 /**
  * Priority of a job with its deadlines taken into account. A job of the lowest priority is raised by one step once more than half
- * of the time to its first deadline has passed, as long as it can meet that deadline. Scheduled after all jobs of a higher
- * priority, it would miss it.
+ * of the time to its first deadline has passed, as long as it can meet that deadline. Otherwise it would be scheduled after all
+ * jobs of a higher priority and miss the deadline.
  */
 export function deadlinePriority(
   spec: JobSpec,
@@ -42,7 +42,10 @@
 
 /** Priority of a job that has exceeded the maximum wait: only jobs of the highest priority go before it. */
 const AGED_PRIORITY = 1;
-/** Priority (normal) to which a job within its team's guarantee is raised once it has waited, so that it goes before idle jobs. */
+/**
+ * Priority (`normal`) to which a job within its team's guarantee is raised once it has waited, so that it goes before jobs of the
+ * lowest priority (`idle`).
+ */
 const AGED_GUARANTEED_PRIORITY = 2;
 /** Age in seconds by which a job must have started a task, however large or late it is. */
 export const MAX_WAIT_TO_START_S = 150;
@@ -53,10 +56,12 @@
 const MAX_WAIT_TO_HALF_STARTED_S = 210;
 /** A job within its team's guarantee is raised after this share of the time in which it must start. */
 const GUARANTEE_WAIT_RATIO = 0.3;
+/** Time from acceptance in which such a job must start if no objective sets it. */
 const DEFAULT_GUARANTEE_S = 60;
 
-/** How long a job has waited, and how much of it has been started. */
+/** How long ago a job was accepted, and how much of it has been started. */
 export interface WaitState {
+  /** Seconds since the job was accepted, in wall-clock time. */
   ageS: number;
   /** Ratio of the tasks in flight or done to the tasks of the job that its team's limit allows to run at once. */
   startedRatio: number;
@@ -76,7 +81,10 @@
   return guaranteeDue ? Math.min(priority, AGED_GUARANTEED_PRIORITY) : priority;
 }
 
-/** Whether a job has exceeded the maximum wait for the start of its first task, or for the start of half of its tasks. */
+/**
+ * Whether a job has exceeded the maximum age for the start of its first task, or for the start of half of the tasks that its
+ * team's limit allows to run at once.
+ */
 export function exceedsMaxWait({ ageS, startedRatio }: WaitState): boolean {
   return startedRatio === 0
     ? ageS > MAX_WAIT_TO_START_S
@@ -98,6 +106,10 @@
     this.samplesByWorkload.set(workload, samples);
   }
 
+  /**
+   * Expected run time of a task of a job, in seconds: the job's own estimate, multiplied by the ratio of measured to estimated run
+   * times of its workload, within bounds, once there are `MIN_SAMPLE_COUNT` samples.
+   */
   expectedSeconds(spec: JobSpec): number {
     const samples = this.samplesByWorkload.get(spec.workload);
     if (!samples || samples.tasks < MIN_SAMPLE_COUNT || samples.expected <= 0) return spec.expectedS;
--- a/src/coordination/partition/progress-writer.ts
+++ b/src/coordination/partition/progress-writer.ts
@@ -13,9 +13,9 @@
   valueBytes: number;
   /** Maximum number of operations in one transaction. */
   txnOps: number;
-  /** Interval between two writes if no task waits for a start watermark. */
+  /** Minimum interval between two writes if no task waits for a start watermark. */
   intervalMs: number;
-  /** Interval between two writes if tasks wait for start watermarks. */
+  /** Minimum interval between two writes if tasks wait for start watermarks. */
   minIntervalMs: number;
   /** Returns the progress to be written now. */
   progress: (now: number) => ProgressToWrite;
--- a/src/coordination/partition/scheduling-order.ts
+++ b/src/coordination/partition/scheduling-order.ts
@@ -14,9 +14,7 @@
  */
 const SIZE_PENALTY_RATIO = 4;
 const MAX_SIZE_PENALTY_S = 90;
-/**
- * A deadline counts as missed only if this share of the estimated run time would exceed it, because estimates can be off by half.
- */
+/** Share of the estimated run time that is taken as the minimum that a job still needs, because estimates can be off by half. */
 const MIN_RUNTIME_RATIO = 0.6;
 
 export interface SchedulingContext {
@@ -41,6 +39,7 @@
     const waitState = { ageS, startedRatio, withinGuarantee: guaranteed.has(job) };
     const priority = deadlinePriority(spec, deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
     job.effectivePriority = agedPriority(priority, waitState, context.objectives);
+    // Within its priority, a job that has exceeded the maximum wait goes first, whatever deadlines it misses.
     const lateness = exceedsMaxWait(waitState)
       ? -1
       : missedDeadlineCount(deadlines, ageS, expectedS * MIN_RUNTIME_RATIO);
--- a/src/coordination/partition/start-watermarks.ts
+++ b/src/coordination/partition/start-watermarks.ts
@@ -2,7 +2,7 @@
 import { type PartitionState } from './partition-state';
 import { MIN_TASK_CPUS } from './resources';
 
-/** Share of the partition's capacity for which start watermarks are raised beyond the tasks that can start now. */
+/** Share of the partition's capacity, and of a team's usage, by which start watermarks run ahead of the tasks that can start. */
 const WATERMARK_AHEAD_RATIO = 0.5;
 
 /** The progress of open jobs that is to be written. */
--- a/src/coordination/partition/task-lifecycle.ts
+++ b/src/coordination/partition/task-lifecycle.ts
@@ -7,6 +7,7 @@
 import { type TaskObserver } from './task-observer';
 import { type TeamQuota } from './team-quota';
 
+/** The first retry of a task is delayed by twice this time, and each further one by twice as long, up to the maximum. */
 const RETRY_BASE_DELAY_MS = 250;
 const MAX_RETRY_DELAY_MS = 30_000;
 /** Added to the estimated duration of a checkpoint, so that a task is not killed if its estimate is slightly too short. */
@@ -83,7 +84,7 @@
     if (lost && task.phase === 'reported') jobSet.failIfRunsAtMostOnce(job);
   }
 
-  /** Handles an exit that a worker has reported. The worker reports it again until it is told to forget it. */
+  /** Handles an exit that a worker has reported. The worker repeats the exit until it is told to forget it. */
   handleExit(machine: MachineState, exit: TaskExit, now: number): void {
     if (exit.inFlight) this.releaseTask(exit.inFlight, now, false);
     const job = this.deps.jobs.get(exit.ref);
--- a/src/coordination/partition/task-observer.ts
+++ b/src/coordination/partition/task-observer.ts
@@ -3,7 +3,7 @@
 import { type MachineState } from './machine';
 import { type PlacementSpreader } from './task-placement';
 
-/** Observes the tasks of a partition, in order to move tasks between machines. */
+/** Observes the tasks of a partition, in order to move tasks between machines. Methods named after an event are notifications. */
 export interface TaskObserver {
   /** Null if new tasks are not spread over the machines. */
   readonly spreader: PlacementSpreader | null;
@@ -13,16 +13,20 @@
   taskDone(ref: string, index: number, now: number): void;
   /** Called when a task has exited without being done and without having been stopped on command. */
   taskFailed(ref: string, index: number, now: number): void;
-  /** Called when a task of a job without checkpoints was done after this many seconds. */
+  /**
+   * Called when a task of a job without checkpoints is done, with the seconds since it was first reported running. Not called if it
+   * was never reported running.
+   */
   runTimeMeasured(spec: JobSpec, seconds: number): void;
   /** Called when the state store has a job's terminal state. */
   jobClosed(ref: string, now: number): void;
-  /** Called when a machine is gone. */
+  /** Called when a machine is gone or belongs to another partition. */
   machineRemoved(id: string, now: number): void;
   /**
    * Starts the tasks for which resources are reserved on a machine whose heartbeat is being answered, and adds the start commands.
    * Called before any other task is placed on the machine.
    */
   startReservedTasks(machine: MachineState, commands: Command[], now: number): void;
+  /** Called at the end of each tick of the partition. */
   tick(now: number): void;
 }
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -15,9 +15,9 @@
 
 /** Number of failures on a machine without a success in between after which it is quarantined. */
 const QUARANTINE_FAILURE_COUNT = 3;
-/** Once a job has been known for this long, it no longer takes precedence on machines that have its image. */
+/** Once a job has been known to this owner for this long, it no longer takes precedence on machines that have its image. */
 const MAX_IMAGE_PRECEDENCE_MS = 30_000;
-/** Attempt numbers available in one epoch, so that the attempts of a later owner have larger numbers. */
+/** Attempts are numbered from the epoch times this. As long as an owner starts fewer tasks, later owners use larger numbers. */
 const ATTEMPTS_PER_EPOCH = 1_000_000;
 /** A machine is given no task once its last heartbeat is older than this many heartbeat intervals and a margin. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 1.5;
@@ -39,7 +39,7 @@
   freeOn(machine: MachineState): Resources | null;
   /** The open jobs in the order in which they are offered resources. */
   jobsInSchedulingOrder(): readonly PartitionJob[];
-  /** Spreads new tasks over the machines; null if they are placed on the cheap and full machines first. */
+  /** Spreads new tasks over the machines; null if tasks are placed on spot machines and on the fullest machines first. */
   readonly spreader: PlacementSpreader | null;
 }
 
@@ -73,9 +73,9 @@
   }
 
   /**
-   * Whether a machine is considered the cause of task failures on it. The failures of a job count against the machine if a task
-   * of the job has succeeded elsewhere, or if no task ever succeeded on the machine. Other jobs that have failed here count once
-   * each, so that only several of them quarantine the machine. The failures of a job that fails everywhere never count: it is
+   * Whether a machine is considered the cause of task failures on it. The failures of a job count against the machine if any task
+   * of the job has succeeded, or if no task ever succeeded on the machine. Other jobs that have failed on the machine count once
+   * each, so that only several of them quarantine it. The failures of a job that fails everywhere never count: it is
    * faulty, and healthy machines would be deprovisioned because of it.
    */
   isQuarantined(machine: MachineState): boolean {
@@ -127,8 +127,9 @@
   }
 
   /**
-   * Chooses as many machines as the pending tasks need, cheap ones first and then the fullest. The others are deprioritized until
-   * more tasks are pending, so that expensive and nearly empty machines become empty and can be deprovisioned.
+   * Chooses as many machines as the pending tasks need: spot machines before on-demand machines, which are more expensive, and of
+   * each kind the fullest first. The others are deprioritized until more tasks are pending, so that expensive and nearly empty
+   * machines become empty and can be deprovisioned. Must be called at each tick.
    */
   prioritizeMachines(now: number): void {
     this.slackCpus = null;
@@ -159,8 +160,9 @@
   }
 
   /**
-   * Starts a task for which resources were reserved on this machine. Returns false if it cannot be started there now. The same
-   * conditions apply as to any other start.
+   * Starts a task for which resources were reserved on this machine; the caller must have released the reservation. Returns false
+   * if the task cannot be started there now. All machines must be confirmed. Retry delays, the spreader and the deprioritization of
+   * the machine are ignored; otherwise the same conditions apply as to any other start.
    */
   startReserved(
     job: PartitionJob,
@@ -194,9 +196,9 @@
 
   /**
    * Starts pending tasks on a machine whose heartbeat is being answered: first fit in scheduling order, in two passes for each
-   * priority. The first pass considers only jobs whose image the machine has, because fetching an image often takes as long as
-   * running a task. It excludes jobs known for `MAX_IMAGE_PRECEDENCE_MS` or longer, so that a job defers others no longer than
-   * that. The second pass considers all jobs.
+   * effective priority. The first pass considers only jobs whose image the machine has, because fetching an image often takes as
+   * long as running a task. It excludes jobs known for `MAX_IMAGE_PRECEDENCE_MS` or longer, so that a job defers others no longer
+   * than that. The second pass considers all jobs.
    */
   placeTasks(machine: MachineState, commands: Command[], now: number): void {
     if (machine.deprioritized || !this.acceptsTasks(machine, now)) return;
@@ -239,7 +241,8 @@
   }
 
   /**
-   * Number of tasks of a job that keep a machine at the level of the others: at least one while the machine is below that level.
+   * Number of tasks of a job that keep a machine at the level of the others: at least one while the machine is below that level;
+   * infinity without a spreader.
    */
   private maxSpreadStarts({ spec }: PartitionJob, machine: MachineState, free: Resources): number {
     const { spreader } = this.context;
--- a/src/coordination/pipeline/recovery-pass.ts
+++ b/src/coordination/pipeline/recovery-pass.ts
@@ -1,9 +1,10 @@
 import { type EdgeKind } from '../../protocol/jobs';
 
-/**
+/*
  * The recovery pass of the paper by Ray, Xin and Zhu (section 5, phase 3) and its typed edges (section 3), for one pipeline. The
  * functions are pure: they compute decisions from the states of the pipeline's jobs.
  */
+
 /** A typed edge between two jobs, given by their indices: `to` depends on `from`. */
 export interface Edge {
   from: number;
@@ -88,8 +89,8 @@
 }
 
 /**
- * Cancels all jobs that abort-depend on a failed job, directly or through others, unless done, and releases their fallbacks and
- * alternates.
+ * Cancels all jobs that abort-depend on a failed job, directly or through others, unless done. Releases the fallbacks and
+ * alternates of the failed job and of the cancelled ones.
  */
 function propagateFailure(
   first: number,
@@ -121,7 +122,7 @@
   }
 }
 
-/** Whether a job may begin: every begin-on-commit parent is done and, if it is a fallback or alternate, it has been released. */
+/** Whether a job may begin: its begin-on-commit parents are done and, if the job is a fallback or alternate, it was released. */
 export function mayBegin(
   nodes: readonly PipelineNode[],
   edges: readonly Edge[],
--- a/test/partition/machine-transfer.test.ts
+++ b/test/partition/machine-transfer.test.ts
@@ -34,8 +34,18 @@
         true,
         ['stop job-1'],
       ],
-      ['the task keeps running if no other machine of the partition has room for it', 40_000, false, []],
-      ['the task keeps running if it has run only for a short time', 20_000, true, []],
+      [
+        'a task that can save a checkpoint keeps running if no other machine of the partition has room for it',
+        40_000,
+        false,
+        [],
+      ],
+      [
+        'a task that can save a checkpoint keeps running if it has run only for a short time',
+        20_000,
+        true,
+        [],
+      ],
     ] as const
   ).map(([name, now, roomElsewhere, expected]): PartitionCase => [
     name,
--- a/test/partition/machine.test.ts
+++ b/test/partition/machine.test.ts
@@ -47,7 +47,7 @@
       assert.equal(
         startedTasks(partition.heartbeat('m', 0)).length,
         4,
-        'the job was accepted before, but cannot be on that machine',
+        'the job was accepted before the takeover, but no task can be on a machine that was never assigned',
       );
       assert.deepEqual(startedTasks(partition.heartbeat('booting', 100)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['booting']);
--- a/test/partition/placement.test.ts
+++ b/test/partition/placement.test.ts
@@ -48,8 +48,8 @@
       assert.equal(remainingInZone({ ...JOB_SPEC, ...change }, 'a', new Map(inFlightByZone)), expected),
     );
   }
-  // Machines were provisioned in zones that a job may not use. Once it had lost its machines in the others, it stayed pending
-  // forever.
+  // Machines were provisioned in zones that a job may not use. Once the job had lost its machines in the allowed zones, it stayed
+  // pending forever.
   const zoneCases: [string, Partial<JobSpec>, [string, number][], string[] | null][] = [
     ['all zones without a zone constraint', {}, [['b', 9]], null],
     ['the required zone', { zone: 'b' }, [], ['b']],
--- a/test/partition/priority.test.ts
+++ b/test/partition/priority.test.ts
@@ -54,17 +54,17 @@
       0,
     ],
     [
-      'an idle job keeps its priority before half of the time to its deadline has passed',
+      'a job of the lowest priority keeps it before half of the time to its deadline has passed',
       () => deadlinePriority(idle, [250], 100, 30),
       3,
     ],
     [
-      'an idle job is raised by one step after half of the time to its deadline',
+      'a job of the lowest priority is raised by one step after half of the time to its deadline',
       () => deadlinePriority(idle, [250], 130, 30),
       2,
     ],
     [
-      'an idle job that cannot meet its deadline any more is not raised',
+      'a job of the lowest priority that cannot meet its deadline any more is not raised',
       () => deadlinePriority(idle, [250], 230, 30),
       3,
     ],
@@ -74,22 +74,22 @@
       2,
     ],
     [
-      'a job that has waited for long without starting a task is raised',
+      'a job without started tasks is raised after the maximum wait for its first task',
       () => agedPriority(3, waitState(160), objectives),
       1,
     ],
     [
-      'a job that has started some tasks is not raised at that age',
+      'a job with started tasks is not raised after the maximum wait for its first task',
       () => agedPriority(3, waitState(160, 0.1), objectives),
       3,
     ],
     [
-      'a job that has started less than half of its tasks is raised at a higher age',
+      'a job that has started less than half of its tasks is raised after the maximum wait for half of them',
       () => agedPriority(3, waitState(220, 0.1), objectives),
       1,
     ],
     [
-      'a job that has started half of its tasks is not raised at that age',
+      'a job that has started half of its tasks is not raised after the maximum wait for half of them',
       () => agedPriority(3, waitState(220, 0.5), objectives),
       3,
     ],
--- a/test/partition/unconfirmed-machines.test.ts
+++ b/test/partition/unconfirmed-machines.test.ts
@@ -14,15 +14,15 @@
     // Heartbeats of such a machine kept arriving, and each answer counted as a renewal of its lease, which therefore never expired.
     'a machine that receives no answers of a new owner delays tasks for at most the length of a lease',
     (partition) => {
-      partition.addMachine('deaf', BEFORE_OWNER);
+      partition.addMachine('unanswered', BEFORE_OWNER);
       partition.addMachine('m', BEFORE_OWNER);
       partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
       for (let now = 0; now <= 12_000; now += 2000) {
-        partition.heartbeat('deaf', now, [], { token: 0 });
+        partition.heartbeat('unanswered', now, [], { token: 0 });
         assert.deepEqual(startedTasks(partition.heartbeat('m', now + 100)), []);
       }
       assert.deepEqual(
-        startedTasks(partition.heartbeat('deaf', 13_000, [], { token: 0 })),
+        startedTasks(partition.heartbeat('unanswered', 13_000, [], { token: 0 })),
         [],
         'the machine itself is given no tasks',
       );
--- a/test/pipeline/pipelines.test.ts
+++ b/test/pipeline/pipelines.test.ts
@@ -61,13 +61,13 @@
       { ready: 'a', statuses: 'a:ready b:waiting(a)' },
     ],
     [
-      'any other interrupted job fails, its abort-dependents are dropped, and its fallback waits until that is recorded',
+      'an interrupted job that runs at most once fails, its abort-dependents are dropped, and its fallback waits until that is recorded',
       { a: { runsOnce: true }, b: { after: [abort('a')] }, c: { after: [fallback('a')] } },
       ['a'],
       { ready: '', statuses: 'a:failed b:dropped(a) c:waiting(a)', failed: false },
     ],
     [
-      'a fallback is ready once the failure is recorded',
+      'a fallback is ready once the failure of its job is recorded',
       {
         a: { runsOnce: true, state: 'failed' },
         b: { after: [abort('a')], state: 'dropped' },
