--- a/src/coordination/leader/cloud-client.ts
+++ b/src/coordination/leader/cloud-client.ts
@@ -54,7 +54,7 @@
 
   /** Takes one call from the rate limit. Returns false if none is left at present. */
   tryAcquireCall(): boolean {
-    return this.limiter.take(this.options.clock.steady(), 1);
+    return this.limiter.tryTake(this.options.clock.steady(), 1);
   }
 
   /** Fetches the machine types that the cloud offers. Resolves to null if the response is missing, malformed or an error. */
