--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { balance } from './balance-command';
+import { showBalance } from './balance-command';
 import { cancel, EXIT_CODES, status, submit, type ClientOptions } from './client';
 import { readFeatures, readSettings, startService, VERSION, type ServiceOptions } from '../startup/service';
 import { exitWithError } from '../startup/settings-files';
@@ -53,17 +53,17 @@
     (ref: string, options: ClientOptions) => setExitCode(cancel(ref, options, output)),
   );
   withClientOptions(program.command('balance').description('show load, and what is moved and why')).action(
-    (options: ClientOptions) => setExitCode(balance(options, output)),
+    (options: ClientOptions) => setExitCode(showBalance(options, output)),
   );
   return program;
 }
 
-/** Does what the words on the command line ask for. */
+/** Runs the command that the command line names. */
 export function runCommandLine(): void {
   const program = createProgram();
   const commandName = process.argv[2] ?? '';
   const names = [...program.commands.map((c) => c.name()), 'help'];
   if (/^[a-z]/.test(commandName) && !names.includes(commandName))
-    exitWithError(`no command '${commandName}', only ${names.join(', ')}`);
+    exitWithError(`unknown command '${commandName}', expected one of: ${names.join(', ')}`);
   program.parse();
 }
