--- a/test/partition/job.test.ts
+++ b/test/partition/job.test.ts
@@ -3,8 +3,8 @@
 import { type Command, type HeartbeatTask } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -15,7 +15,7 @@
   [
     'the worker is told to forget an exit only once its outcome is durable, and a job is done once all its tasks are done',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -28,8 +28,8 @@
   [
     'no task of a cancelled job is started, and its running tasks are stopped and count against the limit until they are gone',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 4 }));
       const commands = partition.heartbeat('m', 0);
       partition.heartbeat(
@@ -56,8 +56,8 @@
     // Once the job was done, its tasks no longer counted against the quota, although one was still being stopped on a machine.
     'a job is done only once no other attempt of its tasks is left on any machine',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [first] = partition.heartbeat('m', 0).filter((c) => c.op === 'start');
       partition.core.tick(13_000, 0);
@@ -73,8 +73,8 @@
   [
     'tasks recorded as done are not run again',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 4 }), BEFORE_OWNER, '0-1,3');
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 4 }), REVISION_BEFORE_EPOCH, '0-1,3');
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), ['job-1/2']);
     },
   ],
@@ -83,9 +83,14 @@
     (partition) => {
       const runOncePipeline = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
       const alternate = { ...runOncePipeline, reExecutable: true, alternateFor: 'job-1' };
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }), AFTER_OWNER, '', 0);
-      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: alternate }), AFTER_OWNER + 1);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addJob(
+        jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }),
+        REVISION_AFTER_EPOCH,
+        '',
+        0,
+      );
+      partition.addJob(jobSpec('job-2', { tasks: 1, pipeline: alternate }), REVISION_AFTER_EPOCH + 1);
       assert.deepEqual(
         startedTasks(partition.heartbeat('m', 0)),
         [],
@@ -116,16 +121,21 @@
     'after a takeover, a job that runs at most once continues if all its started tasks are reported, and fails otherwise',
     (partition) => {
       const runOncePipeline = { ref: 'p', after: [], reExecutable: false, alternateFor: null };
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }), BEFORE_OWNER, '', 1);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addJob(
+        jobSpec('job-1', { tasks: 2, pipeline: runOncePipeline }),
+        REVISION_BEFORE_EPOCH,
+        '',
+        1,
+      );
       partition.addJob(
         jobSpec('job-2', { tasks: 2, pipeline: { ...runOncePipeline, ref: 'q' } }),
-        BEFORE_OWNER,
+        REVISION_BEFORE_EPOCH,
         '',
         1,
       );
       const live: HeartbeatTask = { ref: 'job-1', index: 0, attempt: 7, phase: 'running', exit: null };
-      partition.heartbeat('m', 0, [live], { token: BEFORE_OWNER * 1024 });
+      partition.heartbeat('m', 0, [live], { token: REVISION_BEFORE_EPOCH * 1024 });
       partition.heartbeat('m', 500, [live]);
       assert.deepEqual([...partition.core.terminalStates], [['job-2', 'failed']]);
     },
--- a/test/partition/machine.test.ts
+++ b/test/partition/machine.test.ts
@@ -3,8 +3,8 @@
 import { type HeartbeatTask } from '../../src/protocol/workers';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   OWNER_EPOCH,
   type PartitionCase,
   PartitionHarness,
@@ -16,7 +16,7 @@
   [
     'a start is repeated only after a newer heartbeat that does not report the task',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       assert.equal(startedTasks(partition.heartbeat('m', 0)).length, 1);
       const late = partition.heartbeat('m', 100, [], { sequence: 1 });
@@ -32,18 +32,21 @@
   [
     'a machine that was taken over is given no tasks before it shows the new token',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
       partition.addJob(jobSpec('job-1'));
-      assert.deepEqual(startedTasks(partition.heartbeat('m', 0, [], { token: BEFORE_OWNER * 1024 })), []);
+      assert.deepEqual(
+        startedTasks(partition.heartbeat('m', 0, [], { token: REVISION_BEFORE_EPOCH * 1024 })),
+        [],
+      );
       assert.equal(startedTasks(partition.heartbeat('m', 500, [], { token: OWNER_EPOCH * 1024 })).length, 2);
     },
   ],
   [
     'a machine that no owner assigned delays no tasks, and is given none until it is assigned',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addUnassignedMachine('booting', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1', { tasks: 6 }), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addUnassignedMachine('booting', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1', { tasks: 6 }), REVISION_BEFORE_EPOCH);
       assert.equal(
         startedTasks(partition.heartbeat('m', 0)).length,
         4,
@@ -58,11 +61,11 @@
   [
     'a machine of an earlier owner that comes back from another partition is assigned again',
     (partition) => {
-      partition.assignedByEarlierOwner('m');
-      partition.addUnassignedMachine('n', AFTER_OWNER);
+      partition.recordAssignedByEarlierOwner('m');
+      partition.addUnassignedMachine('n', REVISION_AFTER_EPOCH);
       partition.heartbeat('n', 0);
       assert.deepEqual(partition.core.unassignedMachines(), ['n'], 'the list is rewritten without m');
-      partition.addUnassignedMachine('m', AFTER_OWNER + 1);
+      partition.addUnassignedMachine('m', REVISION_AFTER_EPOCH + 1);
       partition.addJob(jobSpec('job-1'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 1000)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['n', 'm']);
@@ -75,10 +78,10 @@
     // know of its tasks.
     'a machine that left and came back is assigned again',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1'));
       partition.core.removeMachine('m', 0);
-      partition.addUnassignedMachine('m', AFTER_OWNER);
+      partition.addUnassignedMachine('m', REVISION_AFTER_EPOCH);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
       assert.deepEqual(partition.core.unassignedMachines(), ['m']);
     },
@@ -86,11 +89,11 @@
   [
     'live tasks of an earlier owner are adopted and not started again',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       const live: HeartbeatTask = { ref: 'job-1', index: 0, attempt: 7, phase: 'running', exit: null };
-      partition.heartbeat('m', 0, [live], { token: BEFORE_OWNER * 1024 });
+      partition.heartbeat('m', 0, [live], { token: REVISION_BEFORE_EPOCH * 1024 });
       assert.deepEqual(startedTasks(partition.heartbeat('m', 500, [live])), ['job-1/1']);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 600)), []);
     },
@@ -98,8 +101,8 @@
   [
     'a start refused because another attempt is live leaves the task on its machine',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -111,7 +114,7 @@
   [
     'a new agent epoch ends all tasks on the machine, and they are started again',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -125,8 +128,8 @@
   [
     'tasks of a machine that is gone are started on another machine',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 2 }));
       partition.heartbeat('m', 0);
       assert.deepEqual(startedTasks(partition.heartbeat('n', 0)), []);
@@ -137,7 +140,7 @@
   [
     'on a preemption notice, no task is started and a task that can save a checkpoint is stopped in time',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1, checkpointIntervalS: 30, checkpointDurationS: 3 }));
       const [start] = partition.heartbeat('m', 0);
       assert.ok(start);
@@ -160,9 +163,9 @@
     // that they were not there.
     'a machine that sends heartbeats but receives no answers is given no tasks until it shows a new token',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.addJob(jobSpec('job-1', { tasks: 1 }));
-      const staleToken = AFTER_OWNER * 1024;
+      const staleToken = REVISION_AFTER_EPOCH * 1024;
       assert.equal(startedTasks(partition.heartbeat('m', 0, [], { token: staleToken })).length, 1);
       for (const now of [2000, 4000, 6000])
         assert.deepEqual(startedTasks(partition.heartbeat('m', now, [], { token: staleToken })), []);
@@ -170,7 +173,7 @@
         startedTasks(partition.heartbeat('m', 20_000, [], { agentEpoch: 2, sequence: 1, token: staleToken })),
         [],
       );
-      partition.addMachine('n', AFTER_OWNER);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
       assert.equal(
         startedTasks(partition.heartbeat('n', 20_100)).length,
         1,
@@ -189,7 +192,7 @@
     // Hundreds of machines were deprovisioned within seconds of being up, because they counted as idle since they were provisioned.
     'a machine counts as idle from its first heartbeat on, not from its provisioning',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
       partition.heartbeat('m', 30_000);
       assert.equal(partition.core.currentLoad(31_000).machines[0]?.idleMs, 1000);
     },
--- a/test/partition/unconfirmed-machines.test.ts
+++ b/test/partition/unconfirmed-machines.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { jobSpec } from '../support/job-spec';
 import {
-  AFTER_OWNER,
-  BEFORE_OWNER,
+  REVISION_AFTER_EPOCH,
+  REVISION_BEFORE_EPOCH,
   type PartitionCase,
   PartitionHarness,
   startedTasks,
@@ -14,9 +14,9 @@
     // Heartbeats of such a machine kept arriving, and each answer counted as a renewal of its lease, which therefore never expired.
     'a machine that receives no answers of a new owner delays tasks for at most the length of a lease',
     (partition) => {
-      partition.addMachine('deaf', BEFORE_OWNER);
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('deaf', REVISION_BEFORE_EPOCH);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       for (let now = 0; now <= 12_000; now += 2000) {
         partition.heartbeat('deaf', now, [], { token: 0 });
         assert.deepEqual(startedTasks(partition.heartbeat('m', now + 100)), []);
@@ -32,9 +32,9 @@
   [
     'tasks wait for a machine that may have received an answer in the meantime',
     (partition) => {
-      partition.addMachine('m', BEFORE_OWNER);
-      partition.addMachine('late', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_BEFORE_EPOCH);
+      partition.addMachine('late', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       partition.heartbeat('late', 8000, [], { token: 0 });
       partition.core.tick(13_000, 0);
       assert.deepEqual(
@@ -49,9 +49,9 @@
   [
     'while a machine is unconfirmed, jobs accepted before the takeover wait and later ones are started',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
-      partition.addJob(jobSpec('job-1'), BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
+      partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH);
       partition.addJob(jobSpec('job-2'));
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), ['job-2/0', 'job-2/1']);
       partition.core.tick(12_000, 0);
@@ -66,7 +66,7 @@
       // Tasks that an earlier owner may have started count, wherever they are; otherwise a limit could be exceeded unnoticed.
       [
         'tasks of the team that were not reported since the takeover',
-        (partition) => partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
+        (partition) => partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH),
         2,
       ],
       [
@@ -89,7 +89,7 @@
       [
         'tasks of a job cancelled while the machine is silent',
         (partition) => (
-          partition.addJob(jobSpec('job-1'), BEFORE_OWNER),
+          partition.addJob(jobSpec('job-1'), REVISION_BEFORE_EPOCH),
           partition.closeJob('job-1', 'cancelled')
         ),
         2,
@@ -98,9 +98,9 @@
   ).map(([name, setUp, reserved]): PartitionCase => [
     `quota is reserved for a silent machine: ${name}`,
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('n', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('n', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH);
       setUp(partition);
       partition.addJob(jobSpec('job-2', { tasks: 20 }));
       assert.equal(
@@ -120,9 +120,14 @@
     // had not sent a heartbeat yet.
     'tasks that must share a zone wait until all machines are confirmed, even if they were never started',
     (partition) => {
-      partition.addMachine('m', AFTER_OWNER);
-      partition.addMachine('silent', BEFORE_OWNER, { zone: 'b' });
-      partition.addJob(jobSpec('job-1', { tasks: 4, cpus: 0.1, singleZone: true }), BEFORE_OWNER, '', 1);
+      partition.addMachine('m', REVISION_AFTER_EPOCH);
+      partition.addMachine('silent', REVISION_BEFORE_EPOCH, { zone: 'b' });
+      partition.addJob(
+        jobSpec('job-1', { tasks: 4, cpus: 0.1, singleZone: true }),
+        REVISION_BEFORE_EPOCH,
+        '',
+        1,
+      );
       partition.core.markProgressWritten(partition.core.progress(0).jobs);
       assert.deepEqual(startedTasks(partition.heartbeat('m', 0)), []);
     },
--- a/tools/balance/variants.ts
+++ b/tools/balance/variants.ts
@@ -1,5 +1,5 @@
 /** The variants that the comparison of days with and without load balancing simulates. */
-import { type BalanceDayResult } from '../../test/standin/balance-day';
+import { type BalanceSimulationResult } from '../../test/standin/balance-day';
 
 /** A configuration of the service in the comparison. */
 export interface Variant {
@@ -11,7 +11,7 @@
 /** The simulated days of one variant, one per seed. */
 export interface VariantDays {
   variant: Variant;
-  days: BalanceDayResult[];
+  days: BalanceSimulationResult[];
 }
 
 export const VARIANTS: readonly Variant[] = [
