--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -11,9 +11,9 @@
 import { type Resources } from '../partition/resources';
 import { type PlacementSpreader } from '../partition/task-placement';
 
-/** Fills all machines of a partition to the same share of their CPUs. */
+/** Spreads new tasks so that all machines of a partition are filled to the same share of their CPUs. */
 export class EvenSpreader implements PlacementSpreader {
-  private level = 1;
+  private targetUtilization = 1;
 
   constructor(
     private readonly core: PartitionCore,
@@ -26,7 +26,7 @@
       const cpus = this.typeOf(machine)?.cpus ?? 0;
       fills.push({ cpus, usedCpus: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
     }
-    this.level = evenUtilization(fills, pendingCpus);
+    this.targetUtilization = evenUtilization(fills, pendingCpus);
   }
 
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
@@ -37,7 +37,7 @@
     const expectedS = this.core.estimates.expectedSeconds(spec);
     return evenCpuAllowance(
       { capacity: type, free },
-      this.level,
+      this.targetUtilization,
       savedFetchS,
       expectedS,
       this.localityWeight,
