--- a/packages/load-balancer/src/machine-clearing.ts
+++ b/packages/load-balancer/src/machine-clearing.ts
@@ -38,13 +38,13 @@
     const { resources } = pending.spec;
     const { moves, free } = this.chooseMoves(machine, pending);
     if (!fits(free, resources)) return null;
-    const needed = withoutUnneededMoves(moves, free, resources);
-    if (needed.length > maxMoves) return this.refuse('too many moves');
+    const neededMoves = withoutUnneededMoves(moves, free, resources);
+    if (neededMoves.length > maxMoves) return this.refuse('too many moves');
     return {
       machine,
-      moves: needed,
-      costS: needed.reduce((sum, { costS }) => sum + costS, 0),
-      clearedInS: Math.max(0, ...needed.map(({ cost }) => cost.commandLatencyS + cost.checkpointS)),
+      moves: neededMoves,
+      costS: neededMoves.reduce((sum, { costS }) => sum + costS, 0),
+      clearedInS: Math.max(0, ...neededMoves.map(({ cost }) => cost.commandLatencyS + cost.checkpointS)),
     };
   }
 
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -16,7 +16,7 @@
 const MAX_JOBS_PER_ROUND = 6;
 const MAX_CLEARED_MACHINES_PER_JOB = 4;
 /** Maximum waiting time that a clearing is taken to save, however long the wait would be. */
-const MAX_GAIN_S = 300;
+const MAX_COUNTED_WAIT_S = 300;
 /** Quantile of their remaining time at which tasks are assumed to end, because a wait that may end by itself is worth less. */
 const EARLY_END_PROBABILITY = 0.35;
 
@@ -72,7 +72,7 @@
       .slice(0, MAX_MACHINES_PER_JOB);
     const waitsS = machines.map((machine) => this.waitWithoutMoves(machine, spec.resources));
     const best = this.cheapestClearing(machines, pending);
-    return best && this.accept(best, pending, Math.min(MAX_GAIN_S, ...waitsS));
+    return best && this.accept(best, pending, Math.min(MAX_COUNTED_WAIT_S, ...waitsS));
   }
 
   private cheapestClearing(machines: readonly MachineSnapshot[], pending: PendingTasks): ClearingPlan | null {
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -41,7 +41,7 @@
 }
 
 /** Number of heartbeat intervals within which a step that depends on a heartbeat must be done. */
-const MAX_PENDING_HEARTBEATS = 4;
+const STEP_TIMEOUT_HEARTBEAT_INTERVALS = 4;
 /** Number of decisions that are buffered until they are taken. Further decisions are dropped. */
 const MAX_BUFFERED_DECISIONS = 200;
 
@@ -62,7 +62,7 @@
     private readonly timeouts: MoveTimeouts,
   ) {}
 
-  get inFlight(): number {
+  get inFlightCount(): number {
     return this.moves.size;
   }
 
@@ -217,7 +217,7 @@
 
   private timeoutMs(state: MoveState, checkpointS: number): number {
     const { heartbeatIntervalMs, leaseMs } = this.timeouts;
-    const heartbeatTimeoutMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    const heartbeatTimeoutMs = STEP_TIMEOUT_HEARTBEAT_INTERVALS * heartbeatIntervalMs;
     // The tasks of a source that stops sending heartbeats are certainly gone only after their lease has expired.
     if (state === 'stopping') return leaseMs + checkpointS * 1000 + heartbeatTimeoutMs;
     return state === 'starting' ? leaseMs : heartbeatTimeoutMs;
--- a/packages/load-balancer/src/partition-balancer.ts
+++ b/packages/load-balancer/src/partition-balancer.ts
@@ -46,12 +46,12 @@
   plan(now: number): void {
     const { snapshot, settings } = this.options;
     if (!settings.task_moves) return;
-    const machines = snapshot.machines().length;
+    const machineCount = snapshot.machines().length;
     const context = this.planContext(now);
-    const maxMoves = this.budget.remainingMoves(now, machines, this.tracker.inFlight);
+    const maxMoves = this.budget.remainingMoves(now, machineCount, this.tracker.inFlightCount);
     this.beginMoves(new MovePlanner(snapshot, context, maxMoves).plan(), now);
     // The snapshot now includes the reservations of the moves above.
-    const maxFetchMoves = this.budget.remainingMoves(now, machines, this.tracker.inFlight);
+    const maxFetchMoves = this.budget.remainingMoves(now, machineCount, this.tracker.inFlightCount);
     if (maxFetchMoves > 0) this.beginMoves(planFetchMoves(snapshot, context, maxFetchMoves), now);
   }
 
@@ -144,7 +144,13 @@
         running: totalWork(running),
         waiting: totalWork(queued),
       })),
-      moves: { planned: this.plannedCount, begun, completed, abandoned, inFlight: this.tracker.inFlight },
+      moves: {
+        planned: this.plannedCount,
+        begun,
+        completed,
+        abandoned,
+        inFlight: this.tracker.inFlightCount,
+      },
       refusals: this.refusals.byReason(),
     };
   }
--- a/packages/load-balancer/test/move-planner.test.ts
+++ b/packages/load-balancer/test/move-planner.test.ts
@@ -202,7 +202,7 @@
   const { partition, balancer } = runRound(cases[0] as PlanningCase);
   const stopped = [...partition.stoppedTasks];
   balancer.tracker.tick(1_000_000);
-  assert.equal(balancer.tracker.inFlight, 0);
+  assert.equal(balancer.tracker.inFlightCount, 0);
   for (const m of partition.fleet) m.tasks = m.tasks.map((t) => ({ ...t, pinned: null }));
   for (let now = 1_000_000; now < 1_200_000; now += 10_000) {
     balancer.plan(now);
@@ -283,7 +283,10 @@
           );
           assert.ok(freeAfterStops >= -1e-9, 'the job reservations fit once all stopped tasks have left');
         }
-        assert.ok(balancer.tracker.inFlight <= 4, 'no more moves are in progress than the settings allow');
+        assert.ok(
+          balancer.tracker.inFlightCount <= 4,
+          'no more moves are in progress than the settings allow',
+        );
         assert.ok(rounds++ < 12, 'planning for unchanged load ends');
       }
     }),
--- a/packages/load-balancer/test/move-tracker.test.ts
+++ b/packages/load-balancer/test/move-tracker.test.ts
@@ -176,7 +176,7 @@
     (moves) => {
       moves.begin(plan(['m1']), 0);
       moves.tick(12_000);
-      assert.equal(moves.inFlight, 1, 'the task may be on its source until the lease has expired');
+      assert.equal(moves.inFlightCount, 1, 'the task may be on its source until the lease has expired');
       moves.tick(40_000);
     },
   ],
@@ -230,7 +230,7 @@
   test(`moves: ${name}`, () => {
     const { moves, recorder } = createTracker();
     run(moves, recorder);
-    assert.equal(moves.inFlight, 0);
+    assert.equal(moves.inFlightCount, 0);
     assert.equal(
       recorder.unreleasedCount,
       0,
--- a/src/coordination/balancing/even-spreader.ts
+++ b/src/coordination/balancing/even-spreader.ts
@@ -21,12 +21,12 @@
   ) {}
 
   updateFillLevel(machines: Iterable<MachineState>, pendingCpus: number): void {
-    const fills: MachineCpuUsage[] = [];
+    const cpuUsages: MachineCpuUsage[] = [];
     for (const machine of machines) {
       const cpus = this.typeOf(machine)?.cpus ?? 0;
-      fills.push({ cpus, usedCpus: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
+      cpuUsages.push({ cpus, usedCpus: cpus - (this.core.freeOn(machine)?.cpus ?? 0) });
     }
-    this.targetUtilization = evenUtilization(fills, pendingCpus);
+    this.targetUtilization = evenUtilization(cpuUsages, pendingCpus);
   }
 
   cpuAllowance(machine: MachineState, free: Resources, spec: JobSpec): number {
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -18,7 +18,7 @@
 const STORE_CONNECTION_COUNT = 12;
 const WATCH_CONNECTION_COUNT = 2;
 const CLOUD_CONNECTION_COUNT = 6;
-const HEALTH_WATCH_DELAY_MS = 20_000;
+const HEALTH_MONITORING_DELAY_MS = 20_000;
 const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 const RANDOM_SUFFIX_RANGE = 2 ** 40;
 
@@ -43,7 +43,7 @@
     balancing,
   });
   const health = new ProcessHealth();
-  clock.schedule(HEALTH_WATCH_DELAY_MS, () => health.startMonitoring(clock));
+  clock.schedule(HEALTH_MONITORING_DELAY_MS, () => health.startMonitoring(clock));
   const dependencies: ApiDependencies = {
     jobService: controller.jobService,
     receiveHeartbeat: (heartbeat, reply) => controller.receiveHeartbeat(heartbeat, reply),
@@ -51,14 +51,14 @@
     status: () => ({ ...controller.status(), process: health.summary() }),
     log,
   };
-  const plainServer = createRequestServer({
+  const requestServer = createRequestServer({
     route: plainRoutes(dependencies),
     fallbackServer: memoize(() => loadExpressServer(dependencies)),
     maxBodyBytes: MAX_BODY_BYTES,
   });
-  plainServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
+  requestServer.on('error', (error) => log.error({ error }, 'cannot listen for requests'));
   const apiAddress = parseAddress(settings.listenAddress);
-  plainServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
+  requestServer.listen(apiAddress.port, apiAddress.host, MAX_PENDING_CONNECTIONS);
   const peerAddress = parseAddress(settings.peerListenAddress);
   listenForPeers({
     ...peerAddress,
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -116,7 +116,7 @@
     const { balancing } = this.dependencies;
     return {
       member: this.settings.member,
-      alive: this.membership.alive(),
+      alive: this.membership.mayAct(),
       leading: this.leader.leading,
       revision: this.stateStore.replica.revision,
       store: { ...this.stateStore.counters, changes: this.stateStore.requestedWritesByKind },
--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -65,7 +65,7 @@
     mayDefer: boolean,
   ): void {
     const { membership, replica, partitions } = this.deps;
-    if (!membership.alive()) return reply({ kind: 'busy' });
+    if (!membership.mayAct()) return reply({ kind: 'busy' });
     const machine = replica.machines.get(heartbeat.machine);
     if (!machine) return this.answerUnknownMachine(heartbeat, reply);
     const partition = partitions.get(machine.record.partition);
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -34,13 +34,13 @@
   /** Whether this controller leads, according to its session lease and its replica. */
   get held(): boolean {
     const { membership, replica } = this.deps;
-    return this.term !== 0 && membership.alive() && replica.leader?.term === this.term;
+    return this.term !== 0 && membership.mayAct() && replica.leader?.term === this.term;
   }
 
   /** Creates the leader record if there is none. Does nothing while another controller leads. */
   async claim(): Promise<void> {
     const { membership, stateStore, replica } = this.deps;
-    if (this.claiming || !membership.alive() || !stateStore.replica.synced) return;
+    if (this.claiming || !membership.mayAct() || !stateStore.replica.synced) return;
     if (replica.leader) return this.recognizeOwnClaim(replica.leader);
     this.claiming = true;
     const record: MemberRecord = { member: membership.name };
--- a/src/coordination/leader/new-machine-writer.ts
+++ b/src/coordination/leader/new-machine-writer.ts
@@ -50,7 +50,7 @@
     const { conditions, writes } = this.newValues(machines, leaderTerm);
     let outcomeUnknown = false;
     while (isCurrent()) {
-      if (membership.alive()) {
+      if (membership.mayAct()) {
         const result = await stateStore.transact(conditions, writes, RequestPriority.Decision);
         outcomeUnknown ||= result.kind === 'unknown';
         if (await this.replicaShows(result)) break;
--- a/src/coordination/membership/lease-extension.ts
+++ b/src/coordination/membership/lease-extension.ts
@@ -92,8 +92,8 @@
    * Grants an extension to a peer only while this controller cannot reach the state store, and only to a member incarnation
    * whose session lease has not ended as far as this controller knows. Returns whether the extension was granted.
    */
-  grant(member: string, memberKnown: boolean, storeReachable: boolean, now: number): boolean {
-    if (storeReachable || !memberKnown) return false;
+  grant(member: string, mayExtend: boolean, storeReachable: boolean, now: number): boolean {
+    if (storeReachable || !mayExtend) return false;
     this.grantedUntil.set(member, now + GRANTER_EXTENSION_MS);
     return true;
   }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -52,7 +52,7 @@
 
 /**
  * The session lease of this controller, and with it the permission to act. Every action must be preceded by a check of
- * `alive()`, because the permission may end at any time.
+ * `mayAct()`, because the permission may end at any time.
  */
 export class Membership extends Actor<MembershipMessage> {
   readonly name: string;
@@ -68,7 +68,7 @@
   }
 
   /** Whether this controller may act: its session lease has not expired, or all its peers have extended it. */
-  alive(): boolean {
+  mayAct(): boolean {
     const now = this.deps.clock.steady();
     return (
       this.memberIncarnation !== 0 &&
@@ -86,7 +86,7 @@
    * and must know recent enough cancellations (see staleness-bound.ts).
    */
   mayRenewLeases(): boolean {
-    return this.alive() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
+    return this.mayAct() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
   }
 
   /** Id of the session lease in the state store; 0 if there is none. */
--- a/src/coordination/membership/misrouted-heartbeats.ts
+++ b/src/coordination/membership/misrouted-heartbeats.ts
@@ -27,7 +27,7 @@
   }
 
   /** Whether so many of a partition's machines send heartbeats here that its owner may be about to change. */
-  exceedsDeferralRatio(partition: string, machineCount: number, now: number): boolean {
+  reachesDeferralThreshold(partition: string, machineCount: number, now: number): boolean {
     const recent = this.countWithin(partition, DEFERRAL_WINDOW_MS, now);
     return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRAL_RATIO * machineCount;
   }
--- a/src/coordination/partition/partition-actor.ts
+++ b/src/coordination/partition/partition-actor.ts
@@ -21,7 +21,7 @@
 /** Permissions of this controller as an owner of partitions. */
 export interface Authority {
   /** Whether this controller may act for its partitions. */
-  alive(): boolean;
+  mayAct(): boolean;
   /** Whether this controller may also answer heartbeats, each of which renews the lease of a worker. */
   mayRenewLeases(): boolean;
 }
@@ -130,7 +130,7 @@
 
   /** Whether this controller may act for the partition now. */
   get active(): boolean {
-    return !this.released && this.deps.authority.alive();
+    return !this.released && this.deps.authority.mayAct();
   }
 
   /** Whether the partition was taken over recently and has unconfirmed machines. */
--- a/src/coordination/requests/deferred-heartbeats.ts
+++ b/src/coordination/requests/deferred-heartbeats.ts
@@ -63,7 +63,7 @@
     const now = this.clock.steady();
     this.misrouted.record(partition, machine, now);
     const machineCount = this.replica.fleetValuesOf(partition).reduce((n, [, fleet]) => n + fleet.size, 0);
-    return this.misrouted.exceedsDeferralRatio(partition, machineCount, now);
+    return this.misrouted.reachesDeferralThreshold(partition, machineCount, now);
   }
 
   /**
@@ -76,10 +76,10 @@
     return settled ? DEFERRAL_MS : SHORT_DEFERRAL_MS;
   }
 
-  private release(isOver: (heartbeat: DeferredHeartbeat) => boolean): void {
-    const answered = this.deferred.filter(isOver);
+  private release(shouldAnswer: (heartbeat: DeferredHeartbeat) => boolean): void {
+    const answered = this.deferred.filter(shouldAnswer);
     if (answered.length === 0) return;
-    this.deferred = this.deferred.filter((heartbeat) => !isOver(heartbeat));
+    this.deferred = this.deferred.filter((heartbeat) => !shouldAnswer(heartbeat));
     for (const { heartbeat, reply } of answered) this.answer(heartbeat, reply);
   }
 }
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -198,11 +198,11 @@
 
   private pipelineStatus({ ref, pipeline }: JobSpec): ({ ref: string } & PipelineJobStatus) | undefined {
     if (!pipeline) return undefined;
-    const members = (this.deps.replica.pipelines.get(pipeline.ref) ?? []).map((job) => ({
+    const pipelineJobs = (this.deps.replica.pipelines.get(pipeline.ref) ?? []).map((job) => ({
       ...job,
       order: job.revision,
     }));
-    const status = evaluatePipeline(members, new Set()).statusByJob.get(ref);
+    const status = evaluatePipeline(pipelineJobs, new Set()).statusByJob.get(ref);
     return status && { ref: pipeline.ref, ...status };
   }
 }
--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -63,7 +63,7 @@
 class PartitionSimulation {
   now = 0;
   core: PartitionCore;
-  moves: TaskMover | null = null;
+  taskMover: TaskMover | null = null;
   readonly workers: SimulatedWorker[] = [];
   readonly recordedHeartbeats: { core: PartitionCore; report: Heartbeat }[] = [];
   readonly closed = new Set<string>();
@@ -95,7 +95,7 @@
       },
       assignedMachines: new Set(this.assignedMachines),
     });
-    if (this.settings) core.observer = this.moves = new TaskMover(core, this.settings, () => this.now);
+    if (this.settings) core.observer = this.taskMover = new TaskMover(core, this.settings, () => this.now);
     return core;
   }
 
@@ -192,7 +192,7 @@
         for (const task of machine.tasks.values()) if (task.spec?.team === team) used += task.spec.cpus;
       if (Math.abs(this.core.quota.usageOf(team).cpus - used) > 1e-9) leaks.push(`quota of ${team}`);
     }
-    if (this.moves && this.moves.balancer.tracker.inFlight > 0) leaks.push('a move');
+    if (this.taskMover && this.taskMover.balancer.tracker.inFlightCount > 0) leaks.push('a move');
     return leaks;
   }
 
@@ -231,9 +231,9 @@
 type Fault = (simulation: PartitionSimulation) => void;
 
 const sourceOfMove = (simulation: PartitionSimulation): string =>
-  simulation.moves?.balancer.tracker.movesInProgress[0]?.source ?? 'm0';
+  simulation.taskMover?.balancer.tracker.movesInProgress[0]?.source ?? 'm0';
 const targetOfMove = (simulation: PartitionSimulation): string =>
-  simulation.moves?.balancer.tracker.movesInProgress.find((move) => move.target !== null)?.target ?? 'm1';
+  simulation.taskMover?.balancer.tracker.movesInProgress.find((move) => move.target !== null)?.target ?? 'm1';
 const worker = (simulation: PartitionSimulation, id: string): SimulatedWorker =>
   simulation.workers.find((candidate) => candidate.id === id) as SimulatedWorker;
 const scheduledActions = new WeakMap<PartitionSimulation, { at: number; action: () => void }[]>();
@@ -309,7 +309,7 @@
     for (const at of INJECTION_TIMES) {
       const simulation = new PartitionSimulation(BALANCER_ON);
       simulation.runUntil(at);
-      const firstOwner = simulation.moves;
+      const firstOwner = simulation.taskMover;
       fault(simulation);
       while (simulation.now < END_MS && !(simulation.finished && simulation.now > at + 40_000)) {
         simulation.step();
@@ -319,7 +319,7 @@
       assert.ok(simulation.finished, `jobs not finished, fault at ${at}`);
       assert.deepEqual(simulation.leakedResources(), [], `resources not released, fault at ${at}`);
       const moveCounts = new Map<string, number>();
-      for (const decision of simulation.moves?.takeDecisions() ?? []) {
+      for (const decision of simulation.taskMover?.takeDecisions() ?? []) {
         const { event, task, cause } = decision as { event: string; task: string; cause: string };
         if (event === 'begun')
           moveCounts.set(`${task} ${cause}`, (moveCounts.get(`${task} ${cause}`) ?? 0) + 1);
--- a/test/cluster/controller-silence.test.ts
+++ b/test/cluster/controller-silence.test.ts
@@ -114,11 +114,11 @@
   await cluster.runUntil(FAULT_AT_MS);
   const node = ownerNode(cluster);
   const { membership } = node.controller as unknown as { membership: Membership };
-  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [true, true]);
+  assert.deepEqual([membership.mayAct(), membership.mayRenewLeases()], [true, true]);
   pauseProcess(cluster, node);
   await cluster.runUntil(FAULT_AT_MS + SILENCE_MS - 1);
-  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [false, false]);
+  assert.deepEqual([membership.mayAct(), membership.mayRenewLeases()], [false, false]);
   await cluster.runUntil(FAULT_AT_MS + SILENCE_MS + 20_000);
-  assert.deepEqual([membership.alive(), membership.mayRenewLeases()], [true, true], 'it has rejoined');
+  assert.deepEqual([membership.mayAct(), membership.mayRenewLeases()], [true, true], 'it has rejoined');
   assert.deepEqual(cluster.rules.violations, []);
 });
--- a/test/cluster/removed-guards.test.ts
+++ b/test/cluster/removed-guards.test.ts
@@ -31,7 +31,7 @@
     name: 'an owner answers workers without knowing recent cancellations',
     removeGuard: () => {
       const aliveOnly = function (this: Membership): boolean {
-        return this.alive();
+        return this.mayAct();
       };
       return patchProperty(Membership.prototype, 'mayRenewLeases', { value: aliveOnly });
     },
@@ -67,7 +67,7 @@
   },
   {
     name: 'a controller acts after its session lease has expired',
-    removeGuard: () => patchProperty(Membership.prototype, 'alive', { value: () => true }),
+    removeGuard: () => patchProperty(Membership.prototype, 'mayAct', { value: () => true }),
     fault: (cluster) => refuseStoreToOwner(cluster, 40_000),
     expectedViolation: /ran_twice|quota|ran_cancelled/,
   },
@@ -113,7 +113,7 @@
     // The bound on the staleness of its data would stop it as well, so both guards are removed.
     removeGuard: () => {
       const restores = [
-        patchProperty(Membership.prototype, 'alive', { value: () => true }),
+        patchProperty(Membership.prototype, 'mayAct', { value: () => true }),
         patchProperty(Membership.prototype, 'mayRenewLeases', { value: () => true }),
       ];
       return () => restores.forEach((restore) => restore());
--- a/test/membership/reachability.test.ts
+++ b/test/membership/reachability.test.ts
@@ -103,9 +103,9 @@
   await t.test('heartbeats are deferred only if many machines were misrouted recently', () => {
     const misrouted = new MisroutedHeartbeats();
     for (let i = 0; i < 5; i++) misrouted.record('p0', `i-${i % 3}`, i * 100);
-    assert.equal(misrouted.exceedsDeferralRatio('p0', 30, 500), true);
-    assert.equal(misrouted.exceedsDeferralRatio('p0', 31, 500), false, 'too few of the machines');
-    assert.equal(misrouted.exceedsDeferralRatio('p0', 30, 3000), false, 'too long ago');
+    assert.equal(misrouted.reachesDeferralThreshold('p0', 30, 500), true);
+    assert.equal(misrouted.reachesDeferralThreshold('p0', 31, 500), false, 'too few of the machines');
+    assert.equal(misrouted.reachesDeferralThreshold('p0', 30, 3000), false, 'too long ago');
     assert.deepEqual(misrouted.counts(500), [{ partition: 'p0', machines: 3 }], 'each machine counts once');
     misrouted.record('p0', 'i-9', 8000);
     assert.deepEqual(misrouted.counts(8000), [{ partition: 'p0', machines: 1 }]);
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -64,7 +64,7 @@
       replica,
       clock,
       log,
-      authority: { alive: () => this.alive, mayRenewLeases: () => this.alive },
+      authority: { mayAct: () => this.alive, mayRenewLeases: () => this.alive },
       options: { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitionCount: 2, progressIntervalMs: 2000 },
       balancing: null,
     });
--- a/test/requests/plain-routes.test.ts
+++ b/test/requests/plain-routes.test.ts
@@ -14,7 +14,7 @@
 
 // Guards against plain routes that are faster but send other responses than the Express routes to the same request.
 test('plain routes send the same responses as the Express routes', async () => {
-  const generalPort = await api.serveExpressApp();
+  const expressPort = await api.serveExpressApp();
   const knownSubmission = { ...SUBMISSION, ref: 'job-777' };
   assert.equal((await api.request('POST', '/v2/runs', JSON.stringify(knownSubmission))).status, 201);
   // After this cancellation, no request changes any state.
@@ -57,7 +57,7 @@
     fc.asyncProperty(fc.constantFrom('GET', 'POST'), path, body, async (method, target, text) => {
       const content = method === 'POST' ? text : undefined;
       const plain = await api.request(method, target, content);
-      assert.deepEqual(plain, await api.request(method, target, content, generalPort));
+      assert.deepEqual(plain, await api.request(method, target, content, expressPort));
     }),
     { numRuns: 150 },
   );
