--- a/packages/load-balancer/src/move-state.ts
+++ b/packages/load-balancer/src/move-state.ts
@@ -19,7 +19,7 @@
   /** The task is certainly no longer on its source. */
   | { kind: 'source-gone' }
   /** The same as `source-gone`, for a task that is requeued. */
-  | { kind: 'put-back' }
+  | { kind: 'task-requeued' }
   /** The task completed before it was stopped. */
   | { kind: 'finished' }
   /** The task failed on its source. Whether it is retried does not concern the move. */
@@ -28,7 +28,7 @@
   | { kind: 'job-closed' }
   | { kind: 'start-sent' }
   /** The target has reported the task. */
-  | { kind: 'target-seen' }
+  | { kind: 'target-reported' }
   /** The task is certainly not on the target on which it was started. */
   | { kind: 'target-gone' }
   /** The target no longer accepts tasks: it is gone, draining, about to be preempted, or quarantined. */
@@ -37,8 +37,8 @@
   | { kind: 'target-full' }
   | { kind: 'timeout' };
 
-/** An action that the executor must take: `free-task` releases a held task, `release-room` the target's reservation. */
-export type MoveEffect = 'stop-source' | 'hold-task' | 'free-task' | 'release-room';
+/** An action that the executor must take. `release-reservation` concerns the reservation at the target. */
+export type MoveEffect = 'stop-source' | 'hold-task' | 'release-held-task' | 'release-reservation';
 
 /** The state of a move after an event, and the effects to carry out in this order. */
 export interface MoveTransition {
@@ -68,12 +68,12 @@
       return state === 'reserved' || state === 'stopping'
         ? { state: 'restarting', effects: ['hold-task'] }
         : unchanged;
-    case 'put-back':
-      return state === 'stopping' ? { state: 'completed', effects: ['release-room'] } : unchanged;
+    case 'task-requeued':
+      return state === 'stopping' ? { state: 'completed', effects: ['release-reservation'] } : unchanged;
     case 'start-sent':
       // From now on the started task itself uses the resources.
-      return state === 'restarting' ? { state: 'starting', effects: ['release-room'] } : unchanged;
-    case 'target-seen':
+      return state === 'restarting' ? { state: 'starting', effects: ['release-reservation'] } : unchanged;
+    case 'target-reported':
       return state === 'starting' ? { state: 'completed', effects: [] } : unchanged;
     case 'target-gone':
       return state === 'starting' ? abandon(state, 'the target did not keep it') : unchanged;
@@ -106,7 +106,7 @@
 
 function abandon(state: MoveState, reason: string): MoveTransition {
   const effects: MoveEffect[] = [];
-  if (state !== 'starting') effects.push('release-room');
-  if (state === 'restarting') effects.push('free-task');
+  if (state !== 'starting') effects.push('release-reservation');
+  if (state === 'restarting') effects.push('release-held-task');
   return { state: 'abandoned', effects, reason };
 }
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -162,7 +162,7 @@
     const move = this.moves.get(taskKey(task));
     if (!move) return;
     const isRequeued = move.target === null && event.kind === 'source-gone';
-    this.apply(move, isRequeued ? { kind: 'put-back' } : event, now);
+    this.apply(move, isRequeued ? { kind: 'task-requeued' } : event, now);
   }
 
   /** Releases the job reservations on a machine that no longer accepts tasks, and ends the moves to it. */
@@ -228,11 +228,11 @@
     switch (effect) {
       case 'stop-source':
         return executor.stop(move.source, move.task);
-      case 'release-room':
+      case 'release-reservation':
         return move.target === null ? undefined : executor.release(move.target, move.task);
       case 'hold-task':
         return executor.holdTask(move.task, move.timeoutAt);
-      case 'free-task':
+      case 'release-held-task':
         return executor.releaseHeldTask(move.task);
     }
   }
--- a/packages/load-balancer/test/move-tracker.test.ts
+++ b/packages/load-balancer/test/move-tracker.test.ts
@@ -16,12 +16,12 @@
 const EVENTS: MoveEvent['kind'][] = [
   'stop-sent',
   'source-gone',
-  'put-back',
+  'task-requeued',
   'finished',
   'source-failed',
   'job-closed',
   'start-sent',
-  'target-seen',
+  'target-reported',
   'target-gone',
   'target-lost',
   'target-full',
@@ -56,10 +56,10 @@
     assert.equal(repeated.state, result.state, `repeating ${kind} changes ${result.state}`);
     const next = { ...resources };
     for (const effect of result.effects) {
-      if (effect === 'release-room') next.reservations--;
+      if (effect === 'release-reservation') next.reservations--;
       if (effect === 'stop-source') next.stops++;
       if (effect === 'hold-task') next.holds++;
-      if (effect === 'free-task') next.holds--;
+      if (effect === 'release-held-task') next.holds--;
     }
     // The start of the task also releases its hold.
     if (kind === 'start-sent' && result.state === 'starting' && state !== 'starting') next.holds--;
@@ -158,7 +158,7 @@
       assert.deepEqual(moves.tasksToStartOn('m1'), [{ job: 'a', index: 0 }]);
       recorder.releaseHeldTask(moved);
       moves.handleEvent(moved, { kind: 'start-sent' }, 2000);
-      moves.handleEvent(moved, { kind: 'target-seen' }, 3000);
+      moves.handleEvent(moved, { kind: 'target-reported' }, 3000);
       moves.releaseJobReservations(() => true);
       assert.equal(moves.counters.completed, 1);
     },
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -102,7 +102,7 @@
     for (const { target, task } of tracker.movesInProgress) {
       if (target !== machine.id) continue;
       const inFlight = machine.tasks.get(taskKey(task.job, task.index));
-      if (inFlight?.phase === 'reported') tracker.handleEvent(task, { kind: 'target-seen' }, now);
+      if (inFlight?.phase === 'reported') tracker.handleEvent(task, { kind: 'target-reported' }, now);
     }
   }
 
