--- a/packages/load-balancer/src/even-placement.ts
+++ b/packages/load-balancer/src/even-placement.ts
@@ -28,7 +28,8 @@
 
 /**
  * CPUs that new tasks of a job may take on a machine when all machines are filled to the same utilization. A machine that has
- * the image may exceed it by the fetch time saved, as a share of the task's run time and multiplied by `localityWeight`.
+ * the image may exceed that utilization by the fetch time saved, as a share of the task's run time and multiplied by
+ * `localityWeight`. Negative if more CPUs are already in use.
  */
 export function evenCpuAllowance(
   machine: Pick<MachineSnapshot, 'capacity' | 'free'>,
--- a/packages/load-balancer/src/load-model.ts
+++ b/packages/load-balancer/src/load-model.ts
@@ -98,7 +98,7 @@
   return spec.resources.cpus * estimator.remainingS(spec, elapsedRunS, MEDIAN_PROBABILITY);
 }
 
-/** Counts how many tasks of a shape fit on the machines, with and without fragmentation. */
+/** Counts how many tasks of a shape fit on the accepting machines, with and without fragmentation. */
 export function capacityFor(shape: Resources, machines: Iterable<MachineSnapshot>): ShapeCapacity {
   let taskCount = 0;
   const combined: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
--- a/packages/load-balancer/src/load-summary.ts
+++ b/packages/load-balancer/src/load-summary.ts
@@ -28,6 +28,7 @@
   waiting: WorkByPriority;
   /** Growth of the work, in CPU seconds per second. */
   trendPerS: number;
+  /** CPU seconds of running and waiting tasks, by team. */
   teams: { team: string; running: number; waiting: number }[];
   moves: MoveCounts;
   refusals: { reason: string; count: number }[];
--- a/packages/load-balancer/src/machine-transfer-guard.ts
+++ b/packages/load-balancer/src/machine-transfer-guard.ts
@@ -21,7 +21,10 @@
 export interface MachineTransferDecision {
   allowed: boolean;
   reason: TransferReason;
-  /** Seconds in which each partition would complete its work, with its trend projected; null if not computed. */
+  /**
+   * Seconds in which each partition would complete its work, with its trend projected; null if the decision does not depend on
+   * these times.
+   */
   fromS: number | null;
   toS: number | null;
 }
@@ -36,9 +39,9 @@
 }
 
 /**
- * Reviews transfers of machines between partitions before they are ordered. It relies on fresh summaries only, and applies
- * hysteresis, limits on the number of moves, and a minimum residence time. The transfers are proposed by capacity planning,
- * which knows what is pending and where it fits.
+ * Reviews the transfers of machines between partitions that capacity planning proposes. Within the minimum residence time, no
+ * machine returns to the partition that it left. A drain also needs fresh summaries of both partitions, a difference between
+ * them that exceeds the hysteresis, and room within the limits on the number of moves.
  */
 export class MachineTransferGuard {
   /** Shown in `GET /status`. */
@@ -70,6 +73,7 @@
     this.counters.allowed++;
     const { machine, fromPartition, toPartition, drain } = transfer;
     this.lastTransfers.set(machine, { from: fromPartition, transferredAt: now });
+    // Recorded for the limit per minute only; the guard never looks up a cause.
     if (drain) this.budget.recordMove(machine, { kind: 'make-room', job: toPartition }, now);
     return decision;
   }
--- a/packages/load-balancer/src/move-eligibility.ts
+++ b/packages/load-balancer/src/move-eligibility.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Whether a running task may be stopped for pending tasks (PROTOCOL, "Preemption"): for those of higher priority, or if it is
- * beyond its team's guarantee, for those within another team's guarantee.
+ * Whether a running task may be stopped for pending tasks (PROTOCOL, "Preemption"): for those of higher priority and, if its
+ * team uses at least its guaranteed CPUs without it, for those within another team's guarantee.
  */
 function mayPreempt({ spec }: TaskSnapshot, pending: PendingTasks, partition: PartitionSnapshot): boolean {
   if (pending.spec.priority < spec.priority) return true;
--- a/packages/load-balancer/src/move-executor.ts
+++ b/packages/load-balancer/src/move-executor.ts
@@ -5,7 +5,7 @@
   /** Reserves resources of a machine for a task; returns false if they are not free. */
   reserve(machine: string, task: TaskId): boolean;
   release(machine: string, task: TaskId): void;
-  /** Has a task stopped, with a checkpoint if it makes any. The service repeats the command until the task is gone. */
+  /** Orders a task to stop, after a checkpoint if its job makes any. The service repeats the command until the task is gone. */
   stop(machine: string, task: TaskId): void;
   /**
    * Holds a task until `untilMs` of the steady clock or `releaseHeldTask`. While it is held, only the move may start it, and no
--- a/packages/load-balancer/src/move-plan.ts
+++ b/packages/load-balancer/src/move-plan.ts
@@ -8,7 +8,7 @@
   /** To start tasks of a job sooner, on a machine that has their image. */
   | { kind: 'fetch'; job: string };
 
-/** A cause as a string key. No task is moved twice for the same cause. */
+/** A cause as a string key. A task is not moved twice for the same cause while MoveBudget remembers its moves. */
 export function causeKey({ kind, job }: MoveCause): string {
   return `${kind}:${job}`;
 }
--- a/packages/load-balancer/src/move-planner.ts
+++ b/packages/load-balancer/src/move-planner.ts
@@ -15,9 +15,12 @@
 /** Number of pending jobs planned for in one round, the most urgent first. */
 const MAX_JOBS_PER_ROUND = 6;
 const MAX_CLEARED_MACHINES_PER_JOB = 4;
-/** Maximum waiting time that a clearing is taken to save, however long the wait would be. */
+/** A longer wait without moves counts as this long when the gain of a clearing is computed. */
 const MAX_COUNTED_WAIT_S = 300;
-/** Quantile of their remaining time at which tasks are assumed to end, because a wait that may end by itself is worth less. */
+/**
+ * Tasks are assumed to end within the time in which they end with this probability. It is below one half, because shortening a
+ * wait that may end by itself is worth less.
+ */
 const EARLY_END_PROBABILITY = 0.35;
 
 /**
--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -40,14 +40,14 @@
   leaseMs: number;
 }
 
-/** Number of heartbeat intervals within which a step that depends on a heartbeat must be done. */
+/** Timeout of a step that depends on a heartbeat, in heartbeat intervals. */
 const STEP_TIMEOUT_HEARTBEAT_INTERVALS = 4;
 /** Number of decisions that are buffered until they are taken. Further decisions are dropped. */
 const MAX_BUFFERED_DECISIONS = 200;
 
 /**
- * Tracks the moves of one partition under one owner. Moves end with the owner's epoch and are stored nowhere else. If a move is
- * lost, its task is left to ordinary placement.
+ * Tracks the moves of one partition under one owner. Moves are kept only in memory and end with the owner's epoch; their tasks
+ * are then left to ordinary placement.
  */
 export class MoveTracker {
   /** Number of moves by outcome; shown in `GET /status`. */
@@ -62,6 +62,7 @@
     private readonly timeouts: MoveTimeouts,
   ) {}
 
+  /** Number of moves in progress. */
   get inFlightCount(): number {
     return this.moves.size;
   }
--- a/packages/load-balancer/src/partition-snapshot.ts
+++ b/packages/load-balancer/src/partition-snapshot.ts
@@ -47,7 +47,7 @@
   capacity: Resources;
   /** Resources that are neither used nor reserved. */
   free: Resources;
-  /** Whether new tasks may be placed on it: it sent a heartbeat recently, gets its owner's responses, stays, and is healthy. */
+  /** Whether new tasks may be placed on it; false, for example, if it is silent, draining, quarantined or to be preempted. */
   accepting: boolean;
   /** Number of images that the machine is fetching. */
   activeFetchCount: number;
@@ -60,6 +60,7 @@
   spec: JobSnapshot;
   /** Number of tasks that could start now within their team's limit if a machine were free. */
   taskCount: number;
+  /** Time since the owner first saw the job. */
   pendingS: number;
   /** Whether the job is within its team's guarantee. */
   withinGuarantee: boolean;
--- a/packages/load-balancer/src/summary-store.ts
+++ b/packages/load-balancer/src/summary-store.ts
@@ -2,7 +2,10 @@
 
 interface ReceivedSummary {
   summary: LoadSummary;
-  /** The time that the figures describe, or an earlier one, in milliseconds of the receiver's steady clock. */
+  /**
+   * The time that the figures describe, in milliseconds of the receiver's steady clock. Later than the actual time by the
+   * summary's time in transit, which is unknown.
+   */
   asOf: number;
 }
 
--- a/packages/load-balancer/test/machine-transfer-guard.test.ts
+++ b/packages/load-balancer/test/machine-transfer-guard.test.ts
@@ -43,7 +43,7 @@
     },
   ],
   [
-    'drains are limited at once and per minute by the settings',
+    'the settings limit how many drains are in progress and how many begin in a minute',
     (guard, summaries) => {
       const reviewDrain = (now: number, i: number, draining: number): boolean => {
         summaries.record(summary({ sequence: 10 + now + i }), now);
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -116,7 +116,7 @@
     this.balancer.tracker.handleEvent(task, { kind: started ? 'start-sent' : 'target-full' }, now);
   }
 
-  /** Starts the next task of the job that a reservation is for. The reservation stays until its resources are free. */
+  /** Starts the next task of the job that a reservation is for. If none can be started yet, the reservation is kept. */
   private startInReservation(
     reservation: JobReservation,
     machine: MachineState,
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -18,6 +18,7 @@
 const STORE_CONNECTION_COUNT = 12;
 const WATCH_CONNECTION_COUNT = 2;
 const CLOUD_CONNECTION_COUNT = 6;
+/** How long after startup the monitoring of the process's health begins. */
 const HEALTH_MONITORING_DELAY_MS = 20_000;
 const KEEP_ALIVE_TIMEOUT_MS = 120_000;
 const RANDOM_SUFFIX_RANGE = 2 ** 40;
@@ -74,7 +75,7 @@
   controller.start();
 }
 
-/** Loads Express and the HTTP server below it, on the first request that is not plain: loading them would delay startup. */
+/** Loads Express and the HTTP server of Node.js. Called only when a request has no plain route: loading delays startup. */
 async function loadExpressServer(dependencies: ApiDependencies): Promise<Server> {
   const [{ createServer }, { createExpressApp }] = await Promise.all([
     import('node:http'),
@@ -92,8 +93,8 @@
 }
 
 /**
- * Returns a name that no other process of any controller ever has. It contains the time of day, and a random suffix in case
- * two processes start in the same millisecond.
+ * Returns a name that no other process of any controller ever has. It contains the wall-clock time, and a random suffix
+ * in case two processes start in the same millisecond.
  */
 function createProcessIncarnation(member: string, clock: Clock): string {
   const randomSuffix = Math.floor(Math.random() * RANDOM_SUFFIX_RANGE).toString(36);
--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -22,8 +22,9 @@
 }
 
 /**
- * Routes each heartbeat by the recorded partition of its machine. If this controller owns the partition, its actor gets the
- * heartbeat; otherwise the worker is redirected to the owner. Every heartbeat is replied to exactly once.
+ * Routes each heartbeat by the recorded partition of its machine. If this controller owns the partition, the partition's actor
+ * gets the heartbeat; otherwise the worker is redirected to the owner, at once or after a short deferral. The heartbeat of a
+ * machine without a record goes to the leader. Every heartbeat is replied to exactly once.
  */
 export class HeartbeatRouter {
   private readonly deferred: DeferredHeartbeats;
@@ -54,7 +55,7 @@
     return this.lastHeartbeatAt === null ? -1 : now - this.lastHeartbeatAt;
   }
 
-  /** How many machines of other owners' partitions recently sent heartbeats here. */
+  /** How many machines of each partition recently sent heartbeats here although another controller owns the partition. */
   misroutedCounts(now: number): MisroutedCount[] {
     return this.deferred.misrouted.counts(now);
   }
@@ -91,7 +92,7 @@
     reply({ kind: 'busy' });
   }
 
-  /** The controller to redirect to; null if there is no other controller. */
+  /** Returns `owner` if it is another controller; null if it is unknown or this controller. */
   private redirectTarget(owner: string | undefined): string | null {
     return owner !== undefined && owner !== this.deps.member ? owner : null;
   }
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -46,7 +46,7 @@
     return this.actors.values();
   }
 
-  /** The actor of the partition in which a machine is recorded; undefined if this controller does not own it. */
+  /** The actor of a machine's partition; undefined if the machine has no record or its partition is not owned here. */
   actorOfMachine(machine: string): PartitionActor | undefined {
     const stored = this.deps.replica.machines.get(machine);
     return stored && this.actors.get(stored.record.partition);
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -11,8 +11,8 @@
 import { STORE_RESPONSE_TIMEOUT_MS, type Readiness } from './readiness';
 
 /**
- * The state store keeps this many changes for its watches, so no replica can be further ahead of this controller's. A status
- * that claims a higher revision is malformed.
+ * The state store keeps this many changes for its watches, so no replica can be further ahead of this controller's. No
+ * lease extension is granted for a status that claims a higher revision.
  */
 const MAX_REVISION_LEAD = 10_000;
 /** Bounds the size of a frame that answers a status. */
--- a/src/coordination/controller/readiness.ts
+++ b/src/coordination/controller/readiness.ts
@@ -2,9 +2,12 @@
 import { type Clock } from '../../transport/clock';
 import { type StateStoreClient } from '../../storage/state-store-client';
 
-/** In status messages to peers, a state store that has not responded for this long counts as unreachable. */
+/**
+ * A state store that has not responded for this long counts as unreachable in messages to peers and when lease extensions are
+ * granted.
+ */
 export const STORE_RESPONSE_TIMEOUT_MS = 1500;
-/** The same limit for readiness, which should not change with every short pause. */
+/** The corresponding limit for readiness. It is longer, because readiness should not change with every short pause. */
 const READINESS_STORE_TIMEOUT_MS = 3000;
 const MAX_PEER_STATUS_AGE_MS = 2500;
 
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -31,8 +31,8 @@
 }
 
 /**
- * Sends a status to all controllers, which also requests lease extensions from them. The leader's copy also contains the
- * loads of the partitions owned here, as often as their cost allows.
+ * Sends a status to all peers, which also requests lease extensions from them. The leader's copy, sent also if this controller
+ * leads, contains the counts of misrouted machines and, as often as their cost allows, the loads of the partitions owned here.
  */
 export class StatusPublisher {
   private readonly loadPacer = new WorkPacer({
--- a/src/coordination/membership/lease-extension.ts
+++ b/src/coordination/membership/lease-extension.ts
@@ -27,9 +27,9 @@
  *   through the peers.
  */
 export class LeaseExtensions {
-  /** Granted by this controller: until when it takes over no partition of a member. */
+  /** Extensions granted by this controller, by member: until when it takes over none of the member's partitions. */
   private readonly grantedUntil = new Map<string, number>();
-  /** Granted to this controller, by peer. */
+  /** Extensions granted to this controller, by peer. */
   private readonly received = new Map<string, { expiresAt: number; requestedAt: number }>();
   /** The pages received of each peer's latest response. */
   private readonly receivedPages = new Map<string, { sequence: number; pages: Set<number> }>();
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The time on the steady clock up to which every cancellation that any peer has confirmed is known here; negative infinity
-   * until every peer has granted an extension.
+   * The time on the steady clock up to which every cancellation that any peer has confirmed is known here. Negative infinity
+   * until every peer has granted an extension; infinity if there are no peers.
    */
   get freshAsOf(): number {
     return Math.min(
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Grants an extension to a peer only while this controller cannot reach the state store, and only to a member incarnation
-   * whose session lease has not ended as far as this controller knows. Returns whether the extension was granted.
+   * Grants an extension to a peer if `mayExtend` holds and this controller cannot reach the state store. Returns whether the
+   * extension was granted. The caller must set `mayExtend` only if, as far as this controller knows, the session lease of the
+   * peer's incarnation has not ended, and if this controller knows all cancellations that it has confirmed.
    */
   grant(member: string, mayExtend: boolean, storeReachable: boolean, now: number): boolean {
     if (storeReachable || !mayExtend) return false;
@@ -104,7 +105,7 @@
     return now >= (this.grantedUntil.get(member) ?? Number.NEGATIVE_INFINITY);
   }
 
-  /** Whether the extensions that all peers granted to this controller are valid. */
+  /** Whether every peer has granted this controller an extension that is still valid; true if there are no peers. */
   extendedByAllPeers(now: number): boolean {
     return this.peers.every((peer) => now < (this.received.get(peer)?.expiresAt ?? Number.NEGATIVE_INFINITY));
   }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -56,7 +56,10 @@
  */
 export class Membership extends Actor<MembershipMessage> {
   readonly name: string;
-  /** Revision of this controller's member record, a fencing token for all its writes; 0 if it holds no session lease. */
+  /**
+   * Revision of this controller's member record, a fencing token for all its writes. 0 before the first session lease, and
+   * after the state store has reported the end of a lease until the next one.
+   */
   memberIncarnation = 0;
   private currentLeaseId: number | null = null;
   /** On the steady clock. */
@@ -67,7 +70,7 @@
     this.name = deps.name;
   }
 
-  /** Whether this controller may act: its session lease has not expired, or all its peers have extended it. */
+  /** Whether this controller may act: it holds a valid session lease, or a valid lease extension from every peer. */
   mayAct(): boolean {
     const now = this.deps.clock.steady();
     return (
--- a/src/coordination/membership/misrouted-heartbeats.ts
+++ b/src/coordination/membership/misrouted-heartbeats.ts
@@ -1,6 +1,9 @@
 import { type MisroutedCount } from '../../protocol/peers';
 
-/** A machine counts as misrouted for this long: it tries the owner, waits for 4 s, and sends its heartbeat here again. */
+/**
+ * A machine counts as misrouted for this long after its last heartbeat here. The next one may be more than 4 s later, because
+ * the machine first tries the owner and waits 4 s for an answer.
+ */
 const MISROUTED_WINDOW_MS = 6000;
 /** Heartbeats are deferred if at least this share of a partition's machines was misrouted within DEFERRAL_WINDOW_MS. */
 const MIN_DEFERRAL_RATIO = 0.1;
@@ -26,7 +29,7 @@
     }
   }
 
-  /** Whether so many of a partition's machines send heartbeats here that its owner may be about to change. */
+  /** Whether so many of a partition's machines recently sent heartbeats here that the partition may soon change owners. */
   reachesDeferralThreshold(partition: string, machineCount: number, now: number): boolean {
     const recent = this.countWithin(partition, DEFERRAL_WINDOW_MS, now);
     return recent >= MIN_MISROUTED_COUNT && recent >= MIN_DEFERRAL_RATIO * machineCount;
--- a/src/coordination/membership/reachability.ts
+++ b/src/coordination/membership/reachability.ts
@@ -2,22 +2,32 @@
 
 /** Fewer misrouted machines than this are not significant. */
 const MIN_MISROUTED_COUNT = 2;
-/** An owner is unreachable if at least these shares of its machines are silent, and send heartbeats to other controllers. */
+/**
+ * An owner is unreachable if at least the first share of its booted machines is silent, and at least the second share sends
+ * heartbeats to other controllers.
+ */
 const MIN_SILENT_RATIO = 0.8;
 const MIN_MISROUTED_RATIO = 0.25;
 /** A machine is silent after more than this many heartbeat intervals plus the margin without a heartbeat. */
 const MAX_SILENT_INTERVALS = 1.25;
 const SILENT_MARGIN_MS = 1000;
-/** A controller that machines could not reach is avoided for at least this long: partitions go to other members first. */
+/**
+ * A controller that machines could not reach is avoided for at least this long: it is the last choice as the new owner of a
+ * partition.
+ */
 const MIN_AVOIDANCE_MS = 20_000;
-/** After this long it is not avoided even if it receives no heartbeats: perhaps no machine had a reason to send any. */
+/**
+ * After this long, a controller is no longer avoided even if it receives no heartbeats: perhaps no machine had a reason to send
+ * any.
+ */
 const MAX_AVOIDANCE_MS = 60_000;
+/** Older stats are ignored. A controller also counts as receiving heartbeats if the last one is more recent than this. */
 const MAX_STATS_AGE_MS = 6000;
 
 /** What a controller reports to the leader about the heartbeats that it receives. */
 export interface HeartbeatStats {
   misrouted: readonly MisroutedCount[];
-  /** Time since it last received any heartbeat; -1 if it never has. */
+  /** Time since the controller last received any heartbeat; -1 if it has received none. */
   sinceHeartbeatMs: number;
 }
 
@@ -42,7 +52,7 @@
     if (receivesHeartbeats || now - since > MAX_AVOIDANCE_MS) this.avoidedSince.delete(member);
   }
 
-  /** Whether machines have recently failed to reach this controller. */
+  /** Whether machines have recently failed to reach a member, so that other members should get partitions first. */
   isAvoided(member: string): boolean {
     return this.avoidedSince.has(member);
   }
@@ -63,7 +73,8 @@
     const booted = load.machines.filter((machine) => machine.sinceHeartbeatMs >= 0);
     const silent = booted.filter((machine) => machine.sinceHeartbeatMs > maxSilentMs).length;
     if (booted.length === 0 || silent < MIN_SILENT_RATIO * booted.length) return null;
-    // An owner that receives any heartbeat is not unreachable but overloaded, and a handover would add to the load.
+    // An owner that receives any heartbeat is not unreachable but overloaded, and a handover would add to the load. An owner
+    // that has received no heartbeat since its start (-1), or whose stats are unknown, also keeps the partition.
     const sinceAnyHeartbeatMs = this.statsByMember.get(owner)?.sinceHeartbeatMs ?? 0;
     if (sinceAnyHeartbeatMs < maxSilentMs) return null;
     const counts = this.misroutedCounts(load.partition, owner, members, now);
--- a/src/coordination/requests/express-app.ts
+++ b/src/coordination/requests/express-app.ts
@@ -17,7 +17,7 @@
   status: () => object;
 }
 
-/** Creates the Express routes, for every request that is not plain (see plain-routes.ts). They make no decisions. */
+/** Creates the Express routes, for all requests that plain-routes.ts leaves to them. */
 export function createExpressApp(dependencies: ApiDependencies): express.Express {
   const { jobService, log } = dependencies;
   const app = express();
--- a/src/coordination/requests/heartbeat-gateway.ts
+++ b/src/coordination/requests/heartbeat-gateway.ts
@@ -21,7 +21,7 @@
   log: Log;
 }
 
-/** The size of the largest request body that is read. */
+/** The size of the largest request body that is read, for all requests of users and workers. */
 export const MAX_BODY_BYTES = 64 * 1024;
 export const MALFORMED_HEARTBEAT = { error: 'not a report' };
 
--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -45,8 +45,8 @@
 }
 
 /**
- * Responds to users on any controller, from the replica of the state store alone, so the owner of a job's partition need not
- * be alive. A status that may still change is returned only once the replica is no older than the query.
+ * Responds to users on any controller. Uses only the state store and its replica, so the owner of a job's partition need not
+ * be running. A status that may still change is returned only once the replica is no older than the query.
  */
 export class JobService {
   private pendingQueryCount = 0;
@@ -160,8 +160,8 @@
   }
 
   /**
-   * The conditions for cancelling a job: it has not been cancelled yet, and no terminal state has been written for it. Null
-   * if the partition of its team is unknown.
+   * The conditions for cancelling an open job: it has not been cancelled yet, and the owner of its partition has written no
+   * terminal state, of this or any other job, that the replica does not show. Null if the partition of its team is unknown.
    */
   private openJobConditions(job: StoredJob): Condition[] | null {
     const partition = this.deps.replica.partitionOfTeam(job.spec.team)?.id;
--- a/test/balancing/task-moves.test.ts
+++ b/test/balancing/task-moves.test.ts
@@ -209,7 +209,7 @@
 const BALANCER_OFF = null;
 const END_MS = 420_000;
 
-test('a large urgent task starts within seconds with moves, and without them after the longest of many small tasks', () => {
+test('a large urgent task starts within 15 s with moves, and not before 90 s without moves', () => {
   const waitsMs = [BALANCER_ON, BALANCER_OFF].map((settings) => {
     const simulation = new PartitionSimulation(settings);
     if (!settings)
--- a/test/membership/lease-extension.test.ts
+++ b/test/membership/lease-extension.test.ts
@@ -78,7 +78,7 @@
   type Response = [peer: string, requestedAt: number, page: number, pages: number];
   const cases: [string, Response[], number][] = [
     [
-      'cancellations are known up to the earliest of the latest responses of all peers',
+      'cancellations are known up to the earliest of the requests that the peers answered last',
       [
         ['b', 1000, 0, 1],
         ['c', 1500, 0, 1],
--- a/test/requests/job-service.test.ts
+++ b/test/requests/job-service.test.ts
@@ -4,7 +4,7 @@
 import { VirtualTime } from '../standin/clock';
 import { createJobService, ONE_ZONE_TYPE, SILENT_LOG, SUBMISSION } from '../support/api-fixture';
 
-test('submissions and status queries beyond the limit of those that wait for the store are shed at once', async () => {
+test('submissions and status queries are shed at once while too many of them wait for the store', async () => {
   const unansweredTransport = { call: () => new Promise<never>(() => undefined) };
   const clock = new VirtualTime().clock(() => true);
   const stateStore = new StateStoreClient(
@@ -16,7 +16,7 @@
   const submitted = await jobService.submit({ ...SUBMISSION, ref: 'job-1000' });
   assert.equal(submitted.status, 429);
   assert.ok((submitted.retryAfterS ?? 0) >= 1);
-  // On some days users send many times as many queries; those that wait too long are answered after the user gave up.
+  // On some days users send many times the usual number of queries. One that waits too long is answered after its user gave up.
   for (let n = 0; n < 400; n++) void jobService.status(`job-${n}`);
   const queried = await jobService.status('job-1000');
   assert.equal(queried.status, 429);
--- a/test/requests/request-server.test.ts
+++ b/test/requests/request-server.test.ts
@@ -29,7 +29,7 @@
   });
 }
 
-test('heartbeats are read directly from the socket, other requests by the general server', async (t) => {
+test('heartbeats are read directly from the socket, other requests by the fallback server', async (t) => {
   const body = JSON.stringify(HEARTBEAT);
   const head = (extraHeaders = '', path = '/hello', length = body.length): string =>
     `POST ${path} HTTP/1.1\r\nHost: a\r\nContent-Length: ${length}\r\n${extraHeaders}\r\n`;
