--- a/src/coordination/requests/job-service.ts
+++ b/src/coordination/requests/job-service.ts
@@ -217,7 +217,7 @@
  * never form a cycle.
  */
 function pipelineLinkError({ ref, team, pipeline }: JobSpec, replica: ReplicaView): string | null {
-  const linkedJobs = pipeline ? [...pipeline.after.map((e) => e.job), pipeline.alternateFor] : [];
+  const linkedJobs = pipeline ? [...pipeline.after.map((edge) => edge.job), pipeline.alternateFor] : [];
   for (const job of linkedJobs) {
     if (job === null) continue;
     if (job === ref) return `pipeline: ${ref} hangs on itself`;
