--- a/packages/load-balancer/src/move-tracker.ts
+++ b/packages/load-balancer/src/move-tracker.ts
@@ -40,14 +40,14 @@
   leaseMs: number;
 }
 
-/** Number of heartbeat intervals within which a step that depends on a heartbeat must be done. */
-const MAX_PENDING_HEARTBEATS = 4;
+/** Timeout of a step that depends on a heartbeat, in heartbeat intervals. */
+const STEP_TIMEOUT_HEARTBEAT_INTERVALS = 4;
 /** Number of decisions that are buffered until they are taken. Further decisions are dropped. */
 const MAX_BUFFERED_DECISIONS = 200;
 
 /**
- * Tracks the moves of one partition under one owner. Moves end with the owner's epoch and are stored nowhere else. If a move is
- * lost, its task is left to ordinary placement.
+ * Tracks the moves of one partition under one owner. Moves are kept only in memory and end with the owner's epoch; their tasks
+ * are then left to ordinary placement.
  */
 export class MoveTracker {
   /** Number of moves by outcome; shown in `GET /status`. */
@@ -62,7 +62,8 @@
     private readonly timeouts: MoveTimeouts,
   ) {}
 
-  get inFlight(): number {
+  /** Number of moves in progress. */
+  get inFlightCount(): number {
     return this.moves.size;
   }
 
@@ -162,7 +163,7 @@
     const move = this.moves.get(taskKey(task));
     if (!move) return;
     const isRequeued = move.target === null && event.kind === 'source-gone';
-    this.apply(move, isRequeued ? { kind: 'put-back' } : event, now);
+    this.apply(move, isRequeued ? { kind: 'task-requeued' } : event, now);
   }
 
   /** Releases the job reservations on a machine that no longer accepts tasks, and ends the moves to it. */
@@ -217,7 +218,7 @@
 
   private timeoutMs(state: MoveState, checkpointS: number): number {
     const { heartbeatIntervalMs, leaseMs } = this.timeouts;
-    const heartbeatTimeoutMs = MAX_PENDING_HEARTBEATS * heartbeatIntervalMs;
+    const heartbeatTimeoutMs = STEP_TIMEOUT_HEARTBEAT_INTERVALS * heartbeatIntervalMs;
     // The tasks of a source that stops sending heartbeats are certainly gone only after their lease has expired.
     if (state === 'stopping') return leaseMs + checkpointS * 1000 + heartbeatTimeoutMs;
     return state === 'starting' ? leaseMs : heartbeatTimeoutMs;
@@ -228,11 +229,11 @@
     switch (effect) {
       case 'stop-source':
         return executor.stop(move.source, move.task);
-      case 'release-room':
+      case 'release-reservation':
         return move.target === null ? undefined : executor.release(move.target, move.task);
       case 'hold-task':
         return executor.holdTask(move.task, move.timeoutAt);
-      case 'free-task':
+      case 'release-held-task':
         return executor.releaseHeldTask(move.task);
     }
   }
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -52,11 +52,14 @@
 
 /**
  * The session lease of this controller, and with it the permission to act. Every action must be preceded by a check of
- * `alive()`, because the permission may end at any time.
+ * `mayAct()`, because the permission may end at any time.
  */
 export class Membership extends Actor<MembershipMessage> {
   readonly name: string;
-  /** Revision of this controller's member record, a fencing token for all its writes; 0 if it holds no session lease. */
+  /**
+   * Revision of this controller's member record, a fencing token for all its writes. 0 before the first session lease, and
+   * after the state store has reported the end of a lease until the next one.
+   */
   memberIncarnation = 0;
   private currentLeaseId: number | null = null;
   /** On the steady clock. */
@@ -67,8 +70,8 @@
     this.name = deps.name;
   }
 
-  /** Whether this controller may act: its session lease has not expired, or all its peers have extended it. */
-  alive(): boolean {
+  /** Whether this controller may act: it holds a valid session lease, or a valid lease extension from every peer. */
+  mayAct(): boolean {
     const now = this.deps.clock.steady();
     return (
       this.memberIncarnation !== 0 &&
@@ -86,7 +89,7 @@
    * and must know recent enough cancellations (see staleness-bound.ts).
    */
   mayRenewLeases(): boolean {
-    return this.alive() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
+    return this.mayAct() && this.deps.clock.steady() < this.freshAsOf + this.deps.maxStalenessMs;
   }
 
   /** Id of the session lease in the state store; 0 if there is none. */
