--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -138,10 +138,10 @@
   return EXIT_CODES.ok;
 }
 
-function describeJob({ ref, status: state, done, running, pipeline }: JobResponse): string {
+function describeJob({ ref, status: jobStatus, done, running, pipeline }: JobResponse): string {
   const counts = done === undefined ? '' : `, ${done} tasks done, ${running ?? 0} running`;
-  if (!pipeline) return `${ref}: ${state}${counts}`;
+  if (!pipeline) return `${ref}: ${jobStatus}${counts}`;
   const because = pipeline.because === null ? '' : ` (${pipeline.because})`;
   const failed = pipeline.failed ? ', the pipeline has failed' : '';
-  return `${ref}: ${state}${counts}; in ${pipeline.ref}: ${pipeline.state}${because}${failed}`;
+  return `${ref}: ${jobStatus}${counts}; in ${pipeline.ref}: ${pipeline.state}${because}${failed}`;
 }
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -133,12 +133,12 @@
   };
 }
 
-function toPipelineMembership(link: z.infer<typeof pipelineSchema>): PipelineMembership {
+function toPipelineMembership(submitted: z.infer<typeof pipelineSchema>): PipelineMembership {
   return {
-    ref: link.ref,
-    after: (link.after ?? []).map(({ job, type }) => ({ job, kind: type })),
-    reExecutable: link.re_executable ?? true,
-    alternateFor: link.alternate_for ?? null,
+    ref: submitted.ref,
+    after: (submitted.after ?? []).map(({ job, type }) => ({ job, kind: type })),
+    reExecutable: submitted.re_executable ?? true,
+    alternateFor: submitted.alternate_for ?? null,
   };
 }
 
--- a/src/protocol/policy.ts
+++ b/src/protocol/policy.ts
@@ -80,8 +80,8 @@
 function lineOf(text: string, field: readonly string[]): number {
   const lines = text.split('\n');
   for (const name of [...field].reverse()) {
-    const at = lines.findIndex((line) => line.replace(/--.*$/, '').includes(name));
-    if (at >= 0) return at + 1;
+    const lineIndex = lines.findIndex((line) => line.replace(/--.*$/, '').includes(name));
+    if (lineIndex >= 0) return lineIndex + 1;
   }
   return 1;
 }
--- a/src/storage/fleet-edit.ts
+++ b/src/storage/fleet-edit.ts
@@ -108,10 +108,10 @@
 ): Write[] {
   const merged = encodeFleet(values.flatMap(({ machines }) => machines));
   const mergedBytes = Buffer.byteLength(JSON.stringify(merged));
-  const merge = mergedBytes <= limits.valueBytes * (1 - MAX_EDIT_SIZE_RATIO);
+  const shouldMerge = mergedBytes <= limits.valueBytes * (1 - MAX_EDIT_SIZE_RATIO);
   return values.map(({ key, machines }, i) => {
-    const mergedPart = i === 0 ? merged : [];
-    const value = merge ? mergedPart : encodeFleet(machines);
+    const mergedValue = i === 0 ? merged : [];
+    const value = shouldMerge ? mergedValue : encodeFleet(machines);
     return value.length > 0 || initialWriteMayBeRetried(replica, key) ? { put: key, value } : { remove: key };
   });
 }
--- a/src/storage/progress-slots.ts
+++ b/src/storage/progress-slots.ts
@@ -18,7 +18,7 @@
  */
 export class ProgressSlots {
   private readonly slotOf = new Map<string, number>();
-  private readonly jobsInSlot: number[] = [];
+  private readonly jobCountBySlot: number[] = [];
   private readonly writtenTexts: string[] = [];
 
   constructor(private readonly valueBytes: number) {}
@@ -26,7 +26,7 @@
   /** Assigns a slot to a job. If the store already holds the job, this must be its slot there. */
   assign(ref: string, slot: number): void {
     this.slotOf.set(ref, slot);
-    this.jobsInSlot[slot] = (this.jobsInSlot[slot] ?? 0) + 1;
+    this.jobCountBySlot[slot] = (this.jobCountBySlot[slot] ?? 0) + 1;
   }
 
   /** Frees the place of a job that has ended. */
@@ -34,14 +34,14 @@
     const slot = this.slotOf.get(ref);
     if (slot === undefined) return;
     this.slotOf.delete(ref);
-    this.jobsInSlot[slot] = (this.jobsInSlot[slot] ?? 1) - 1;
+    this.jobCountBySlot[slot] = (this.jobCountBySlot[slot] ?? 1) - 1;
   }
 
   /** The values that differ from those last written, in the order of the jobs. */
   changedValues(jobs: ReadonlyMap<string, JobProgress>): ProgressValue[] {
     const values = new Map<number, Map<string, JobProgress>>();
     for (const [ref, progress] of jobs) {
-      const slot = this.slotFor(ref);
+      const slot = this.getOrAssignSlot(ref);
       const slotJobs = values.get(slot) ?? new Map<string, JobProgress>();
       slotJobs.set(ref, progress);
       values.set(slot, slotJobs);
@@ -60,12 +60,12 @@
     this.writtenTexts[slot] = text;
   }
 
-  private slotFor(ref: string): number {
+  private getOrAssignSlot(ref: string): number {
     const known = this.slotOf.get(ref);
     if (known !== undefined) return known;
     const jobsPerValue = Math.max(1, Math.floor(this.valueBytes / EXPECTED_BYTES_PER_JOB));
     let slot = 0;
-    while ((this.jobsInSlot[slot] ?? 0) >= jobsPerValue) slot++;
+    while ((this.jobCountBySlot[slot] ?? 0) >= jobsPerValue) slot++;
     this.assign(ref, slot);
     return slot;
   }
--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -30,8 +30,8 @@
  * Bounds of the pause between two watches. Each response costs a request, so changes accumulate during the pause. The pause is
  * longer if applying them is expensive.
  */
-const MIN_WATCH_PAUSE_MS = 100;
-const MAX_WATCH_PAUSE_MS = 400;
+const MIN_WATCH_INTERVAL_MS = 100;
+const MAX_WATCH_INTERVAL_MS = 400;
 /** Share of the time that applying watched changes may take. */
 const MAX_WATCH_COST_RATIO = 0.1;
 /** Pause between two watches while a caller waits for a revision. */
@@ -97,8 +97,12 @@
     replica.advance(watchResult.revision, requestedAt);
     this.publishIfComplete();
     const now = clock.steady();
-    const pauseMs = clamp((now - respondedAt) / MAX_WATCH_COST_RATIO, MIN_WATCH_PAUSE_MS, MAX_WATCH_PAUSE_MS);
-    return this.pauseBetweenWatches(pauseMs - (now - startedAt));
+    const intervalMs = clamp(
+      (now - respondedAt) / MAX_WATCH_COST_RATIO,
+      MIN_WATCH_INTERVAL_MS,
+      MAX_WATCH_INTERVAL_MS,
+    );
+    return this.pauseBetweenWatches(intervalMs - (now - startedAt));
   }
 
   /** Reads all keys; resolves to false if a page could not be read. */
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -67,11 +67,11 @@
         finished: false,
         finish: () => undefined,
       };
-      const deadline = setTimeout(() => this.handleTimeout(call), timeoutMs);
+      const timeoutTimer = setTimeout(() => this.handleTimeout(call), timeoutMs);
       call.finish = (response): void => {
         if (call.finished) return;
         call.finished = true;
-        clearTimeout(deadline);
+        clearTimeout(timeoutTimer);
         resolve(response);
       };
       this.pendingCalls.push(call);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -15,10 +15,10 @@
 import { MAX_FRAME_BYTES } from '../src/transport/peer-link';
 import { jobSpec } from './support/job-spec';
 
-const MACHINES = 4200;
-const JOBS = 30;
+const MACHINE_COUNT = 4200;
+const JOB_COUNT = 30;
 const TASKS_PER_JOB = 700;
-const CPUS = 4;
+const CPUS_PER_MACHINE = 4;
 const FIRST_OWNER_EPOCH = 100;
 const SECOND_OWNER_EPOCH = 200;
 /** The machines were recorded before either owner had the partition. */
@@ -26,12 +26,12 @@
 const VALUE_BYTES = 4096;
 
 const type: MachineType = {
-  ...{ name: 'small', cpus: CPUS, accelerators: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1 },
+  ...{ name: 'small', cpus: CPUS_PER_MACHINE, accelerators: 0, memoryGb: 16, cacheGb: 50, fetchGbPerS: 1 },
   ...{ price: 0.2, spotPrice: 0.08, bootS: 20, zones: ['a'] },
 };
 const types = new Map([['small', type]]);
 const record: MachineRecord = { partition: 'p0', phase: 'active', type: 'small', zone: 'a', spot: true };
-const names = Array.from({ length: MACHINES }, (_, i) => `i-${String(i).padStart(6, '0')}`);
+const machineIds = Array.from({ length: MACHINE_COUNT }, (_, i) => `i-${String(i).padStart(6, '0')}`);
 
 function job(n: number): JobSpec {
   return jobSpec(`job-${n}`, { tasks: TASKS_PER_JOB, memoryGb: 1 });
@@ -46,7 +46,7 @@
 
 class Fleet {
   readonly workers = new Map<string, Worker>(
-    names.map((n) => [n, { sequence: 0, token: 0, tasks: new Map() }]),
+    machineIds.map((n) => [n, { sequence: 0, token: 0, tasks: new Map() }]),
   );
 
   /** Each machine sends one heartbeat and starts the tasks in its answer. */
@@ -82,7 +82,7 @@
 }
 
 function createOwner(epoch: number, now: number): PartitionCore {
-  const cpus = MACHINES * CPUS;
+  const cpus = MACHINE_COUNT * CPUS_PER_MACHINE;
   const team = { name: 't', guaranteed: { cpus, accelerators: 0 }, limit: { cpus, accelerators: 0 } };
   const options = { heartbeatIntervalMs: 3000, leaseMs: 19_000, valueBytes: 32_768, objectives: [] };
   const core = new PartitionCore({
@@ -92,11 +92,11 @@
     machineTypes: () => types,
     specOfClosedJob: () => undefined,
     options,
-    assignedMachines: new Set(names),
+    assignedMachines: new Set(machineIds),
   });
-  for (const id of names) core.upsertMachine(id, record, RECORD_REVISION, now);
+  for (const id of machineIds) core.upsertMachine(id, record, RECORD_REVISION, now);
   const progress = { doneRanges: '', doneCount: 0, runningCount: 0, startWatermark: TASKS_PER_JOB };
-  for (let n = 0; n < JOBS; n++)
+  for (let n = 0; n < JOB_COUNT; n++)
     core.openJob({ spec: job(n), acceptedAt: n, revision: RECORD_REVISION, progress }, now);
   core.tick(now, now);
   return core;
@@ -105,7 +105,7 @@
 function fleetSnapshotOf(load: PartitionLoad, now: number): Parameters<typeof planCapacity>[0] {
   const history = new FleetHistory();
   history.recordLoad(load, now, now);
-  const recorded = names.map((id): [string, { record: MachineRecord }] => [id, { record }]);
+  const recorded = machineIds.map((id): [string, { record: MachineRecord }] => [id, { record }]);
   const machines = history.fleetMachines(recorded, now);
   return {
     types,
@@ -126,11 +126,11 @@
   firstOwner.tick(4500, 4500);
   fleet.heartbeatAll(firstOwner, 7000);
   const started = fleet.tasks();
-  assert.equal(started.length, MACHINES * CPUS, 'every machine is full');
+  assert.equal(started.length, MACHINE_COUNT * CPUS_PER_MACHINE, 'every machine is full');
   assert.equal(new Set(started).size, started.length, 'no task is on two machines');
 
   const load = firstOwner.currentLoad(8000);
-  assert.equal(load.machines.length, MACHINES);
+  assert.equal(load.machines.length, MACHINE_COUNT);
   const frame: PeerMessage = {
     ...{
       kind: 'status',
@@ -145,11 +145,11 @@
   const bytes = encodePeerMessage(frame);
   assert.ok(bytes.length < MAX_FRAME_BYTES / 4, `${bytes.length} bytes`);
   assert.deepEqual(JSON.parse(JSON.stringify(decodePeerMessage(bytes))), JSON.parse(JSON.stringify(frame)));
-  const waiting = JOBS * TASKS_PER_JOB - started.length;
+  const pendingCount = JOB_COUNT * TASKS_PER_JOB - started.length;
   assert.equal(
     load.demands.reduce((sum, d) => sum + d.tasks, 0),
     0,
-    `the team is at its limit, so none of the ${waiting} pending tasks counts as demand`,
+    `the team is at its limit, so none of the ${pendingCount} pending tasks counts as demand`,
   );
   assert.deepEqual(
     planCapacity(fleetSnapshotOf(load, 8000)),
@@ -158,7 +158,7 @@
   );
 
   const secondOwner = createOwner(SECOND_OWNER_EPOCH, 9000);
-  assert.equal(secondOwner.unconfirmedCount, MACHINES);
+  assert.equal(secondOwner.unconfirmedCount, MACHINE_COUNT);
   fleet.heartbeatAll(secondOwner, 10_000);
   fleet.heartbeatAll(secondOwner, 13_000);
   assert.equal(secondOwner.unconfirmedCount, 0, 'all machines have sent heartbeats to the new owner');
@@ -172,19 +172,19 @@
     assignedMachinesInKey: (key: string) => values.get(key) ?? [],
     storeReplica: { revisionOf: () => 0 },
   } as unknown as ReplicaView;
-  let left = names;
-  while (left.length > 0) {
+  let remaining = machineIds;
+  while (remaining.length > 0) {
     const { ids, write } = planAssignedMachinesEdit(replica, {
       partition: 'p0',
-      machines: left,
+      machines: remaining,
       exists: () => true,
       valueBytes: VALUE_BYTES,
     });
     assert.ok('put' in write && ids.length > 0);
     values.set(write.put, write.value as string[]);
-    left = left.filter((id) => !ids.includes(id));
+    remaining = remaining.filter((id) => !ids.includes(id));
   }
-  assert.deepEqual([...values.values()].flat().sort(), names);
+  assert.deepEqual([...values.values()].flat().sort(), machineIds);
   for (const [key, value] of values)
     assert.ok(JSON.stringify(value).length <= VALUE_BYTES, `${key} is too large`);
 });
--- a/test/storage/replica-view.test.ts
+++ b/test/storage/replica-view.test.ts
@@ -104,7 +104,7 @@
 }
 
 test('changes in the store are applied to the replica view', async (t) => {
-  const cases: [string, (t: ReplicaHarness) => void][] = [
+  const cases: [string, (harness: ReplicaHarness) => void][] = [
     [
       'a job keeps the spec that was submitted',
       (harness) => assert.deepEqual(harness.acceptJobs('a', [spec]).replica.jobs.get('job-1')?.spec, spec),
@@ -214,8 +214,8 @@
       'an empty value that the current leader first wrote is kept, and that of an earlier leader is removed',
       (harness) => {
         harness.change(keys.leader, { member: 'a' });
-        const leader = harness.replica.leader?.term ?? 0;
-        const [present, earlier] = [`${leader}-1`, `${leader - 1}-1`];
+        const leaderTerm = harness.replica.leader?.term ?? 0;
+        const [present, earlier] = [`${leaderTerm}-1`, `${leaderTerm - 1}-1`];
         harness.putFleet('p0', present, ['i-1']).putFleet('p0', earlier, ['i-2']);
         const removed = new Map([...harness.replica.machines.keys()].map((id) => [id, null]));
         const { writes } = planFleetEdit(harness.replica, 'p0', removed, 'n', {
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -1,5 +1,5 @@
 /**
- * Simulates the same days under virtual time with load balancing off and on, for several seeds, and writes the results as
+ * Simulates the same simulations under virtual time with load balancing off and on, for several seeds, and writes the results as
  * one self-contained HTML report. CONTRIBUTING.md describes how to run it.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
@@ -8,7 +8,7 @@
 import { runBalanceSimulation } from '../../test/standin/balance-day';
 import { measurePlanningCosts } from './planning-cost';
 import { renderReport } from './report';
-import { VARIANTS, type VariantDays } from './variants';
+import { VARIANTS, type VariantResults } from './variants';
 
 interface Options {
   seeds: string;
@@ -18,11 +18,11 @@
 }
 
 async function run({ seeds, machines, minutes, out }: Options): Promise<void> {
-  const results: VariantDays[] = VARIANTS.map((variant) => ({ variant, days: [] }));
+  const results: VariantResults[] = VARIANTS.map((variant) => ({ variant, simulations: [] }));
   for (let seed = 1; seed <= Number(seeds); seed++) {
-    for (const { variant, days } of results) {
+    for (const { variant, simulations } of results) {
       const { balancing } = variant;
-      const day = await runBalanceSimulation({
+      const simulation = await runBalanceSimulation({
         ...{
           seed,
           balancing,
@@ -31,9 +31,10 @@
           crashAtMs: null,
         },
       });
-      if (day.violations.length > 0) throw new Error(`seed ${seed}, ${variant.name}: ${day.violations[0]}`);
-      days.push(day);
-      console.log(`seed ${seed}, ${variant.name}: ${day.finished} of ${day.jobs} jobs`);
+      if (simulation.violations.length > 0)
+        throw new Error(`seed ${seed}, ${variant.name}: ${simulation.violations[0]}`);
+      simulations.push(simulation);
+      console.log(`seed ${seed}, ${variant.name}: ${simulation.finished} of ${simulation.jobs} jobs`);
     }
   }
   const report = renderReport(results, measurePlanningCosts());
@@ -44,8 +45,8 @@
 }
 
 const program = new Command('balance')
-  .description('Compares days with and without load balancing, under virtual time.')
-  .option('--seeds <n>', 'how many days of each kind', '8')
+  .description('Compares simulations with and without load balancing, under virtual time.')
+  .option('--seeds <n>', 'how many simulations of each kind', '8')
   .option('--machines <n>', 'machines of the fleet', '20')
   .option('--minutes <n>', 'for how long jobs are submitted', '8')
   .option('--out <file>', 'the report', 'target-test/balance/report.html');
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -1,7 +1,7 @@
 import * as echarts from 'echarts';
 import { quantile, type BalanceSimulationResult } from '../../test/standin/balance-day';
 import { type PlanningCost } from './planning-cost';
-import { type VariantDays } from './variants';
+import { type VariantResults } from './variants';
 
 /** An HTML report, and its figures as lines of text. */
 export interface Report {
@@ -13,23 +13,38 @@
 const PLOT_HEIGHT_PX = 360;
 const SPREAD_BIN_WIDTH_MS = 10_000;
 
-interface Figure {
+interface Metric {
   name: string;
-  measure: (day: BalanceSimulationResult) => number;
+  measure: (simulation: BalanceSimulationResult) => number;
 }
 
-const FIGURES: Figure[] = [
-  { name: 'urgent wait p50, s', measure: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.5) },
-  { name: 'urgent wait p95, s', measure: (day) => quantile(day.startDelays.get('urgent') ?? [], 0.95) },
-  { name: 'idle wait p50, s', measure: (day) => quantile(day.startDelays.get('idle') ?? [], 0.5) },
-  { name: 'idle wait p95, s', measure: (day) => quantile(day.startDelays.get('idle') ?? [], 0.95) },
-  { name: 'spread (CV of CPUs in use)', measure: (day) => mean(day.spread.map(({ value }) => value)) },
-  { name: 'task moves made', measure: (day) => day.moves.completed },
-  { name: 'task moves given up', measure: (day) => day.moves.abandoned },
-  { name: 'machine moves', measure: (day) => day.machineMoves.allowed },
-  { name: 'work lost, s', measure: (day) => day.repeatedWorkS },
-  { name: 'jobs finished', measure: (day) => day.finished },
-  { name: 'processor time of the whole day, ms', measure: (day) => day.cpuMs },
+const METRICS: Metric[] = [
+  {
+    name: 'urgent wait p50, s',
+    measure: (simulation) => quantile(simulation.startDelays.get('urgent') ?? [], 0.5),
+  },
+  {
+    name: 'urgent wait p95, s',
+    measure: (simulation) => quantile(simulation.startDelays.get('urgent') ?? [], 0.95),
+  },
+  {
+    name: 'idle wait p50, s',
+    measure: (simulation) => quantile(simulation.startDelays.get('idle') ?? [], 0.5),
+  },
+  {
+    name: 'idle wait p95, s',
+    measure: (simulation) => quantile(simulation.startDelays.get('idle') ?? [], 0.95),
+  },
+  {
+    name: 'spread (CV of CPUs in use)',
+    measure: (simulation) => mean(simulation.spread.map(({ value }) => value)),
+  },
+  { name: 'task moves made', measure: (simulation) => simulation.moves.completed },
+  { name: 'task moves given up', measure: (simulation) => simulation.moves.abandoned },
+  { name: 'machine moves', measure: (simulation) => simulation.machineMoves.allowed },
+  { name: 'work lost, s', measure: (simulation) => simulation.repeatedWorkS },
+  { name: 'jobs finished', measure: (simulation) => simulation.finished },
+  { name: 'processor time of the whole simulation, ms', measure: (simulation) => simulation.cpuMs },
 ];
 
 function mean(values: readonly number[]): number {
@@ -59,26 +74,26 @@
   return svg;
 }
 
-function startDelayPlot(results: readonly VariantDays[], priority: string): string {
+function startDelayPlot(results: readonly VariantResults[], priority: string): string {
   const quantiles = [0.5, 0.75, 0.9, 0.95, 0.99];
   return plot(`Seconds until a task of '${priority}' begins`, {
     xAxis: { type: 'category', data: quantiles.map((fraction) => `p${fraction * 100}`) },
     yAxis: { type: 'value', name: 's' },
-    series: results.map(({ variant, days }) => {
-      const waits = days.flatMap((day) => day.startDelays.get(priority) ?? []);
-      const data = quantiles.map((fraction) => Math.round(quantile(waits, fraction) * 10) / 10);
+    series: results.map(({ variant, simulations }) => {
+      const delays = simulations.flatMap((simulation) => simulation.startDelays.get(priority) ?? []);
+      const data = quantiles.map((fraction) => Math.round(quantile(delays, fraction) * 10) / 10);
       return { name: variant.name, type: 'bar' as const, data };
     }),
   });
 }
 
-function spreadPlot(results: readonly VariantDays[]): string {
+function spreadPlot(results: readonly VariantResults[]): string {
   return plot('Spread over time: coefficient of variation of CPUs in use, mean of the seeds', {
     xAxis: { type: 'value', name: 's' },
     yAxis: { type: 'value' },
-    series: results.map(({ variant, days }) => {
+    series: results.map(({ variant, simulations }) => {
       const bins = new Map<number, number[]>();
-      for (const { atMs, value } of days.flatMap((day) => day.spread)) {
+      for (const { atMs, value } of simulations.flatMap((simulation) => simulation.spread)) {
         const bin = Math.floor(atMs / SPREAD_BIN_WIDTH_MS);
         bins.set(bin, [...(bins.get(bin) ?? []), value]);
       }
@@ -94,10 +109,10 @@
 }
 
 function costPlot(costs: readonly PlanningCost[]): string {
-  const series = (name: string, of: (cost: PlanningCost) => number): echarts.SeriesOption => ({
+  const series = (name: string, measure: (cost: PlanningCost) => number): echarts.SeriesOption => ({
     name,
     type: 'scatter',
-    data: costs.map((cost) => [cost.tasks, of(cost)]),
+    data: costs.map((cost) => [cost.tasks, measure(cost)]),
   });
   return plot('What a round costs, by tasks of the partition (the dearest case)', {
     xAxis: { type: 'value', name: 'tasks' },
@@ -107,12 +122,12 @@
 }
 
 /** Renders the results. The plots are inline SVG. */
-export function renderReport(results: readonly VariantDays[], costs: readonly PlanningCost[]): Report {
+export function renderReport(results: readonly VariantResults[], costs: readonly PlanningCost[]): Report {
   const header = ['figure', ...results.map(({ variant }) => variant.name)];
-  const rows = FIGURES.map(({ name, measure }) => [
+  const rows = METRICS.map(({ name, measure }) => [
     name,
-    ...results.map(({ days }) => {
-      const values = days.map(measure);
+    ...results.map(({ simulations }) => {
+      const values = simulations.map(measure);
       return `${mean(values).toFixed(2)} ± ${standardDeviation(values).toFixed(2)}`;
     }),
   ]);
@@ -126,13 +141,13 @@
     startDelayPlot(results, 'idle'),
     costPlot(costs),
   ];
-  const seeds = results[0]?.days.length ?? 0;
+  const seeds = results[0]?.simulations.length ?? 0;
   return {
     lines: [header, ...rows, costHeader, ...costRows].map((cells) => `| ${cells.join(' | ')} |`),
     html: `<!doctype html><html lang="en"><meta charset="utf-8"><title>Load balancing off and on</title>
 <body style="font-family: sans-serif; max-width: 60em; margin: auto">
 <h1>Load balancing off and on</h1>
-<p>${seeds} days of each kind under virtual time, with stand-ins for all machines. Mean and standard deviation over the seeds.</p>
+<p>${seeds} simulations of each kind under virtual time, with stand-ins for all machines. Mean and standard deviation over the seeds.</p>
 ${table(header, rows)}${plots.join('\n')}${table(costHeader, costRows)}</body></html>\n`,
   };
 }
--- a/tools/balance/variants.ts
+++ b/tools/balance/variants.ts
@@ -1,4 +1,4 @@
-/** The variants that the comparison of days with and without load balancing simulates. */
+/** The variants that the comparison of simulations with and without load balancing simulates. */
 import { type BalanceSimulationResult } from '../../test/standin/balance-day';
 
 /** A configuration of the service in the comparison. */
@@ -8,10 +8,10 @@
   balancing: object | null;
 }
 
-/** The simulated days of one variant, one per seed. */
-export interface VariantDays {
+/** The simulated simulations of one variant, one per seed. */
+export interface VariantResults {
   variant: Variant;
-  days: BalanceSimulationResult[];
+  simulations: BalanceSimulationResult[];
 }
 
 export const VARIANTS: readonly Variant[] = [
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -174,7 +174,7 @@
     await this.sleep(Number(options.warmUp));
     this.users.start(Number(options.jobs));
     await this.sleep(Number(options.seconds));
-    if (options.endLeader) await this.endLeader();
+    if (options.endLeader) await this.endFirstController();
     console.log(`users: ${JSON.stringify(this.users.counters)}, machines ${this.cloud.workers.size}`);
     for (const { name, port } of this.controllers) {
       const status = await sendRequest(this.agentOf(name), port, '/status', {}, 'GET', RESPONSE_TIMEOUT_MS);
@@ -186,7 +186,7 @@
   }
 
   /** Ends the first controller, assumed to own most, and goes on for half as long while its partitions are taken over. */
-  private async endLeader(): Promise<void> {
+  private async endFirstController(): Promise<void> {
     const first = this.controllers[0] as RunningController;
     first.process.kill('SIGTERM');
     await this.sleep(Number(this.options.seconds) / 2);
