--- a/src/protocol/task-ranges.ts
+++ b/src/protocol/task-ranges.ts
@@ -2,15 +2,15 @@
 
 /** Encodes a set of task indices as ranges, without those that would exceed `maxLength` characters. */
 export function encodeRanges(
-  done: Uint8Array,
+  taskStates: Uint8Array,
   isDone: (value: number) => boolean,
   maxLength: number,
 ): string {
   let text = '';
-  for (let first = 0; first < done.length; first++) {
-    if (!isDone(done[first] as number)) continue;
+  for (let first = 0; first < taskStates.length; first++) {
+    if (!isDone(taskStates[first] as number)) continue;
     let last = first;
-    while (last + 1 < done.length && isDone(done[last + 1] as number)) last++;
+    while (last + 1 < taskStates.length && isDone(taskStates[last + 1] as number)) last++;
     const range = `${text ? ',' : ''}${first}${last > first ? `-${last}` : ''}`;
     if (text.length + range.length > maxLength) break;
     text += range;
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -57,8 +57,8 @@
     socket.setNoDelay(true);
     socket.on('error', () => socket.destroy());
     readFrames(socket, (content) =>
-      onFrame(content, (reply) => {
-        if (!socket.destroyed) writeFrame(socket, reply);
+      onFrame(content, (replyContent) => {
+        if (!socket.destroyed) writeFrame(socket, replyContent);
       }),
     );
   });
