--- a/src/cli/balance-command.ts
+++ b/src/cli/balance-command.ts
@@ -28,7 +28,7 @@
   balance?: BalanceStatus;
 }
 
-/** Prints the distribution of load, and what is moved and why, as known to the leader. */
+/** Prints the load of each partition, and the moves of tasks and machines and their reasons, as known to the leader. */
 export function showBalance({ server, json }: ClientOptions, output: Output): Promise<number> {
   return reportUsageErrors(output, async () => {
     const response = await requestWithRetries('GET', API_PATHS.status, undefined, server, output);
@@ -74,7 +74,7 @@
   const trend = `${trendPerS >= 0 ? '+' : ''}${trendPerS.toFixed(1)}`;
   const capacity = `${partition}: ${formatWhole(cpus)} CPUs, ${formatWhole(freeCpus)} free, ${formatWhole(largestFreeCpus)} on one machine`;
   return [
-    `${capacity}; work ${trend} CPU s/s; told ${(ageMs / 1000).toFixed(1)} s ago`,
+    `${capacity}; work ${trend} CPU s/s; reported ${(ageMs / 1000).toFixed(1)} s ago`,
     `  running ${formatByPriority(summary.running)}; waiting ${formatByPriority(summary.waiting)} (CPU s)`,
     ...teams.map(
       (t) => `  team ${t.team}: running ${formatWhole(t.running)}, waiting ${formatWhole(t.waiting)} CPU s`,
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -1,4 +1,4 @@
-/** Commands for users. Each sends one request to a controller and retries it until a final response arrives. */
+/** Commands for users. Each sends one request to a controller and retries it a few times until a final response arrives. */
 import { API_PATHS } from '../protocol/api-paths';
 import { readFileSync } from 'node:fs';
 import { type HttpResponse, HttpClient } from '../transport/http-client';
--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -25,36 +25,38 @@
 
 function createProgram(): Command {
   const program = new Command('heathbridge')
-    .description('A cluster scheduler for pipelines of jobs. Without a command it serves.')
+    .description('A cluster scheduler for pipelines of jobs. Runs a controller if no command is given.')
     .version(VERSION)
     .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_CODES.usage));
   const withServiceOptions = (command: Command): Command =>
     command
       .requiredOption('--config <file>', "the platform's settings (JSON)")
       .option('--policy <file>', "the operators' policy (Lua)")
-      .option('--features <file>', 'what is switched on beyond scheduling (TOML)');
+      .option('--features <file>', 'the optional features to enable (TOML)');
   const withClientOptions = (command: Command): Command =>
     command
-      .option('--server <address:port>', 'a controller of the service', DEFAULT_SERVER)
+      .option('--server <address:port>', 'address of a controller', DEFAULT_SERVER)
       .option('--json', 'print the answer as JSON', false);
   withServiceOptions(program.command('serve', { isDefault: true }).description('run a controller')).action(
     startService,
   );
   withServiceOptions(
-    program.command('check').description('check a settings file and a policy script'),
+    program.command('check').description('check the settings, policy and features files'),
   ).action(checkFiles);
   withClientOptions(
     program.command('submit <file>').description('submit the job that a JSON file describes (-: stdin)'),
   ).action((file: string, options: ClientOptions) => setExitCode(submit(file, options, output)));
-  withClientOptions(program.command('status <ref>').description('ask how a job stands')).action(
+  withClientOptions(program.command('status <ref>').description("show a job's status")).action(
     (ref: string, options: ClientOptions) => setExitCode(status(ref, options, output)),
   );
   withClientOptions(program.command('cancel <ref>').description('cancel a job')).action(
     (ref: string, options: ClientOptions) => setExitCode(cancel(ref, options, output)),
   );
-  withClientOptions(program.command('balance').description('show load, and what is moved and why')).action(
-    (options: ClientOptions) => setExitCode(showBalance(options, output)),
-  );
+  withClientOptions(
+    program
+      .command('balance')
+      .description('show the load of each partition, and what tasks and machines are moved and why'),
+  ).action((options: ClientOptions) => setExitCode(showBalance(options, output)));
   return program;
 }
 
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates the same simulations under virtual time with load balancing off and on, for several seeds, and writes the results as
- * one self-contained HTML report. CONTRIBUTING.md describes how to run it.
+ * Runs the same simulations of some minutes in virtual time with load balancing off and on, for several seeds, and writes the
+ * results as one self-contained HTML report. CONTRIBUTING.md describes how to run it.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
@@ -34,7 +34,9 @@
       if (simulation.violations.length > 0)
         throw new Error(`seed ${seed}, ${variant.name}: ${simulation.violations[0]}`);
       simulations.push(simulation);
-      console.log(`seed ${seed}, ${variant.name}: ${simulation.finished} of ${simulation.jobs} jobs`);
+      console.log(
+        `seed ${seed}, ${variant.name}: ${simulation.finished} of ${simulation.jobs} jobs finished`,
+      );
     }
   }
   const report = renderReport(results, measurePlanningCosts());
@@ -45,10 +47,10 @@
 }
 
 const program = new Command('balance')
-  .description('Compares simulations with and without load balancing, under virtual time.')
-  .option('--seeds <n>', 'how many simulations of each kind', '8')
-  .option('--machines <n>', 'machines of the fleet', '20')
-  .option('--minutes <n>', 'for how long jobs are submitted', '8')
-  .option('--out <file>', 'the report', 'target-test/balance/report.html');
+  .description('Compares simulations with and without load balancing, in virtual time.')
+  .option('--seeds <n>', 'number of simulations per variant', '8')
+  .option('--machines <n>', 'number of machines', '20')
+  .option('--minutes <n>', 'minutes of virtual time for which jobs are submitted', '8')
+  .option('--out <file>', 'path of the report', 'target-test/balance/report.html');
 program.parse();
 void run(program.opts<Options>());
--- a/tools/balance/planning-cost.ts
+++ b/tools/balance/planning-cost.ts
@@ -9,7 +9,7 @@
   type PendingTasks,
 } from '@heathbridge/load-balancer';
 
-/** The time that one planning round takes for a partition of this size. */
+/** Median times of a planning round and of a load summary for a partition of this size, in milliseconds. */
 export interface PlanningCost {
   machines: number;
   tasks: number;
--- a/tools/balance/report.ts
+++ b/tools/balance/report.ts
@@ -3,7 +3,7 @@
 import { type PlanningCost } from './planning-cost';
 import { type VariantResults } from './variants';
 
-/** An HTML report, and its figures as lines of text. */
+/** An HTML report, and its tables as lines of text. */
 export interface Report {
   html: string;
   lines: string[];
@@ -13,6 +13,7 @@
 const PLOT_HEIGHT_PX = 360;
 const SPREAD_BIN_WIDTH_MS = 10_000;
 
+/** A number that is computed for each simulation. */
 interface Metric {
   name: string;
   measure: (simulation: BalanceSimulationResult) => number;
@@ -20,31 +21,31 @@
 
 const METRICS: Metric[] = [
   {
-    name: 'urgent wait p50, s',
+    name: 'start delay of urgent tasks p50, s',
     measure: (simulation) => quantile(simulation.startDelays.get('urgent') ?? [], 0.5),
   },
   {
-    name: 'urgent wait p95, s',
+    name: 'start delay of urgent tasks p95, s',
     measure: (simulation) => quantile(simulation.startDelays.get('urgent') ?? [], 0.95),
   },
   {
-    name: 'idle wait p50, s',
+    name: 'start delay of idle tasks p50, s',
     measure: (simulation) => quantile(simulation.startDelays.get('idle') ?? [], 0.5),
   },
   {
-    name: 'idle wait p95, s',
+    name: 'start delay of idle tasks p95, s',
     measure: (simulation) => quantile(simulation.startDelays.get('idle') ?? [], 0.95),
   },
   {
-    name: 'spread (CV of CPUs in use)',
+    name: 'spread (coefficient of variation of CPUs in use)',
     measure: (simulation) => mean(simulation.spread.map(({ value }) => value)),
   },
-  { name: 'task moves made', measure: (simulation) => simulation.moves.completed },
-  { name: 'task moves given up', measure: (simulation) => simulation.moves.abandoned },
+  { name: 'task moves completed', measure: (simulation) => simulation.moves.completed },
+  { name: 'task moves abandoned', measure: (simulation) => simulation.moves.abandoned },
   { name: 'machine moves', measure: (simulation) => simulation.machineMoves.allowed },
-  { name: 'work lost, s', measure: (simulation) => simulation.repeatedWorkS },
+  { name: 'run time lost and repeated, s', measure: (simulation) => simulation.repeatedWorkS },
   { name: 'jobs finished', measure: (simulation) => simulation.finished },
-  { name: 'processor time of the whole simulation, ms', measure: (simulation) => simulation.cpuMs },
+  { name: 'processor time per simulation, ms', measure: (simulation) => simulation.cpuMs },
 ];
 
 function mean(values: readonly number[]): number {
@@ -76,7 +77,7 @@
 
 function startDelayPlot(results: readonly VariantResults[], priority: string): string {
   const quantiles = [0.5, 0.75, 0.9, 0.95, 0.99];
-  return plot(`Seconds until a task of '${priority}' begins`, {
+  return plot(`Start delay of tasks of priority '${priority}', by quantile`, {
     xAxis: { type: 'category', data: quantiles.map((fraction) => `p${fraction * 100}`) },
     yAxis: { type: 'value', name: 's' },
     series: results.map(({ variant, simulations }) => {
@@ -114,7 +115,7 @@
     type: 'scatter',
     data: costs.map((cost) => [cost.tasks, measure(cost)]),
   });
-  return plot('What a round costs, by tasks of the partition (the dearest case)', {
+  return plot('Time of one planning round and one summary, by number of tasks (most expensive case)', {
     xAxis: { type: 'value', name: 'tasks' },
     yAxis: { type: 'value', name: 'ms' },
     series: [series('planning', (cost) => cost.planMs), series('summary', (cost) => cost.summaryMs)],
@@ -123,7 +124,7 @@
 
 /** Renders the results. The plots are inline SVG. */
 export function renderReport(results: readonly VariantResults[], costs: readonly PlanningCost[]): Report {
-  const header = ['figure', ...results.map(({ variant }) => variant.name)];
+  const header = ['metric', ...results.map(({ variant }) => variant.name)];
   const rows = METRICS.map(({ name, measure }) => [
     name,
     ...results.map(({ simulations }) => {
@@ -147,7 +148,7 @@
     html: `<!doctype html><html lang="en"><meta charset="utf-8"><title>Load balancing off and on</title>
 <body style="font-family: sans-serif; max-width: 60em; margin: auto">
 <h1>Load balancing off and on</h1>
-<p>${seeds} simulations of each kind under virtual time, with stand-ins for all machines. Mean and standard deviation over the seeds.</p>
+<p>${seeds} simulations per variant in virtual time, with simulated machines. Mean and standard deviation over the seeds.</p>
 ${table(header, rows)}${plots.join('\n')}${table(costHeader, costRows)}</body></html>\n`,
   };
 }
--- a/tools/balance/variants.ts
+++ b/tools/balance/variants.ts
@@ -1,4 +1,4 @@
-/** The variants that the comparison of simulations with and without load balancing simulates. */
+/** The configurations that the comparison with and without load balancing simulates. */
 import { type BalanceSimulationResult } from '../../test/standin/balance-day';
 
 /** A configuration of the service in the comparison. */
@@ -8,7 +8,7 @@
   balancing: object | null;
 }
 
-/** The simulated simulations of one variant, one per seed. */
+/** The results of the simulations of one variant, one per seed. */
 export interface VariantResults {
   variant: Variant;
   simulations: BalanceSimulationResult[];
--- a/tools/load/main.ts
+++ b/tools/load/main.ts
@@ -185,7 +185,10 @@
     for (const { name } of this.controllers) this.printRecording(name);
   }
 
-  /** Ends the first controller, assumed to own most, and goes on for half as long while its partitions are taken over. */
+  /**
+   * Ends the first controller, assumed to own the most partitions, without a restart, and continues for half of `--seconds`
+   * while the others take over its partitions.
+   */
   private async endFirstController(): Promise<void> {
     const first = this.controllers[0] as RunningController;
     first.process.kill('SIGTERM');
@@ -200,8 +203,12 @@
     const { wallMs, peakRssMb, collections, loopDelayMs } = recording;
     const cpuMs = [...causes.values()].reduce((sum, ms) => sum + ms, 0);
     console.log(`\n${name}: ${cpuMs.toFixed(0)} ms of processor time in ${(wallMs / 1000).toFixed(0)} s`);
-    console.log(`  peak ${peakRssMb} MB, last ${JSON.stringify(recording.memory.at(-1))}`);
-    console.log(`  collections ${JSON.stringify(collections)}, loop delay ${JSON.stringify(loopDelayMs)}`);
+    console.log(
+      `  peak resident memory ${peakRssMb} MB, last memory sample ${JSON.stringify(recording.memory.at(-1))}`,
+    );
+    console.log(
+      `  garbage collections ${JSON.stringify(collections)}, event loop delay ${JSON.stringify(loopDelayMs)}`,
+    );
     for (const [cause, ms] of causes) console.log(`  ${ms.toFixed(0).padStart(7)} ms  ${cause}`);
     console.log('  by function:');
     for (const [frame, ms] of topFunctions.slice(0, SHOWN_FUNCTION_COUNT))
@@ -210,16 +217,18 @@
 }
 
 const program = new Command('load')
-  .description('Loads real controllers with a fleet of stand-ins and shows where their processor time goes.')
-  .option('--controllers <n>', 'how many controllers', '3')
-  .option('--machines <n>', 'how many machines report', '700')
-  .option('--jobs <n>', 'jobs a minute', '60')
-  .option('--tasks <n>', 'tasks a job', '50')
-  .option('--task-seconds <n>', 'how long a task runs', '30')
+  .description(
+    'Puts real controllers under the load of a simulated fleet and prints their processor time by cause.',
+  )
+  .option('--controllers <n>', 'number of controllers', '3')
+  .option('--machines <n>', 'number of machines that send heartbeats', '700')
+  .option('--jobs <n>', 'jobs per minute', '60')
+  .option('--tasks <n>', 'tasks per job', '50')
+  .option('--task-seconds <n>', 'mean run time of a task, in seconds', '30')
   .option('--warm-up <n>', 'seconds before the first job', '10')
   .option('--seconds <n>', 'seconds under load', '40')
   .option('--heap', 'write heap snapshots as well', false)
-  .option('--end-leader', 'end one controller after that and go on for half as long', false)
-  .option('--out <folder>', 'where profiles go', 'target-test/load');
+  .option('--end-leader', 'then end the first controller and continue for half of --seconds', false)
+  .option('--out <folder>', 'folder for settings, profiles and recordings', 'target-test/load');
 program.parse();
 void new LoadRun(program.opts<Options>()).run().then(() => process.exit());
