--- a/packages/load-balancer/index.js
+++ b/packages/load-balancer/index.js
@@ -1,2 +1,2 @@
-// The build puts compiled code below the repository's `target/`, where a package's `main` cannot point by itself.
+// The `main` of this package. It loads the compiled code, which the build writes to the repository's `target/`, outside the package.
 module.exports = require('../../target/packages/load-balancer/src/index.js');
--- a/src/protocol/api-paths.ts
+++ b/src/protocol/api-paths.ts
@@ -2,7 +2,7 @@
 export const API_PATHS = {
   /** Receives heartbeats of workers. */
   heartbeat: '/hello',
-  /** Accepts submissions. A job's status is at this path and its ref, and its cancellation below that. */
+  /** Accepts submissions. The status of a job is at `<this path>/<ref>`, its cancellation at `<this path>/<ref>/cancel`. */
   jobs: '/v2/runs',
   ready: '/ready',
   status: '/status',
--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -19,7 +19,7 @@
   after: { job: string; kind: EdgeKind }[];
   /** Whether the job may be run again after its tasks were interrupted. */
   reExecutable: boolean;
-  /** The job that this one replaces if that one fails, or null. */
+  /** Ref of the job in whose place this job runs if that job fails; null if there is none. */
   alternateFor: string | null;
 }
 
--- a/src/protocol/policy-script.ts
+++ b/src/protocol/policy-script.ts
@@ -102,7 +102,10 @@
     };
   }
 
-  /** The JavaScript value at a stack index; null for types that a policy has no use for, such as functions. */
+  /**
+   * The JavaScript value at a stack index; null for types that a policy has no use for, such as functions, and for tables that
+   * are nested too deeply.
+   */
   private valueAt(index: number, depth = 0): unknown {
     const { lua } = this.fengari;
     switch (this.call('lua_type', index)) {
@@ -119,6 +122,7 @@
     }
   }
 
+  /** The fields of the table at a stack index; entries with other keys than strings, or beyond the maximum number, are omitted. */
   private tableAt(index: number, depth: number): Record<string, unknown> {
     const stringType = this.fengari.lua['LUA_TSTRING'];
     const tableIndex = this.call('lua_absindex', index);
--- a/src/protocol/records.ts
+++ b/src/protocol/records.ts
@@ -43,7 +43,10 @@
   revision: number;
 }
 
-/** `failed` and `dropped` (a job that it abort-depends on failed) are used only for jobs of pipelines. */
+/**
+ * `failed` and `dropped` occur only in pipelines. `dropped`: a job on which this job has an `abort` dependency failed, was cancelled
+ * or was itself dropped.
+ */
 export type JobState = 'open' | 'done' | 'cancelled' | 'failed' | 'dropped';
 
 const TERMINAL_STATES = ['done', 'failed', 'dropped'] as const;
@@ -60,7 +63,7 @@
 
 /** The last written progress of an open job. */
 export interface JobProgress {
-  /** Tasks known to be done, as ranges ("0-3,7"). May lag behind; a task that is run again ends at once. */
+  /** Tasks known to be done, as ranges ("0-3,7"). May lag behind; a done task that is therefore run again ends at once. */
   doneRanges: string;
   /** Number of tasks that were done and running at that time, for display. */
   doneCount: number;
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -75,7 +75,9 @@
 
 /** A service objective that the operator sets for a workload. Other kinds concern no single job and are ignored. */
 export type Objective =
+  /** A job of the workload is to be done within this multiple of the deadline that it was submitted with. */
   | { kind: 'deadline'; workload: string; times: number }
+  /** A job of the workload is to be done within this time after its submission. */
   | { kind: 'finished'; workload: string; withinS: number }
   /** For all workloads: a task within its team's guarantee is to start within this time. */
   | { kind: 'guarantee'; withinS: number };
@@ -102,7 +104,8 @@
 
 /**
  * The limit of a team. A team whose limits are all zero is a guest: it has no guarantee, and nothing limits it but what others
- * leave unused. A team with a limit of CPUs and none of accelerators may use no accelerators.
+ * leave unused. A team with a limit of CPUs and none of accelerators may use no accelerators. A limit of accelerators alone leaves
+ * the CPUs unlimited.
  */
 function limitOf(cpus: number, accelerators: number): ResourceQuota {
   return cpus === 0 ? { cpus: Infinity, accelerators: accelerators || Infinity } : { cpus, accelerators };
--- a/src/protocol/task-ranges.ts
+++ b/src/protocol/task-ranges.ts
@@ -1,6 +1,6 @@
 /** Sets of task indices as text: ranges in ascending order, such as `0-3,7`. */
 
-/** Encodes a set of task indices as ranges, without those that would exceed `maxLength` characters. */
+/** Encodes the indices of done tasks as ranges, up to the first range with which the text would exceed `maxLength` characters. */
 export function encodeRanges(
   taskStates: Uint8Array,
   isDone: (value: number) => boolean,
--- a/src/startup/settings-files.ts
+++ b/src/startup/settings-files.ts
@@ -1,6 +1,6 @@
 const BAD_SETTINGS_EXIT_CODE = 2;
 
-/** Ends the process with the exit code for invalid settings, after writing the reason to standard error as one line. */
+/** Ends the process with the exit code for invalid settings or arguments, after writing the reason to standard error as one line. */
 export function exitWithError(reason: string): never {
   process.stderr.write(`heathbridge: ${reason}\n`);
   process.exit(BAD_SETTINGS_EXIT_CODE);
--- a/src/storage/assigned-machines.ts
+++ b/src/storage/assigned-machines.ts
@@ -4,7 +4,7 @@
 
 /** A write of one assigned-machines value, and the condition that it depends on. */
 export interface AssignedMachinesEdit {
-  /** The machines that this edit adds. The remaining ones need further edits. */
+  /** The requested machines that the value records once this edit is applied. The remaining ones need further edits. */
   ids: string[];
   condition: Condition;
   write: Write;
--- a/src/storage/fresh-read-batcher.ts
+++ b/src/storage/fresh-read-batcher.ts
@@ -13,11 +13,11 @@
 
 /**
  * Fresh reads are batched for as long as the last one took, so that slow responses lead to fewer requests, but at most this
- * long.
+ * long, unless the share of the request rate requires a longer delay.
  */
 const MAX_BATCH_DELAY_MS = 250;
 const MIN_BATCH_DELAY_MS = 20;
-/** At most one in this many of the requests that the state store allows reads the revision. */
+/** The controllers together use at most one in this many of the requests that the state store allows for reading the revision. */
 const FRESH_READ_REQUEST_DIVISOR = 4;
 /** Status of the store's response to a read of an absent key; the body holds the store's revision. */
 const STATUS_NOT_FOUND = 404;
--- a/src/storage/job-index.ts
+++ b/src/storage/job-index.ts
@@ -22,6 +22,7 @@
   readonly pipelines = new Map<string, StoredJob[]>();
   /** The states in which jobs ended, by ref, including jobs whose batch is not known yet. */
   private readonly terminalStates = new Map<string, JobState>();
+  /** The revision at which each cancelled job was cancelled, by ref. */
   private readonly cancelled = new Map<string, number>();
   private readonly progress = new Map<string, StoredProgress>();
 
--- a/src/storage/progress-slots.ts
+++ b/src/storage/progress-slots.ts
@@ -37,7 +37,7 @@
     this.jobCountBySlot[slot] = (this.jobCountBySlot[slot] ?? 1) - 1;
   }
 
-  /** The values that differ from those last written, in the order of the jobs. */
+  /** The values that differ from those last written, in the order of their first jobs. Assigns a slot to each job without one. */
   changedValues(jobs: ReadonlyMap<string, JobProgress>): ProgressValue[] {
     const values = new Map<number, Map<string, JobProgress>>();
     for (const [ref, progress] of jobs) {
@@ -70,7 +70,7 @@
     return slot;
   }
 
-  /** Truncates the done ranges until the value fits. The omitted ranges are only written later. */
+  /** Truncates the done ranges until the value fits. The omitted ranges are left for a later write. */
   private truncateToFit(jobs: Map<string, JobProgress>): Map<string, JobProgress> {
     let fitting = jobs;
     for (let maxLength = this.valueBytes; ; maxLength /= 2) {
--- a/src/storage/replica-feed.ts
+++ b/src/storage/replica-feed.ts
@@ -27,14 +27,14 @@
 /** A watch that is overdue by this much is considered lost. */
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 /**
- * Bounds of the pause between two watches. Each response costs a request, so changes accumulate during the pause. The pause is
- * longer if applying them is expensive.
+ * Bounds of the interval between the starts of two watches; the pause between them is what a watch leaves of it. Each response
+ * costs a request, so changes accumulate during the pause. The interval is longer if applying them is expensive.
  */
 const MIN_WATCH_INTERVAL_MS = 100;
 const MAX_WATCH_INTERVAL_MS = 400;
-/** Share of the time that applying watched changes may take. */
+/** Share of the time that applying watched changes may take, unless MAX_WATCH_INTERVAL_MS is too short for that. */
 const MAX_WATCH_COST_RATIO = 0.1;
-/** Pause between two watches while a caller waits for a revision. */
+/** Remaining pause between two watches once a caller waits for a revision. */
 const EXPEDITED_WATCH_PAUSE_MS = 12;
 const FILL_TIMEOUT_MS = 3000;
 const FILL_RETRY_MS = 300;
@@ -138,8 +138,8 @@
 
   /**
    * Publishes the replica as a snapshot, but only once the watch has brought all of it to the revision of the newest page.
-   * Pages are read one after the other, so a later page may hold changes made after an earlier one was read: an assignment of a
-   * partition, without the machines assigned and the start watermarks raised before it.
+   * Pages are read one after the other, so a later page may hold changes made after an earlier one was read, for example the
+   * handover of a partition, without the assigned machines and start watermarks that were written before it.
    */
   private publishIfComplete(): void {
     const { replica } = this.deps;
--- a/src/storage/request-queue.ts
+++ b/src/storage/request-queue.ts
@@ -3,7 +3,7 @@
 
 /** The order in which requests are sent when the limits of the state store are near; a smaller value goes first. */
 export enum RequestPriority {
-  /** Session leases: never held back by the rate limits. */
+  /** Session leases: not held back by the rate limits until the request bucket is overdrawn by as much as it holds. */
   Lease,
   /** Requests that decide which controller may act, or that tasks wait for. */
   Decision,
@@ -39,10 +39,13 @@
  * the buckets (see `backOff`), which brings the sum back under the limit.
  */
 const UNEVEN_SHARE_RATIO = 1.8;
-/** Maximum time for which smaller writes overtake a write of many keys. */
+/** Maximum time for which writes of fewer keys overtake a write with the priority `Decision`. */
 const MAX_OVERTAKEN_MS = 300;
 const RETRY_INTERVAL_MS = 25;
-/** Share of the request bucket that requests of a priority leave for more urgent ones. */
+/**
+ * Share of the request bucket that requests of a priority leave for more urgent ones. A negative share is the share by which the
+ * bucket may be overdrawn.
+ */
 const REQUEST_RESERVE_RATIO: Readonly<Record<RequestPriority, number>> = {
   [RequestPriority.Lease]: -1,
   [RequestPriority.Decision]: 0.1,
@@ -140,7 +143,7 @@
   private admit({ priority, writes }: QueuedRequest, now: number): boolean {
     const reserve = this.requestLimiter.burst * REQUEST_RESERVE_RATIO[priority];
     if (!this.requestLimiter.tryTake(now, 1, reserve)) return false;
-    // Session leases are never held back: losing one costs more than one request over the limit.
+    // The write limit does not hold session leases back: losing one costs more than one request over the limit.
     if (writes === 0 || priority === RequestPriority.Lease) return true;
     const writeReserve =
       priority === RequestPriority.Progress ? this.writeLimiter.burst * PROGRESS_WRITE_RESERVE_RATIO : 0;
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -9,7 +9,7 @@
   body: unknown;
 }
 
-/** Matches paths that need no escaping. Any other character would end the request line early. */
+/** Matches paths that need no escaping. A space would end the path early, and a line break the request line. */
 const SAFE_PATH_PATTERN = /^[\x21-\x7e]+$/;
 
 /** A request that waits for a connection or for its response. */
--- a/src/transport/newest-first-queue.ts
+++ b/src/transport/newest-first-queue.ts
@@ -1,6 +1,9 @@
 /** How long requests are answered before the sockets are read again. */
 const WORK_SLICE_MS = 5;
-/** Connections accepted in a row before the next slice: about as much work, so neither has to wait for the other. */
+/**
+ * Connections accepted in a row before the next slice. Accepting them takes about as long as a slice, so neither accepting nor
+ * answering has to wait for long.
+ */
 const MAX_CONSECUTIVE_ACCEPTS = 16;
 
 interface PendingRequest {
@@ -40,8 +43,8 @@
   }
 
   /**
-   * Adds a request. `first` means that nothing was answered on its connection yet. Its sender has then waited longest,
-   * whatever it has sent since, so the request goes before the others.
+   * Adds a request. `first` means that it is the first request added for its connection, so no other one was answered there
+   * yet. Its sender has then waited longest, however new the request itself is, so the request goes before the others.
    */
   add(isAlive: () => boolean, run: () => void, first = false): void {
     const queue = first ? this.firstRequests : this.laterRequests;
--- a/src/transport/plain-request.ts
+++ b/src/transport/plain-request.ts
@@ -3,7 +3,10 @@
 const REQUEST_LINE_PATTERN = /^(GET|POST) ([\x21-\x7e]+) HTTP\/1\.1$/;
 const JSON_CONTENT_TYPE_PATTERN = /^application\/json(?:;\s*charset=utf-8)?$/i;
 
-/** Head of a plain request, the kind parsed in this file: GET or POST, HTTP/1.1, with a JSON body of known length or none. */
+/**
+ * Head of a plain request. A request is plain if it is simple enough to be parsed in this file: a GET or POST of HTTP/1.1 with a
+ * JSON body of known length or none, and without transfer or content encoding, `Expect` or `Upgrade`.
+ */
 export interface PlainRequest {
   method: string;
   path: string;
@@ -13,7 +16,7 @@
   closeConnection: boolean;
 }
 
-/** Parses a head. Returns null if it contains anything that a plain request does not; a general server must then parse it. */
+/** Parses a head. Returns null if the request is not plain; a general HTTP server must then parse it. */
 export function parsePlainHead(text: string): PlainRequest | null {
   const lines = text.split('\r\n');
   const [, method, path] = REQUEST_LINE_PATTERN.exec(lines[0] ?? '') ?? [];
@@ -47,7 +50,10 @@
   return request;
 }
 
-/** Caches parsed heads, since a worker always sends the same few and parsing is a large part of the cost of a heartbeat. */
+/**
+ * Caches parsed heads of POST requests, since a worker always sends the same few and parsing is a large part of the cost of a
+ * heartbeat.
+ */
 export class PlainHeadCache {
   private readonly cached = new Map<string, PlainRequest>();
 
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -12,8 +12,9 @@
   }
 
   /**
-   * Takes `count` tokens if that leaves at least `reserve` in the bucket; otherwise takes none and returns false. A request
-   * for more than a full bucket is granted when the bucket is full, and may leave a negative balance.
+   * Takes `count` tokens if that leaves at least `reserve` in the bucket; otherwise takes none and returns false. If both
+   * together exceed the bucket, the tokens are granted when it is full, which may leave a negative balance. A negative
+   * `reserve` is an amount by which the bucket may be overdrawn.
    */
   tryTake(now: number, count: number, reserve = 0): boolean {
     this.refill(now);
--- a/src/transport/request-server.ts
+++ b/src/transport/request-server.ts
@@ -3,7 +3,7 @@
 import { NewestFirstQueue } from './newest-first-queue';
 import { PlainHeadCache, type PlainRequest } from './plain-request';
 
-/** A response to a plain request. */
+/** A response to a plain request (see PlainRequest). */
 export interface PlainResponse {
   status: number;
   /** JSON text. */
@@ -12,14 +12,14 @@
   retryAfterS?: number | undefined;
 }
 
-/** Handles the body of a request and calls `respond` exactly once, immediately or later. */
+/** Handles the body of a plain request, '' if it has none, and calls `respond` exactly once, immediately or later. */
 export type PlainHandler = (body: string, respond: (response: PlainResponse) => void) => void;
 
 /** How a plain request is handled. */
 export type PlainRoute =
   /** Queued, newest request first (see NewestFirstQueue). */
   | { kind: 'queued'; handle: PlainHandler }
-  /** Handled as soon as it is read. */
+  /** Handled as soon as it is read. A request whose body is not JSON goes to the fallback server instead. */
   | { kind: 'direct'; handle: PlainHandler };
 
 /** Handlers and limits of a request server. */
@@ -54,7 +54,8 @@
 /**
  * Creates the server for one port and all callers. The frequent requests (heartbeats of workers, submissions and status
  * queries of users) are plain and are parsed here directly from the socket, at a small part of the cost of a general HTTP
- * server. A connection whose next request is anything else is handed to the fallback server, with the bytes read so far.
+ * server. A connection whose next request is not plain, or has no route, is handed to the fallback server, with the bytes read
+ * so far.
  */
 export function createRequestServer(options: RequestServerOptions): NetServer {
   const queue = new NewestFirstQueue(() => performance.now(), setImmediate);
@@ -140,7 +141,7 @@
 
   private handToFallbackServer(): void {
     const { socket } = this;
-    // No further request is read meanwhile.
+    // Keeps this class from reading another request until the fallback server has the connection.
     this.handling = true;
     socket.off('data', this.onData);
     socket.pause();
--- a/test/deploy.test.ts
+++ b/test/deploy.test.ts
@@ -3,8 +3,8 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 
-// V8 rejected the code cache at every start, because the start had a flag that the build did not have. There was no error;
-// each start only took twice the time.
+// Guards against a start with a flag that the build does not have: V8 then rejects the code cache without an error, and each start
+// takes twice the time.
 test('the build creates the code cache under the flags with which the service is started', () => {
   const deployFile = readFileSync(join(__dirname, '..', '..', 'deploy', 'service.toml'), 'utf8');
   const settingOf = (name: string): string =>
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -121,7 +121,7 @@
   const fleet = new Fleet();
   const firstOwner = createOwner(FIRST_OWNER_EPOCH, 0);
   fleet.heartbeatAll(firstOwner, 1000);
-  // By the next heartbeat, all machines have shown its token, so nothing that an earlier owner ordered can be in effect.
+  // In its second heartbeat, each machine reports the first owner's token, so no command of an earlier owner can still take effect.
   fleet.heartbeatAll(firstOwner, 4000);
   firstOwner.tick(4500, 4500);
   fleet.heartbeatAll(firstOwner, 7000);
--- a/test/transport/newest-first-queue.test.ts
+++ b/test/transport/newest-first-queue.test.ts
@@ -35,8 +35,8 @@
         ],
       ],
     ],
-    // Workers not answered yet have the leases that expire first: one that was just sent the new token asks again after half a
-    // second.
+    // Workers not answered yet have the leases that expire first. A worker that has just received the new token sends its next
+    // heartbeat after half a second.
     [
       'a request on a connection without an answer yet goes before the others',
       [
