--- a/src/protocol/jobs.ts
+++ b/src/protocol/jobs.ts
@@ -19,7 +19,7 @@
   after: { job: string; kind: EdgeKind }[];
   /** Whether the job may be run again after its tasks were interrupted. */
   reExecutable: boolean;
-  /** The job that this one replaces if that one fails, or null. */
+  /** Ref of the job in whose place this job runs if that job fails; null if there is none. */
   alternateFor: string | null;
 }
 
@@ -133,12 +133,12 @@
   };
 }
 
-function toPipelineMembership(link: z.infer<typeof pipelineSchema>): PipelineMembership {
+function toPipelineMembership(submitted: z.infer<typeof pipelineSchema>): PipelineMembership {
   return {
-    ref: link.ref,
-    after: (link.after ?? []).map(({ job, type }) => ({ job, kind: type })),
-    reExecutable: link.re_executable ?? true,
-    alternateFor: link.alternate_for ?? null,
+    ref: submitted.ref,
+    after: (submitted.after ?? []).map(({ job, type }) => ({ job, kind: type })),
+    reExecutable: submitted.re_executable ?? true,
+    alternateFor: submitted.alternate_for ?? null,
   };
 }
 
--- a/tools/balance/main.ts
+++ b/tools/balance/main.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates the same days under virtual time with load balancing off and on, for several seeds, and writes the results as
- * one self-contained HTML report. CONTRIBUTING.md describes how to run it.
+ * Runs the same simulations of some minutes in virtual time with load balancing off and on, for several seeds, and writes the
+ * results as one self-contained HTML report. CONTRIBUTING.md describes how to run it.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { dirname } from 'node:path';
@@ -8,7 +8,7 @@
 import { runBalanceSimulation } from '../../test/standin/balance-day';
 import { measurePlanningCosts } from './planning-cost';
 import { renderReport } from './report';
-import { VARIANTS, type VariantDays } from './variants';
+import { VARIANTS, type VariantResults } from './variants';
 
 interface Options {
   seeds: string;
@@ -18,11 +18,11 @@
 }
 
 async function run({ seeds, machines, minutes, out }: Options): Promise<void> {
-  const results: VariantDays[] = VARIANTS.map((variant) => ({ variant, days: [] }));
+  const results: VariantResults[] = VARIANTS.map((variant) => ({ variant, simulations: [] }));
   for (let seed = 1; seed <= Number(seeds); seed++) {
-    for (const { variant, days } of results) {
+    for (const { variant, simulations } of results) {
       const { balancing } = variant;
-      const day = await runBalanceSimulation({
+      const simulation = await runBalanceSimulation({
         ...{
           seed,
           balancing,
@@ -31,9 +31,12 @@
           crashAtMs: null,
         },
       });
-      if (day.violations.length > 0) throw new Error(`seed ${seed}, ${variant.name}: ${day.violations[0]}`);
-      days.push(day);
-      console.log(`seed ${seed}, ${variant.name}: ${day.finished} of ${day.jobs} jobs`);
+      if (simulation.violations.length > 0)
+        throw new Error(`seed ${seed}, ${variant.name}: ${simulation.violations[0]}`);
+      simulations.push(simulation);
+      console.log(
+        `seed ${seed}, ${variant.name}: ${simulation.finished} of ${simulation.jobs} jobs finished`,
+      );
     }
   }
   const report = renderReport(results, measurePlanningCosts());
@@ -44,10 +47,10 @@
 }
 
 const program = new Command('balance')
-  .description('Compares days with and without load balancing, under virtual time.')
-  .option('--seeds <n>', 'how many days of each kind', '8')
-  .option('--machines <n>', 'machines of the fleet', '20')
-  .option('--minutes <n>', 'for how long jobs are submitted', '8')
-  .option('--out <file>', 'the report', 'target-test/balance/report.html');
+  .description('Compares simulations with and without load balancing, in virtual time.')
+  .option('--seeds <n>', 'number of simulations per variant', '8')
+  .option('--machines <n>', 'number of machines', '20')
+  .option('--minutes <n>', 'minutes of virtual time for which jobs are submitted', '8')
+  .option('--out <file>', 'path of the report', 'target-test/balance/report.html');
 program.parse();
 void run(program.opts<Options>());
