--- a/test/cluster/cluster-options.ts
+++ b/test/cluster/cluster-options.ts
@@ -41,7 +41,7 @@
   zoneConstraints?: boolean;
   machineTypes?: readonly FakeMachineType[];
   /** Machines that are up from the start; three small ones by default. */
-  initialMachines?: { kind: string; count: number }[];
+  initialMachines?: { type: string; count: number }[];
   taskListener?: TaskListener;
   /** Creates the load balancing of a controller; load is not balanced if absent. */
   balancing?: (clock: Clock) => LoadBalancing;
--- a/test/cluster/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -24,10 +24,10 @@
 const MACHINES = 20;
 const CPUS = 4;
 const LEASE_MS = 8000;
-const IDLE_MS = 20_000;
-const URGENT_MS = 1500;
+const IDLE_RUN_MS = 20_000;
+const URGENT_RUN_MS = 1500;
 const WARM_UP_MS = 4000;
-const SUBMIT_MS = 24_000;
+const SUBMISSION_MS = 24_000;
 const DONE_WITHIN_MS = 90_000;
 const TEAMS = [
   { name: 'north', cpus: 10, cpus_max: 56 },
@@ -93,7 +93,7 @@
   }
 
   private runMs(taskId: string): number {
-    const fullRunMs = this.jobOfTask(taskId)?.urgency === 'idle' ? IDLE_MS : URGENT_MS;
+    const fullRunMs = this.jobOfTask(taskId)?.urgency === 'idle' ? IDLE_RUN_MS : URGENT_RUN_MS;
     return Math.max(100, fullRunMs - (this.checkpointedMs.get(taskId) ?? 0));
   }
 
@@ -105,12 +105,12 @@
     const used = new Map<string, number>();
     for (const other of this.cluster.cloud.workers.values()) {
       let usedHere = 0;
-      for (const name of other.tasks.keys()) {
-        const owner = this.jobOfTask(name);
-        if (!owner || !other.executes(name)) continue;
-        if (name === taskId && other !== worker) this.violations.push(`ran_twice: ${taskId}`);
-        used.set(owner.crew, (used.get(owner.crew) ?? 0) + owner.cpus);
-        usedHere += owner.cpus;
+      for (const otherTaskId of other.tasks.keys()) {
+        const otherJob = this.jobOfTask(otherTaskId);
+        if (!otherJob || !other.executes(otherTaskId)) continue;
+        if (otherTaskId === taskId && other !== worker) this.violations.push(`ran_twice: ${taskId}`);
+        used.set(otherJob.crew, (used.get(otherJob.crew) ?? 0) + otherJob.cpus);
+        usedHere += otherJob.cpus;
       }
       if (usedHere > CPUS) this.violations.push(`overfull: ${other.name}`);
     }
@@ -135,15 +135,15 @@
       together: false,
       apart: false,
       loaners: true,
-      expected_s: (idle ? IDLE_MS : URGENT_MS) / 1000,
+      expected_s: (idle ? IDLE_RUN_MS : URGENT_RUN_MS) / 1000,
       snapshot_every_s: idle ? 1 : 0,
       snapshot_s: idle ? 0.2 : 0,
       due_s: null,
     };
-    void this.submitUntilDone(job.ref, body);
+    void this.submitAndPoll(job.ref, body);
   }
 
-  private async submitUntilDone(ref: string, body: object): Promise<void> {
+  private async submitAndPoll(ref: string, body: object): Promise<void> {
     for (let i = 0; !this.stopped; i++) {
       const answer = await this.cluster.request(i % CONTROLLERS, '/v2/runs', body, 'POST');
       if (answer?.status === 201 || answer?.status === 200) break;
@@ -230,8 +230,8 @@
     const submit = (job: Omit<LoopbackJob, 'ref'>): void =>
       run.submit({ ref: `job-${String(++n).padStart(6, '0')}`, ...job });
     let killed = false;
-    for (let tick = 0; performance.now() - started < SUBMIT_MS; tick++) {
-      const doubled = performance.now() - started > SUBMIT_MS / 2;
+    for (let tick = 0; performance.now() - started < SUBMISSION_MS; tick++) {
+      const doubled = performance.now() - started > SUBMISSION_MS / 2;
       // The capacity of all machines is fragmented before the first urgent job arrives.
       if (tick === 0) submit({ crew: 'north', pieces: 40, cpus: 1, urgency: 'idle' });
       if (tick % 3 === 0) submit({ crew: 'north', pieces: doubled ? 12 : 6, cpus: 1, urgency: 'idle' });
@@ -292,10 +292,10 @@
   }
   // Whether a task must be moved depends on which controller was killed and when: moves are printed, but not required.
   assert.equal(off.outcome.moves, 0);
-  const [atLeader = '', elsewhere = ''] = on.commands;
+  const [atLeader = '', atOtherController = ''] = on.commands;
   if (atLeader !== '') {
     assert.match(atLeader, new RegExp(`^${EXIT_CODES.ok}: .*CPUs`));
-    assert.match(elsewhere, new RegExp(`^${EXIT_CODES.refused}: heathbridge: .* does not lead`));
+    assert.match(atOtherController, new RegExp(`^${EXIT_CODES.refused}: heathbridge: .* does not lead`));
   }
   for (const output of off.commands) assert.match(output, /the feature is off/);
 });
--- a/test/cluster/random-faults.test.ts
+++ b/test/cluster/random-faults.test.ts
@@ -65,15 +65,15 @@
     cluster.cloud.workers.size + cluster.cloud.terminatedCount > 60,
     'more than 60 machines were provisioned',
   );
-  const status = cluster.nodes.map((n) => n.controller?.status() as ControllerStatus);
+  const statuses = cluster.nodes.map((n) => n.controller?.status() as ControllerStatus);
   const sum = (select: (s: ControllerStatus) => number): number =>
-    status.reduce((total, s) => total + select(s), 0);
+    statuses.reduce((total, s) => total + select(s), 0);
   const seconds = endMs / 1000;
   assert.ok(sum((s) => s.store.requests) < 90 * seconds, 'requests to the state store');
   // One write for each job and machine would be several times as many.
   const writes = sum((s) => s.store.writes);
   assert.ok(writes < 6.5 * seconds, `${writes} writes`);
-  for (const { partitions } of status)
+  for (const { partitions } of statuses)
     for (const partition of partitions)
       assert.ok(partition.placementPasses <= partition.reports, 'at most one placement pass per heartbeat');
 });
--- a/test/cluster/simulated-users.ts
+++ b/test/cluster/simulated-users.ts
@@ -168,19 +168,19 @@
     }
     const [first] = jobs.list;
     if (!first) return;
-    const unknown = { ...first.submission, ref: `job-9${time.now.toFixed(0)}` };
-    this.expectRefused({ ...unknown, cpus: 5000 }, 422);
-    this.expectRefused({ ...unknown, models: ['nothing'] }, 422);
-    this.expectRefused({ ...unknown, crew: 'nobody' }, 422);
+    const unknownSubmission = { ...first.submission, ref: `job-9${time.now.toFixed(0)}` };
+    this.expectRejected({ ...unknownSubmission, cpus: 5000 }, 422);
+    this.expectRejected({ ...unknownSubmission, models: ['nothing'] }, 422);
+    this.expectRejected({ ...unknownSubmission, crew: 'nobody' }, 422);
     for (const field of ['pieces', 'memory_gb', 'urgency', 'build', 'expected_s'])
-      this.expectRefused({ ...unknown, [field]: undefined }, 400);
+      this.expectRejected({ ...unknownSubmission, [field]: undefined }, 400);
     const { jobService } = this.randomController();
-    void this.withTimeout(jobService.status(unknown.ref), REQUEST_TIMEOUT_MS).then(({ status }) => {
-      if (status === 200) this.recordViolation(`invented: ${unknown.ref}`);
+    void this.withTimeout(jobService.status(unknownSubmission.ref), REQUEST_TIMEOUT_MS).then(({ status }) => {
+      if (status === 200) this.recordViolation(`invented: ${unknownSubmission.ref}`);
     });
   }
 
-  private expectRefused(submission: object, expected: number): void {
+  private expectRejected(submission: object, expected: number): void {
     void this.submit(submission).then(({ status }) => {
       if (![expected, 429, 503].includes(status)) this.recordViolation(`invalid submission got ${status}`);
     });
--- a/test/cluster/virtual-cluster.ts
+++ b/test/cluster/virtual-cluster.ts
@@ -102,8 +102,8 @@
   }
 
   private addInitialMachines(): void {
-    for (const { kind, count } of this.options.initialMachines ?? [{ kind: 'small', count: 3 }])
-      for (let i = 0; i < count; i++) this.cloud.addMachine(kind, i === 0 ? 'a' : 'b', false, 0);
+    for (const { type, count } of this.options.initialMachines ?? [{ type: 'small', count: 3 }])
+      for (let i = 0; i < count; i++) this.cloud.addMachine(type, i === 0 ? 'a' : 'b', false, 0);
   }
 
   private checkPeriodically(): void {
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -54,7 +54,7 @@
   };
 }
 
-class StartDelayRecorder implements TaskListener {
+class TaskRecorder implements TaskListener {
   readonly byPriority = new Map<string, number[]>();
   repeatedWorkS = 0;
   private readonly jobs = new Map<string, { priority: string; at: number }>();
@@ -86,7 +86,7 @@
   { seed, machines, submissionMinutes }: BalanceSimulationOptions,
 ): void {
   const random = prand.xoroshiro128plus(seed);
-  const randomInt = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
+  const randomInt = (bound: number): number => prand.unsafeUniformIntDistribution(0, bound - 1, random);
   const small = { cpus: 1, image: 'img-0', imageGb: 1, checkpointIntervalS: 10, checkpointDurationS: 1 };
   let n = 0;
   for (let at = WARM_UP_MS; at < submissionMinutes * 60_000; at += 10_000) {
@@ -131,15 +131,15 @@
 export async function runBalanceSimulation(
   options: BalanceSimulationOptions,
 ): Promise<BalanceSimulationResult> {
-  const startDelays = new StartDelayRecorder();
+  const recorder = new TaskRecorder();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
   const cluster = new VirtualCluster(options.seed, {
     controllers: 3,
     maxMachines: options.machines,
     teamLimitFactor: options.machines,
     machineTypes: MACHINE_TYPES,
-    taskListener: startDelays,
-    initialMachines: [{ kind: 'small', count: options.machines }],
+    taskListener: recorder,
+    initialMachines: [{ type: 'small', count: options.machines }],
     ...(settings ? { balancing: (clock) => createLoadBalancing(settings, clock) } : {}),
   });
   submitJobs(cluster, options);
@@ -163,12 +163,12 @@
     violations: cluster.rules.violations,
     jobs: cluster.jobs.list.length,
     finished: cluster.jobs.list.filter((job) => cluster.jobs.incompleteTasks(job).length === 0).length,
-    startDelays: startDelays.byPriority,
+    startDelays: recorder.byPriority,
     spread,
     moves: { planned: sum('planned'), completed: sum('completed'), abandoned: sum('abandoned') },
     machineMoves: fleet?.machineMoves ?? { allowed: 0, refused: 0 },
     refusals: (fleet?.partitions ?? []).flatMap(({ summary }) => summary.refusals),
-    repeatedWorkS: startDelays.repeatedWorkS,
+    repeatedWorkS: recorder.repeatedWorkS,
     cpuMs: (user + system) / 1000,
   };
 }
--- a/test/standin/fake-worker.ts
+++ b/test/standin/fake-worker.ts
@@ -185,7 +185,7 @@
     if (token > this.token) this.heartbeatDueSoon = true;
     this.token = token;
     this.leaseRenewedAt = sentAt;
-    for (const command of orders) this.execute(command);
+    for (const command of orders) this.handleCommand(command);
   }
 
   private tryNextController(response: HttpResponse | null): void {
@@ -197,7 +197,7 @@
     this.lastHeartbeatAt = this.time.now + delayMs - this.hooks.heartbeatIntervalMs;
   }
 
-  private execute({ order, piece: taskId, try: attempt, wind_down_s: graceS }: WireCommand): void {
+  private handleCommand({ order, piece: taskId, try: attempt, wind_down_s: graceS }: WireCommand): void {
     const existing = this.tasks.get(taskId);
     const sameAttempt = existing?.attempt === attempt;
     const ended = existing?.status === 'ended';
--- a/test/standin/http-front.ts
+++ b/test/standin/http-front.ts
@@ -4,17 +4,17 @@
 /** Handles a request to a fake and returns the response. */
 export type RequestHandler = (method: string, path: string, body: unknown) => Promise<HttpResponse>;
 
-async function readBody(request: IncomingMessage): Promise<unknown> {
+async function readBody(incomingRequest: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
-  for await (const chunk of request) chunks.push(chunk as Buffer);
+  for await (const chunk of incomingRequest) chunks.push(chunk as Buffer);
   return chunks.length === 0 ? undefined : (JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown);
 }
 
 /** Serves a fake over HTTP on the loopback interface. */
 export function serveFake(port: number, handle: RequestHandler): Server {
-  const server = createServer((request, response) => {
-    void readBody(request)
-      .then((body) => handle(request.method ?? 'GET', request.url ?? '/', body))
+  const server = createServer((incomingRequest, response) => {
+    void readBody(incomingRequest)
+      .then((body) => handle(incomingRequest.method ?? 'GET', incomingRequest.url ?? '/', body))
       .then(({ status, body }) => {
         const text = JSON.stringify(body);
         const headers = { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -119,11 +119,16 @@
 
   startController(index: number): void {
     if (this.stopped) return;
-    const config = join(this.folder, `settings-${index}.json`);
-    writeFileSync(config, JSON.stringify(this.settings(index)));
+    const settingsPath = join(this.folder, `settings-${index}.json`);
+    writeFileSync(settingsPath, JSON.stringify(this.settings(index)));
     const program = join(__dirname, '..', '..', 'src', 'main.js');
     const { features } = this.options;
-    const commandLine = [program, ...(features === null ? [] : ['--features', features]), '--config', config];
+    const commandLine = [
+      program,
+      ...(features === null ? [] : ['--features', features]),
+      '--config',
+      settingsPath,
+    ];
     const env = { ...process.env, LOG_LEVEL: 'error' };
     this.processes.set(
       index,
@@ -169,8 +174,8 @@
   }
 
   private agent(name: string): Agent {
-    const known = this.agents.get(name);
-    if (known) return known;
+    const existing = this.agents.get(name);
+    if (existing) return existing;
     const agent = new Agent({ keepAlive: true, maxSockets: name.startsWith('users') ? 20 : 1 });
     this.agents.set(name, agent);
     return agent;
@@ -180,7 +185,7 @@
     this.stopped = true;
     this.cloud.close();
     this.time.stop();
-    for (const process of this.processes.values()) process.kill('SIGKILL');
+    for (const child of this.processes.values()) child.kill('SIGKILL');
     for (const server of this.servers) server.close();
     for (const agent of this.agents.values()) agent.destroy();
     rmSync(this.folder, { recursive: true, force: true });
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -97,10 +97,10 @@
     if (!answer || this.responsesLost || answer.token < this.token) return;
     this.token = answer.token;
     this.leaseRenewedAt = now;
-    for (const command of answer.commands) this.execute(command, now);
+    for (const command of answer.commands) this.handleCommand(command, now);
   }
 
-  private execute(command: Command, now: number): void {
+  private handleCommand(command: Command, now: number): void {
     const { ref, index, attempt } = command;
     const key = `${ref}/${index}`;
     const existing = this.tasks.get(key);
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -22,7 +22,7 @@
 export class FakeStateStore {
   readonly keys = new Map<string, StoredEntry>();
   private readonly changes: RecordedChange[] = [];
-  private readonly leases = new Map<number, { ttl: number; until: number }>();
+  private readonly leases = new Map<number, { ttlMs: number; expiresAt: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextLeaseId = 1;
@@ -43,7 +43,7 @@
     this.down = true;
     this.time.at(this.time.now + ms, () => {
       this.down = false;
-      for (const lease of this.leases.values()) lease.until = this.time.now + lease.ttl;
+      for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
     });
   }
 
@@ -82,9 +82,9 @@
     return jsonResponse(200, { path: key, ...found });
   }
 
-  private grantLease(ttl: number): Promise<HttpResponse> {
+  private grantLease(ttlMs: number): Promise<HttpResponse> {
     const id = this.nextLeaseId++;
-    this.leases.set(id, { ttl, until: this.time.now + ttl });
+    this.leases.set(id, { ttlMs, expiresAt: this.time.now + ttlMs });
     return jsonResponse(200, { permit: id });
   }
 
@@ -92,10 +92,10 @@
     const lease = this.leases.get(id);
     if (!lease) return jsonResponse(404, {});
     if (method === 'DELETE') {
-      lease.until = 0;
+      lease.expiresAt = 0;
       this.expireLeases();
     } else {
-      lease.until = this.time.now + lease.ttl;
+      lease.expiresAt = this.time.now + lease.ttlMs;
     }
     return jsonResponse(200, {});
   }
@@ -128,7 +128,7 @@
   private expireLeases(): void {
     if (this.down) return;
     for (const [id, lease] of this.leases) {
-      if (lease.until > this.time.now) continue;
+      if (lease.expiresAt > this.time.now) continue;
       this.leases.delete(id);
       this.revision++;
       for (const [path, entry] of this.keys) if (entry.permit === id) this.remove(path);
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -21,11 +21,11 @@
   /** Machines that are recorded as assigned to the partition. */
   private readonly assigned = new Set<string>();
 
-  constructor(limit = 8) {
+  constructor(cpuLimit = 8) {
     const team = {
       name: 't',
       guaranteed: { cpus: 4, accelerators: 0 },
-      limit: { cpus: limit, accelerators: 0 },
+      limit: { cpus: cpuLimit, accelerators: 0 },
     };
     const options = { heartbeatIntervalMs: 2000, leaseMs: 12_000, valueBytes: 4096, objectives: [] };
     this.core = new PartitionCore({
@@ -117,4 +117,4 @@
 }
 
 /** A test case: its name, the function that runs it on a new partition, and the team's CPU limit if it is not 8. */
-export type PartitionCase = [name: string, run: (partition: PartitionHarness) => void, limit?: number];
+export type PartitionCase = [name: string, run: (partition: PartitionHarness) => void, cpuLimit?: number];
