--- a/test/cluster/faults.ts
+++ b/test/cluster/faults.ts
@@ -114,11 +114,12 @@
 /** Single faults by name; simulations draw from them at random. */
 export const faults: Record<string, Fault> = {
   crash: (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 3000 + cluster.randomInt(4000)),
-  'crash and back at once': (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 150),
-  'crash of all': (cluster) => cluster.nodes.forEach((_, i) => cluster.crash(i, 5000 + i * 200)),
-  'state outage': (cluster) => cluster.store.startOutage(12_000 + cluster.randomInt(14_000)),
-  'state refuses one': (cluster) => refuseStoreToOwner(cluster, 20_000 + cluster.randomInt(15_000)),
-  'cut from workers': (cluster) => {
+  'crash with immediate restart': (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 150),
+  'crash of all controllers': (cluster) => cluster.nodes.forEach((_, i) => cluster.crash(i, 5000 + i * 200)),
+  'state store outage': (cluster) => cluster.store.startOutage(12_000 + cluster.randomInt(14_000)),
+  'state store refuses an owner': (cluster) =>
+    refuseStoreToOwner(cluster, 20_000 + cluster.randomInt(15_000)),
+  'controller disconnected from its workers': (cluster) => {
     const node = cluster.nodes[cluster.randomInt(cluster.nodes.length)];
     if (!node) return;
     node.cutFromWorkers = true;
@@ -130,48 +131,48 @@
     worker.hung = true;
     schedule(cluster, 4000 + cluster.randomInt(16_000), () => (worker.hung = false));
   },
-  'machine hears nothing': (cluster) => {
+  'responses to a machine are lost': (cluster) => {
     const worker = randomWorker(cluster);
     if (!worker) return;
     worker.responsesLost = true;
     schedule(cluster, 10_000 + cluster.randomInt(25_000), () => (worker.responsesLost = false));
   },
-  'cut from the state service and peers': (cluster) =>
+  'owner disconnected from state store and peers': (cluster) =>
     isolateOwner(cluster, 8000 + cluster.randomInt(25_000)),
-  'all back at once, some again in the election': (cluster) => {
+  'all controllers restart at once and again during the election': (cluster) => {
     cluster.nodes.forEach((_, i) => {
       cluster.crash(i, 100 + cluster.randomInt(300));
       schedule(cluster, 400 + cluster.randomInt(900), () => cluster.crash(i, 100 + cluster.randomInt(300)));
     });
   },
-  'controller stands still': (cluster) => {
+  'controller paused': (cluster) => {
     const node = cluster.nodes[cluster.randomInt(cluster.nodes.length)];
     if (node) node.pausedUntil = cluster.time.now + 6000 + cluster.randomInt(20_000);
   },
-  'half of the machines die together': (cluster) => {
+  'half of the machines terminated': (cluster) => {
     for (const name of [...cluster.cloud.workers.keys()])
       if (cluster.randomInt(2) === 0) cluster.cloud.terminateMachine(name);
   },
-  'machine taken': (cluster) => {
+  'machine terminated': (cluster) => {
     const names = [...cluster.cloud.workers.keys()];
     const name = names[cluster.randomInt(Math.max(1, names.length))];
     if (name) cluster.cloud.terminateMachine(name);
   },
-  'machine sick': (cluster) => {
+  'machine fails all its tasks': (cluster) => {
     const worker = [...cluster.cloud.workers.values()][0];
     if (worker) worker.failsAllTasks = true;
   },
-  'changes are carried out late': (cluster) => {
+  'writes applied late': (cluster) => {
     cluster.network.delayOneWriteIn = 3;
     schedule(cluster, 10_000 + cluster.randomInt(10_000), () => (cluster.network.delayOneWriteIn = 0));
   },
-  'users cancel what runs while a machine hangs': (cluster) => {
+  'running jobs cancelled while a machine hangs': (cluster) => {
     const worker = randomWorker(cluster);
     if (worker) worker.hung = true;
     schedule(cluster, 3000 + cluster.randomInt(12_000), () => worker && (worker.hung = false));
     cluster.users.cancelRunningJobs(2);
   },
-  'cloud down': (cluster) => {
+  'cloud unavailable': (cluster) => {
     cluster.cloud.unavailable = true;
     schedule(cluster, 15_000, () => (cluster.cloud.unavailable = false));
   },
--- a/test/cluster/random-faults.test.ts
+++ b/test/cluster/random-faults.test.ts
@@ -50,10 +50,10 @@
   for (let n = 0; n < jobs; n++)
     cluster.time.at(2500 + cluster.randomInt(n < 60 ? 1000 : 40_000), () => cluster.users.submitRandomJob(n));
   for (const [at, name] of [
-    [15_000, 'machine taken'],
+    [15_000, 'machine terminated'],
     [20_000, 'crash'],
-    [25_000, 'machine hears nothing'],
-    [30_000, 'crash and back at once'],
+    [25_000, 'responses to a machine are lost'],
+    [30_000, 'crash with immediate restart'],
   ] as const) {
     cluster.time.at(at, () => (faults[name] as Fault)(cluster));
   }
