--- a/test/cluster/cancellation-in-outage.test.ts
+++ b/test/cluster/cancellation-in-outage.test.ts
@@ -5,15 +5,15 @@
 
 const faultsBeforeOutage: Record<string, Fault> = {
   'no other fault': () => undefined,
-  'a peer crashes and is back within a second': (cluster) => crashNonOwner(cluster, 300),
-  'a peer crashes and is back within the outage': (cluster) => crashNonOwner(cluster, 3000),
-  'responses to the cancelling writes are lost': (cluster) => {
+  'a peer crashes and restarts before the outage': (cluster) => crashNonOwner(cluster, 300),
+  'a peer crashes and restarts during the outage': (cluster) => crashNonOwner(cluster, 3000),
+  'half of the writes during the cancellations are applied late and get no response': (cluster) => {
     cluster.network.delayOneWriteIn = 2;
     schedule(cluster, 800, () => (cluster.network.delayOneWriteIn = 0));
   },
 };
 
-test('jobs whose cancellation their owner cannot read stop in time, also during an outage', async (t) => {
+test('jobs that are cancelled while the state store refuses their owner stop in time, also during an outage', async (t) => {
   for (const [name, otherFault] of Object.entries(faultsBeforeOutage)) {
     for (const seed of [1, 2, 3]) {
       await t.test(`${name}, seed ${seed}`, async () => {
--- a/test/cluster/combined-faults.test.ts
+++ b/test/cluster/combined-faults.test.ts
@@ -32,7 +32,7 @@
       schedule(cluster, n * 4000, () => cluster.crash(leaderIndex(cluster), 200 + cluster.randomInt(2500)));
     schedule(cluster, 15_000, () => cluster.store.startOutage(15_000));
   },
-  'half of the machines reach no controller while their jobs are cancelled': (cluster) => {
+  'half of the machines reach no controller while jobs are cancelled': (cluster) => {
     injectIntoHalfOfWorkers(cluster, 'heartbeatsLost', 20_000);
     cluster.users.cancelRunningJobs(3);
   },
@@ -45,7 +45,8 @@
     cutOwnerFromWorkers(cluster, 6000);
     schedule(cluster, 12_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, i === 1 ? 300 : 9000)));
   },
-  'a team is at its limit, machines are unreachable, and jobs are cancelled': (cluster) => {
+  // Aims at a team that is at its limit, to which its tasks on unreachable machines still count.
+  'half of the machines reach no controller, all controllers restart, and jobs are cancelled': (cluster) => {
     injectIntoHalfOfWorkers(cluster, 'heartbeatsLost', 15_000);
     cluster.nodes.forEach((_, i) => cluster.crash(i, 500 + 100 * i));
     for (const s of [2, 4, 6]) schedule(cluster, s * 1000, () => cluster.users.cancelRunningJobs(2));
@@ -72,7 +73,7 @@
   },
 };
 
-test('two faults at once: no rule is violated and all jobs finish', async (t) => {
+test('combined faults: no rule is violated and all jobs finish', async (t) => {
   for (const [name, fault] of Object.entries(combinedFaults)) {
     for (const seed of [1, 2]) {
       await t.test(`${name}, seed ${seed}`, async () => {
--- a/test/cluster/controller-node.ts
+++ b/test/cluster/controller-node.ts
@@ -7,11 +7,11 @@
   up: boolean;
   /** Whether the state store refuses its requests with 503; watches that are already open wait. */
   storeRefuses: boolean;
-  /** Whether it is disconnected from the workers, whose heartbeats are held and arrive 5 to 20 s late. */
+  /** Whether heartbeats reach it 5 to 20 s late, when their workers no longer wait for a response. */
   cutFromWorkers: boolean;
-  /** Whether it is disconnected from the state store and the other controllers, but not from the workers. */
+  /** Whether it is disconnected from the state store and the other controllers, but not from workers and cloud. */
   isolated: boolean;
-  /** Whether its watches of the state store get no response while all its other connections work. */
+  /** Whether new watches of the state store get no response, while all its other requests work. */
   watchHangs: boolean;
   /** The virtual time until which the process is paused. Its clocks run on, and events are handled after the pause. */
   pausedUntil: number;
--- a/test/cluster/controller-silence.test.ts
+++ b/test/cluster/controller-silence.test.ts
@@ -30,7 +30,7 @@
   schedule(cluster, SILENCE_MS, () => (node[fault] = false));
 }
 
-/** Faults that silence a controller for over a minute. */
+/** Faults that pause a controller, or disconnect it from some or all others, for over a minute. */
 const controllerSilences: Record<string, Fault> = {
   'the leader is paused while its clocks run on': (cluster) => pauseProcess(cluster, leaderNode(cluster)),
   'an owner is paused while its clocks run on': (cluster) => pauseProcess(cluster, ownerNode(cluster)),
@@ -41,7 +41,7 @@
       cluster.nodes.forEach((node, i) => (node === pausedNode ? undefined : cluster.crash(i, 400))),
     );
   },
-  'the leader is disconnected from everything': (cluster) => {
+  'the leader is disconnected from workers, state store and peers': (cluster) => {
     const node = leaderNode(cluster);
     setFaultDuringSilence(cluster, node, 'cutFromWorkers');
     setFaultDuringSilence(cluster, node, 'isolated');
@@ -102,7 +102,7 @@
   assert.deepEqual(cluster.rules.violations, []);
 });
 
-// What a controller knew before the pause entitles it to nothing until it has received or read something new.
+// Data from before the pause must not entitle a controller to act until it has received or read something newer.
 test('a controller paused for over a minute may neither act nor renew leases until it has rejoined', async () => {
   const cluster = new VirtualCluster(4, {
     controllers: 3,
--- a/test/cluster/directed-days.ts
+++ b/test/cluster/directed-days.ts
@@ -1,4 +1,4 @@
-/** Simulations that repeat one kind of fault, against which some guard in the controllers protects. */
+/** Simulations of specified faults, against each of which some guard in the controllers protects. */
 import { VirtualCluster } from './virtual-cluster';
 import { schedule, randomOwner, refuseStoreToOwner, type Fault } from './faults';
 
@@ -19,9 +19,9 @@
 }
 
 /**
- * Runs a simulation in which the state store refuses one owner and users cancel jobs through the other controllers. The store
- * is then down for all controllers for longer than `cancel_s`, while the machines keep sending heartbeats to the old owner.
- * `otherFault` is injected between the two.
+ * Runs a simulation in which the state store refuses one owner while users cancel jobs through random controllers. The store
+ * is then down for all controllers for longer than `cancel_s`, while the machines keep sending heartbeats to that owner.
+ * `otherFault` is injected between the first cancellations and the outage.
  */
 export async function runOutageAfterRefusal(seed: number, otherFault: Fault): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed, { ...LONG_TASKS });
@@ -37,7 +37,7 @@
 
 /**
  * Runs a simulation in which an owner's watches get no response for a minute while its session lease is renewed, and users
- * cancel jobs through all controllers.
+ * cancel jobs through random controllers.
  */
 export async function runHangingWatch(seed: number): Promise<VirtualCluster> {
   const cluster = new VirtualCluster(seed, { ...LONG_TASKS });
--- a/test/cluster/empty-fleet-values.test.ts
+++ b/test/cluster/empty-fleet-values.test.ts
@@ -4,7 +4,7 @@
 
 const SIMULATION_MS = 340_000;
 
-// An empty value is kept while its first write may still be applied a second time. After that it must be deleted.
+// An empty value is kept as long as a retry of the transaction that created it may still be applied, and must be deleted then.
 test('fleet values that no longer hold a machine are deleted', async () => {
   const cluster = new VirtualCluster(5, { controllers: 3, maxMachines: 14, teamLimitFactor: 2 });
   for (let n = 0; n < 24; n++) cluster.time.at(2500 + 4000 * n, () => cluster.users.submitRandomJob(n));
--- a/test/cluster/faults.ts
+++ b/test/cluster/faults.ts
@@ -57,28 +57,31 @@
   return (owners[cluster.randomInt(Math.max(1, owners.length))] ?? cluster.nodes[0]) as ControllerNode;
 }
 
-/** Makes the state store refuse the requests of one partition owner. */
+/** Makes the state store refuse the requests of a random partition owner for `ms` virtual milliseconds. */
 export function refuseStoreToOwner(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.storeRefuses = true;
   schedule(cluster, ms, () => (node.storeRefuses = false));
 }
 
-/** Disconnects a partition owner from the state store and its peers, but not from its workers. */
+/** Disconnects a random partition owner from state store and peers, but not from its workers, for `ms` virtual milliseconds. */
 export function isolateOwner(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.isolated = true;
   schedule(cluster, ms, () => (node.isolated = false));
 }
 
-/** Disconnects a partition owner from its machines in both directions; all other connections work. */
+/**
+ * Delays all heartbeats to a random partition owner beyond their timeout for `ms` virtual milliseconds, so that its machines
+ * get no responses. All its other connections work.
+ */
 export function cutOwnerFromWorkers(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.cutFromWorkers = true;
   schedule(cluster, ms, () => (node.cutFromWorkers = false));
 }
 
-/** Makes about half of the machines hang for 9 s while all controllers restart. */
+/** Makes about half of the machines hang for 9 s, and crashes all controllers, which restart after 1 s. */
 export function crashAllWhileWorkersHang(cluster: VirtualCluster): void {
   for (const worker of cluster.cloud.workers.values()) {
     worker.hung = cluster.randomInt(2) === 0;
@@ -87,10 +90,7 @@
   cluster.nodes.forEach((_, i) => cluster.crash(i, 1000));
 }
 
-/**
- * Crashes a controller that owns no partition, if there is one, and restarts it after `ms`: before an outage that follows, or
- * within it.
- */
+/** Crashes the first controller that is up and owns no partition, if any, and restarts it after `ms` virtual milliseconds. */
 export function crashNonOwner(cluster: VirtualCluster, ms: number): void {
   const i = cluster.nodes.findIndex(
     (n) => n.up && (n.controller?.status() as ControllerStatus).partitions.length === 0,
--- a/test/cluster/leader-claim.test.ts
+++ b/test/cluster/leader-claim.test.ts
@@ -3,7 +3,7 @@
 import { VirtualCluster } from './virtual-cluster';
 import { type ControllerStatus } from './faults';
 
-test('a leadership claim that is applied without a response still yields one leader', async (t) => {
+test('leadership claims that are applied late and get no response still yield one leader', async (t) => {
   for (const seed of [1, 2, 3]) {
     await t.test(`seed ${seed}`, async () => {
       const cluster = new VirtualCluster(seed);
--- a/test/cluster/loopback-balance.test.ts
+++ b/test/cluster/loopback-balance.test.ts
@@ -47,8 +47,11 @@
 interface Outcome {
   finished: number;
   jobs: number;
+  /** Completed task moves. */
   moves: number;
+  /** Mean over the samples of the coefficient of variation of the CPUs in use per machine. */
   spread: number;
+  /** 95th percentile over urgent tasks of the time from submission to the first start. */
   urgentStartDelayMs: number;
   violations: string[];
 }
@@ -219,7 +222,7 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** Runs skewed load and a team whose load doubles, with one controller that is killed and restarted. */
+/** Runs skewed load on 20 machines, with a team whose load doubles and a controller that is killed and restarted. */
 async function runLoad(features: string | null): Promise<{ outcome: Outcome; commands: string[] }> {
   const run = new LoopbackRun();
   await run.start(features);
@@ -274,7 +277,7 @@
   return outputs;
 }
 
-test('skewed and doubling load on twenty workers, one of three controllers killed: no rule is violated and all jobs finish, with and without balancing', async () => {
+test('skewed, doubling load and a killed controller: no rule is violated and all jobs finish, balanced or not', async () => {
   const features = join(mkdtempSync(join(tmpdir(), 'heathbridge-')), 'features.toml');
   writeFileSync(features, FEATURES);
   const [on, off] = await Promise.all([runLoad(features), runLoad(null)]);
@@ -290,7 +293,8 @@
     assert.deepEqual(violations, []);
     assert.equal(finished, jobs);
   }
-  // Whether a task must be moved depends on which controller was killed and when: moves are printed, but not required.
+  // Whether a task must be moved depends on what the killed controller owned and when it was killed: moves are printed, but not
+  // required.
   assert.equal(off.outcome.moves, 0);
   const [atLeader = '', atOtherController = ''] = on.commands;
   if (atLeader !== '') {
--- a/test/cluster/many-small-jobs.test.ts
+++ b/test/cluster/many-small-jobs.test.ts
@@ -5,7 +5,7 @@
 
 const SIMULATION_MS = 340_000;
 
-test('four jobs of one task per second for 100 s, a quarter of them cancelled, while the leader crashes: no rule is violated and all jobs finish', async () => {
+test('400 one-task jobs in 100 s, a quarter cancelled, and leader crashes: no rule is violated and all jobs finish', async () => {
   const cluster = new VirtualCluster(7, { controllers: 3, maxMachines: 16, teamLimitFactor: 4 });
   cluster.users.faultsEndAt = 150_000;
   for (let n = 0; n < 400; n++) {
--- a/test/cluster/overlapping-faults.test.ts
+++ b/test/cluster/overlapping-faults.test.ts
@@ -5,7 +5,7 @@
 
 const SIMULATION_MS = 340_000;
 
-/** Overlapping faults from the operators' list; each is injected twice in a simulation. */
+/** Overlapping faults that operators have listed; each is injected twice in a simulation. */
 const overlappingFaults: Record<string, Fault> = {
   'writes are applied at once and their responses lost, and other controllers read them while users cancel': (
     cluster,
@@ -35,7 +35,7 @@
     schedule(cluster, 20_000, () => cluster.nodes.forEach((_, i) => cluster.crash(i, 800 + 100 * i)));
     schedule(cluster, 30_000, () => (cluster.network.replayHeartbeatsToNextLeader = false));
   },
-  'jobs are cancelled during the seconds of a partition handover': (cluster) => {
+  'jobs are cancelled every half second while a partition is handed over and an owner crashes': (cluster) => {
     const node = ownerNode(cluster);
     node.cutFromWorkers = true;
     for (let ms = 3000; ms < 13_000; ms += 500)
--- a/test/cluster/query-load.test.ts
+++ b/test/cluster/query-load.test.ts
@@ -5,7 +5,7 @@
 
 const SIMULATION_MS = 340_000;
 
-test('status queries at eight times the rate while controllers crash and the state store is down: no rule is violated and all jobs finish', async (t) => {
+test('eightfold status queries during crashes and a state store outage: no rule is violated and all jobs finish', async (t) => {
   for (const seed of [1, 2]) {
     await t.test(`seed ${seed}`, async () => {
       const cluster = new VirtualCluster(seed, {
--- a/test/cluster/random-faults.test.ts
+++ b/test/cluster/random-faults.test.ts
@@ -43,7 +43,7 @@
 });
 
 // Bounds the cost of a fleet of hundreds by counts, because no two runs take the same wall-clock time.
-test('five controllers and two hundred machines violate no rule and stay within the bounds on requests, writes and placement passes', async () => {
+test('five controllers and 200 machines violate no rule and stay within the bounds on requests, writes and placement passes', async () => {
   const cluster = new VirtualCluster(11, { controllers: 5, maxMachines: 200, teamLimitFactor: 20 });
   const jobs = 120;
   cluster.users.faultsEndAt = 50_000;
--- a/test/cluster/removed-guards.test.ts
+++ b/test/cluster/removed-guards.test.ts
@@ -12,7 +12,10 @@
 import { runWithRepeatedFault, runHangingWatch, runOutageAfterRefusal } from './directed-days';
 import { patchProperty } from '../support/patch-property';
 
-/** Without its guard, each of these simulations must violate a rule. Otherwise those of the other tests would prove nothing. */
+/**
+ * Each simulation must violate a rule once its guard is removed. Otherwise simulations without violations would not show that
+ * the guards work.
+ */
 const removedGuards: {
   name: string;
   removeGuard: () => () => void;
@@ -122,7 +125,7 @@
     expectedViolation: /ran_twice|quota|ran_cancelled/,
   },
   {
-    name: 'a lease extension is granted although the state store responds',
+    name: 'every lease extension is granted, even while the state store responds, and delays no takeover',
     removeGuard: () => {
       const real = Object.getOwnPropertyDescriptor(LeaseExtensions.prototype, 'grant') as PropertyDescriptor;
       const alwaysGrant = function (
@@ -148,7 +151,7 @@
   },
 ];
 
-test('a missing guard leads to the expected violation', async (t) => {
+test('removing a guard leads to the expected violation', async (t) => {
   for (const { name, removeGuard, fault, expectedViolation, run = runWithRepeatedFault } of removedGuards) {
     await t.test(name, async () => {
       const withGuard = await run(1, fault);
--- a/test/cluster/rule-checker.ts
+++ b/test/cluster/rule-checker.ts
@@ -2,7 +2,7 @@
 import { CANCELLATION_DEADLINE_MS, type TeamSettings } from './cluster-options';
 import { type SubmittedJobs, type UserJob } from './submitted-jobs';
 
-/** A task that a machine executes, given by its job. */
+/** A task that a machine executes: the machine's worker, and the job that the task belongs to. */
 interface ExecutedTask {
   worker: FakeWorker;
   job: UserJob;
--- a/test/cluster/simulated-network.ts
+++ b/test/cluster/simulated-network.ts
@@ -29,11 +29,12 @@
   delayOneWriteIn = 0;
   /** One write to the state store in this many is applied at once and only its response is lost; 0 if none is. */
   loseOneResponseIn = 0;
-  /** Records heartbeats and delivers copies to every controller as soon as a new one leads. */
+  /** Whether heartbeats are recorded, and copies are delivered to every controller as soon as a new one leads. */
   replayHeartbeatsToNextLeader = false;
   /**
-   * The zone whose workers reach only the first controller, while that controller reaches neither other workers, other
-   * controllers nor the state store; null if none is isolated. Requests to the cloud are not affected.
+   * The zone whose workers reach only the first controller, while that controller gets no heartbeats from other zones, no
+   * frames from its peers and no responses to new requests to the state store; null if no zone is isolated. Requests to the
+   * cloud, open watches, and duplicated or replayed heartbeats are not affected.
    */
   isolatedZone: string | null = null;
   private readonly recordedHeartbeats: { worker: FakeWorker; heartbeat: object }[] = [];
@@ -111,8 +112,8 @@
   }
 
   /**
-   * Records a heartbeat if it is to be replayed. Delivers copies of some heartbeats to any controller, 1 to 41 s late, which
-   * can be well over a lease.
+   * Records a heartbeat if it is to be replayed. Delivers copies of some heartbeats to a random controller, 1 to 41 s late,
+   * which can be well over the duration of a lease.
    */
   private copyHeartbeat(worker: FakeWorker, heartbeat: object): void {
     if (this.replayHeartbeatsToNextLeader) this.recordedHeartbeats.push({ worker, heartbeat });
@@ -172,7 +173,7 @@
     });
   }
 
-  /** Applies a write 2 to 12 s late, after newer ones, although its sender gets no response and gives up on it. */
+  /** Applies a write 2 to 12 s late, possibly after newer ones. Its sender has given up on it by then and gets no response. */
   private applyAfterTimeout(
     timeoutMs: number,
     send: (refused: () => boolean) => Promise<HttpResponse>,
--- a/test/cluster/simulated-users.ts
+++ b/test/cluster/simulated-users.ts
@@ -31,11 +31,11 @@
 
 /** Users who submit jobs to any controller that is up, poll their status, cancel some, and check the responses. */
 export class SimulatedUsers {
-  /** Users query all controllers within milliseconds whenever they receive a new status of a job. */
+  /** Whether users query all controllers within milliseconds whenever they receive a new status of a job. */
   queryAllControllers = false;
-  /** The factor by which users poll the status of their jobs more often. */
+  /** The factor by which the rate at which users poll the status of their jobs is multiplied. */
   queryRateFactor = 1;
-  /** Users cancel, query and resubmit a job at the very end of its last task. */
+  /** Whether users cancel, query and resubmit a job within 2.5 s of the completion of its last task. */
   raceWithCompletion = false;
   /** The virtual time at which all faults are over. */
   faultsEndAt = Number.POSITIVE_INFINITY;
@@ -114,7 +114,7 @@
       this.schedule(this.randomInt(15_000), () => this.requestCancel(job));
   }
 
-  /** Cancels up to `count` of the jobs that have tasks on machines. */
+  /** Cancels up to `count` accepted jobs that have tasks on machines and are not cancelled yet. */
   cancelRunningJobs(count: number): void {
     const { jobs, workers } = this.dependencies;
     const taskIds = [...workers.values()].flatMap((worker) => [...worker.tasks.keys()]);
@@ -138,7 +138,7 @@
     });
   }
 
-  /** Handles the completion of a task, of which only its machine knows so far. */
+  /** Handles the completion of a task on its machine, which no controller knows of yet. */
   taskCompleted(taskId: string): void {
     const job = this.dependencies.jobs.ofTask(taskId);
     if (!this.raceWithCompletion || !job || job.terminalStatus !== null) return;
--- a/test/cluster/submitted-jobs.ts
+++ b/test/cluster/submitted-jobs.ts
@@ -15,10 +15,11 @@
   /** The request body. */
   submission: object;
   accepted: boolean;
+  /** `done` or `aborted` once its user has received that status; null before. */
   terminalStatus: string | null;
   /** The virtual time at which its user was told that it is cancelled; null if that has not happened. */
   cancelledAt: number | null;
-  /** Whether a task that ran past the cancellation deadline is recorded; each job is recorded once. */
+  /** Whether a violation is recorded because a task ran past the cancellation deadline; at most one is recorded per job. */
   overrunRecorded: boolean;
   cancelRequested: boolean;
   /** The status that its user received last; null if none yet. */
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -29,8 +29,9 @@
   machineMoves: { allowed: number; refused: number };
   /** The reasons for which tasks were not moved. */
   refusals: { reason: string; count: number }[];
-  /** Run time that was lost because tasks were stopped without a checkpoint, and had to be repeated. */
+  /** Run time of tasks that were stopped without a checkpoint, which had to be repeated. */
   repeatedWorkS: number;
+  /** Processor time that the simulation took on the host. */
   cpuMs: number;
 }
 
@@ -80,7 +81,10 @@
   }
 }
 
-/** Fragments the fleet with idle tasks of various run times, and adds large urgent tasks and a team whose load doubles. */
+/**
+ * Fragments the fleet with tasks of priority `idle` and various run times, and adds large urgent tasks. The load of one team
+ * doubles in the middle third of the submissions.
+ */
 function submitJobs(
   cluster: VirtualCluster,
   { seed, machines, submissionMinutes }: BalanceSimulationOptions,
--- a/test/standin/clock.ts
+++ b/test/standin/clock.ts
@@ -10,12 +10,15 @@
 export interface TimeSource {
   /** Milliseconds since the start. */
   readonly now: number;
-  /** Schedules `action` for this time; returns the timer for `cancel`. */
+  /** Schedules `action` for the time `ms` since the start, or for now if that has passed; returns the timer for `cancel`. */
   at(ms: number, action: () => void): unknown;
   cancel(timer: unknown): void;
 }
 
-/** Virtual time, which advances from one timer to the next without waiting. Timers run in the order of their times. */
+/**
+ * Virtual time, which advances from one timer to the next without waiting. Timers run in the order of their times; those of
+ * one time, in the order in which they were scheduled.
+ */
 export class VirtualTime implements TimeSource {
   now = 0;
   private order = 0;
@@ -52,7 +55,10 @@
     this.now = end;
   }
 
-  /** The clock of a process. Its timers do not fire once the process has ended, and are deferred while it is paused. */
+  /**
+   * The clock of a process, whose steady clock runs at `rate` times virtual time. Its timers do not fire once the process has
+   * ended, and are deferred while it is paused.
+   */
   clock(isUp: () => boolean, rate = 1, pausedUntil: () => number = () => 0): Clock {
     const origin = this.now;
     return {
--- a/test/standin/fake-cloud.ts
+++ b/test/standin/fake-cloud.ts
@@ -3,7 +3,7 @@
 import { FakeWorker, type FakeWorkerHooks } from './fake-worker';
 import { jsonResponse } from './json-response';
 
-/** Machines on a page of the list by default. Pages are short, so the list can change between two of them. */
+/** Default number of machines on a page of the list. Pages are short, so that the list can change between two of them. */
 const DEFAULT_MACHINES_PER_PAGE = 4;
 
 /** A machine type that the cloud offers. */
--- a/test/standin/fake-worker.ts
+++ b/test/standin/fake-worker.ts
@@ -34,7 +34,7 @@
 
 /** The environment of fake workers: the network, the durations of tasks, and the listeners for task events. */
 export interface FakeWorkerHooks {
-  /** Called when a task starts to run on a machine; rule checks belong here. */
+  /** Called when a task starts to run on a machine; tests check their rules in it. */
   taskStarted: (worker: FakeWorker, taskId: string) => void;
   taskCompleted: (taskId: string) => void;
   /** Called when a lease expires on a machine with tasks. */
@@ -67,7 +67,7 @@
   spot: boolean;
 }
 
-/** A fake machine with its worker, which follows the users' description of both. */
+/** A fake machine with its worker, which follows the worker protocol. */
 export class FakeWorker {
   readonly name: string;
   readonly type: string;
@@ -234,7 +234,10 @@
     else this.endTask(taskId, task, this.failsAllTasks ? 'error' : 'done');
   }
 
-  /** Stops a task. A running one first writes a checkpoint if it can do so within the grace period; any other ends at once. */
+  /**
+   * Stops a task. A running one first writes a checkpoint if it can do so within the grace period, and one that is writing a
+   * checkpoint continues unless the grace period is 0; any other ends at once.
+   */
   private stopTask(taskId: string, task: TaskAttempt, graceS: number): void {
     const checkpointMs = this.hooks.checkpointDurationMs?.(taskId) ?? null;
     if (task.status === 'flushing' && graceS > 0) return;
--- a/test/standin/loopback.ts
+++ b/test/standin/loopback.ts
@@ -89,6 +89,7 @@
     return cluster;
   }
 
+  /** A port of a controller: that for users and workers at offset 0, that for its peers at offset 1. */
   private port(index: number, offset: number): number {
     return this.ports[2 + 2 * index + offset] ?? 0;
   }
--- a/test/standin/sim-worker.ts
+++ b/test/standin/sim-worker.ts
@@ -18,7 +18,7 @@
   leaseMs: number;
   /** The remaining run time of a task. */
   runMs: (ref: string, index: number) => number;
-  /** Called when a task has saved its progress after a run of `ranMs`. */
+  /** Called when a task begins to write a checkpoint after a run of `ranMs`. */
   checkpointed: (ref: string, index: number, ranMs: number) => void;
 }
 
@@ -46,12 +46,13 @@
     this.leaseRenewedAt = now;
   }
 
-  /** The tasks that occupy their share of the machine, as the rules count them. */
+  /** The tasks that occupy their share of the machine, as `ref/index`. */
   executingTasks(): string[] {
     const executing = [...this.tasks].filter(([, t]) => t.phase === 'running' || t.phase === 'checkpointing');
     return this.terminated ? [] : executing.map(([key]) => key);
   }
 
+  /** Drops all tasks if the lease has expired, and ends the phases of tasks that are due. */
   advance(now: number): void {
     if (now - this.leaseRenewedAt > this.options.leaseMs) {
       this.tasks.clear();
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -15,7 +15,7 @@
   stamp: number;
 }
 
-/** Keys on a page by default. Pages are short, so the keys can change between two of them. */
+/** Default number of keys on a page. Pages are short, so that the keys can change between two of them. */
 const DEFAULT_KEYS_PER_PAGE = 7;
 
 /** A fake state store with keys, transactions, session leases, watches and outages. */
@@ -39,6 +39,7 @@
     time.at(50, expirePeriodically);
   }
 
+  /** Answers new requests with 503 for `ms`. No session lease expires meanwhile; afterwards each has its full TTL again. */
   startOutage(ms: number): void {
     this.down = true;
     this.time.at(this.time.now + ms, () => {
--- a/test/support/machine-types.ts
+++ b/test/support/machine-types.ts
@@ -14,7 +14,7 @@
   zones: ['a', 'b'],
 };
 
-/** Eight times the CPUs and memory of the small type, at nine times its price. */
+/** Eight times the CPUs and memory of the small type, at nine times its price and ten times its spot price. */
 export const LARGE_TYPE: MachineType = {
   ...SMALL_TYPE,
   name: 'large',
--- a/test/support/partition-harness.ts
+++ b/test/support/partition-harness.ts
@@ -13,7 +13,7 @@
 /** A token above all that the partition issues; with it a machine has acknowledged everything sent to it. */
 export const ACKNOWLEDGED_TOKEN = 1000 * 1024 * 1024;
 
-/** A partition `p0` of two teams, and the worker's side of its heartbeats. */
+/** A partition `p0` with the teams `t` and `u`, to which tests send the heartbeats of its machines. */
 export class PartitionHarness {
   readonly core: PartitionCore;
   private sequence = 0;
