--- a/src/coordination/partition/partition-handover.ts
+++ b/src/coordination/partition/partition-handover.ts
@@ -13,9 +13,9 @@
 
 /**
  * Writes a new owner into the partition's record. The caller must have stopped acting for the partition before. Resolves to true
- * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition stays here.
- * Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and tasks
- * started in the meantime would be unknown to the new owner.
+ * once the record has changed, and to false once it is certain that no attempt will be applied, so that the partition keeps its
+ * owner. Until one of the two is known the write is repeated: an attempt whose response was lost may be applied seconds later, and
+ * tasks started in the meantime would be unknown to the new owner.
  */
 export async function handOverPartition(
   store: PartitionStore,
@@ -28,8 +28,8 @@
   const targetUnchanged = { key: keys.member(member), revision: incarnation };
   for (let outcomeUnknown = false; ;) {
     const result = await store.transact([targetUnchanged], [put], RequestPriority.Decision);
-    const takenOver = result.kind === 'conflict' && result.failed.includes(partitionKey);
-    if (result.kind === 'applied' || takenOver) return true;
+    const recordChanged = result.kind === 'conflict' && result.failed.includes(partitionKey);
+    if (result.kind === 'applied' || recordChanged) return true;
     if (result.kind === 'conflict' || (result.kind === 'refused' && !outcomeUnknown)) return false;
     outcomeUnknown ||= result.kind === 'unknown';
     await store.waitToRetry();
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -9,7 +9,10 @@
 /** Share of its expected run time that a task is expected to need at least, however long it has run. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/** The load of a partition, as its owner publishes it to the leader: pending tasks within their teams' quota, and machines. */
+/**
+ * The load of a partition, as its owner publishes it to the leader: the remaining work of running tasks, the backlog of pending
+ * tasks, the demands of pending tasks within their teams' quota, and the machines.
+ */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
@@ -33,7 +36,7 @@
       return {
         machine: m.id,
         tasks: m.tasks.size,
-        // Negative while tasks are stopped to make room: more is reserved than is free.
+        // Free resources are negative while tasks are stopped to make room, because more is reserved than is free.
         freeCpus: Math.max(0, free.cpus),
         freeMemoryGb: Math.max(0, free.memoryGb),
         freeAccelerators: Math.max(0, free.accelerators),
@@ -49,7 +52,7 @@
 }
 
 function demands(partition: PartitionState, now: number): Demand[] {
-  const found = new Map<string, Demand>();
+  const demandsByKey = new Map<string, Demand>();
   const remainingByTeam = new Map<string, ResourceQuota>();
   const allZones = new Set([...partition.machineTypes().values()].flatMap((t) => t.zones));
   for (const job of partition.jobsInSchedulingOrder()) {
@@ -67,13 +70,13 @@
     const { workload, cpus, accelerators, memoryGb, machineTypes, spot, priority } = spec;
     const zones = eligibleZones(spec, allZones, inFlightByZone(job));
     const key = JSON.stringify([workload, cpus, memoryGb, machineTypes, zones, spot]);
-    const existing = found.get(key);
+    const existing = demandsByKey.get(key);
     if (existing) {
       existing.expectedS =
         (existing.expectedS * existing.tasks + expectedS * tasks) / (existing.tasks + tasks);
       existing.tasks += tasks;
     } else {
-      found.set(key, {
+      demandsByKey.set(key, {
         workload,
         cpus,
         accelerators,
@@ -87,7 +90,7 @@
       });
     }
   }
-  return [...found.values()];
+  return [...demandsByKey.values()];
 }
 
 /** Number of tasks in flight in each zone for a job that must share or spread over zones; empty for any other job. */
