--- a/test/cluster/faults.ts
+++ b/test/cluster/faults.ts
@@ -57,28 +57,31 @@
   return (owners[cluster.randomInt(Math.max(1, owners.length))] ?? cluster.nodes[0]) as ControllerNode;
 }
 
-/** Makes the state store refuse the requests of one partition owner. */
+/** Makes the state store refuse the requests of a random partition owner for `ms` virtual milliseconds. */
 export function refuseStoreToOwner(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.storeRefuses = true;
   schedule(cluster, ms, () => (node.storeRefuses = false));
 }
 
-/** Disconnects a partition owner from the state store and its peers, but not from its workers. */
+/** Disconnects a random partition owner from state store and peers, but not from its workers, for `ms` virtual milliseconds. */
 export function isolateOwner(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.isolated = true;
   schedule(cluster, ms, () => (node.isolated = false));
 }
 
-/** Disconnects a partition owner from its machines in both directions; all other connections work. */
+/**
+ * Delays all heartbeats to a random partition owner beyond their timeout for `ms` virtual milliseconds, so that its machines
+ * get no responses. All its other connections work.
+ */
 export function cutOwnerFromWorkers(cluster: VirtualCluster, ms: number): void {
   const node = randomOwner(cluster);
   node.cutFromWorkers = true;
   schedule(cluster, ms, () => (node.cutFromWorkers = false));
 }
 
-/** Makes about half of the machines hang for 9 s while all controllers restart. */
+/** Makes about half of the machines hang for 9 s, and crashes all controllers, which restart after 1 s. */
 export function crashAllWhileWorkersHang(cluster: VirtualCluster): void {
   for (const worker of cluster.cloud.workers.values()) {
     worker.hung = cluster.randomInt(2) === 0;
@@ -87,10 +90,7 @@
   cluster.nodes.forEach((_, i) => cluster.crash(i, 1000));
 }
 
-/**
- * Crashes a controller that owns no partition, if there is one, and restarts it after `ms`: before an outage that follows, or
- * within it.
- */
+/** Crashes the first controller that is up and owns no partition, if any, and restarts it after `ms` virtual milliseconds. */
 export function crashNonOwner(cluster: VirtualCluster, ms: number): void {
   const i = cluster.nodes.findIndex(
     (n) => n.up && (n.controller?.status() as ControllerStatus).partitions.length === 0,
@@ -114,11 +114,12 @@
 /** Single faults by name; simulations draw from them at random. */
 export const faults: Record<string, Fault> = {
   crash: (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 3000 + cluster.randomInt(4000)),
-  'crash and back at once': (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 150),
-  'crash of all': (cluster) => cluster.nodes.forEach((_, i) => cluster.crash(i, 5000 + i * 200)),
-  'state outage': (cluster) => cluster.store.startOutage(12_000 + cluster.randomInt(14_000)),
-  'state refuses one': (cluster) => refuseStoreToOwner(cluster, 20_000 + cluster.randomInt(15_000)),
-  'cut from workers': (cluster) => {
+  'crash with immediate restart': (cluster) => cluster.crash(cluster.randomInt(cluster.nodes.length), 150),
+  'crash of all controllers': (cluster) => cluster.nodes.forEach((_, i) => cluster.crash(i, 5000 + i * 200)),
+  'state store outage': (cluster) => cluster.store.startOutage(12_000 + cluster.randomInt(14_000)),
+  'state store refuses an owner': (cluster) =>
+    refuseStoreToOwner(cluster, 20_000 + cluster.randomInt(15_000)),
+  'controller disconnected from its workers': (cluster) => {
     const node = cluster.nodes[cluster.randomInt(cluster.nodes.length)];
     if (!node) return;
     node.cutFromWorkers = true;
@@ -130,48 +131,48 @@
     worker.hung = true;
     schedule(cluster, 4000 + cluster.randomInt(16_000), () => (worker.hung = false));
   },
-  'machine hears nothing': (cluster) => {
+  'responses to a machine are lost': (cluster) => {
     const worker = randomWorker(cluster);
     if (!worker) return;
     worker.responsesLost = true;
     schedule(cluster, 10_000 + cluster.randomInt(25_000), () => (worker.responsesLost = false));
   },
-  'cut from the state service and peers': (cluster) =>
+  'owner disconnected from state store and peers': (cluster) =>
     isolateOwner(cluster, 8000 + cluster.randomInt(25_000)),
-  'all back at once, some again in the election': (cluster) => {
+  'all controllers restart at once and again during the election': (cluster) => {
     cluster.nodes.forEach((_, i) => {
       cluster.crash(i, 100 + cluster.randomInt(300));
       schedule(cluster, 400 + cluster.randomInt(900), () => cluster.crash(i, 100 + cluster.randomInt(300)));
     });
   },
-  'controller stands still': (cluster) => {
+  'controller paused': (cluster) => {
     const node = cluster.nodes[cluster.randomInt(cluster.nodes.length)];
     if (node) node.pausedUntil = cluster.time.now + 6000 + cluster.randomInt(20_000);
   },
-  'half of the machines die together': (cluster) => {
+  'half of the machines terminated': (cluster) => {
     for (const name of [...cluster.cloud.workers.keys()])
       if (cluster.randomInt(2) === 0) cluster.cloud.terminateMachine(name);
   },
-  'machine taken': (cluster) => {
+  'machine terminated': (cluster) => {
     const names = [...cluster.cloud.workers.keys()];
     const name = names[cluster.randomInt(Math.max(1, names.length))];
     if (name) cluster.cloud.terminateMachine(name);
   },
-  'machine sick': (cluster) => {
+  'machine fails all its tasks': (cluster) => {
     const worker = [...cluster.cloud.workers.values()][0];
     if (worker) worker.failsAllTasks = true;
   },
-  'changes are carried out late': (cluster) => {
+  'writes applied late': (cluster) => {
     cluster.network.delayOneWriteIn = 3;
     schedule(cluster, 10_000 + cluster.randomInt(10_000), () => (cluster.network.delayOneWriteIn = 0));
   },
-  'users cancel what runs while a machine hangs': (cluster) => {
+  'running jobs cancelled while a machine hangs': (cluster) => {
     const worker = randomWorker(cluster);
     if (worker) worker.hung = true;
     schedule(cluster, 3000 + cluster.randomInt(12_000), () => worker && (worker.hung = false));
     cluster.users.cancelRunningJobs(2);
   },
-  'cloud down': (cluster) => {
+  'cloud unavailable': (cluster) => {
     cluster.cloud.unavailable = true;
     schedule(cluster, 15_000, () => (cluster.cloud.unavailable = false));
   },
--- a/test/cluster/random-faults.test.ts
+++ b/test/cluster/random-faults.test.ts
@@ -43,17 +43,17 @@
 });
 
 // Bounds the cost of a fleet of hundreds by counts, because no two runs take the same wall-clock time.
-test('five controllers and two hundred machines violate no rule and stay within the bounds on requests, writes and placement passes', async () => {
+test('five controllers and 200 machines violate no rule and stay within the bounds on requests, writes and placement passes', async () => {
   const cluster = new VirtualCluster(11, { controllers: 5, maxMachines: 200, teamLimitFactor: 20 });
   const jobs = 120;
   cluster.users.faultsEndAt = 50_000;
   for (let n = 0; n < jobs; n++)
     cluster.time.at(2500 + cluster.randomInt(n < 60 ? 1000 : 40_000), () => cluster.users.submitRandomJob(n));
   for (const [at, name] of [
-    [15_000, 'machine taken'],
+    [15_000, 'machine terminated'],
     [20_000, 'crash'],
-    [25_000, 'machine hears nothing'],
-    [30_000, 'crash and back at once'],
+    [25_000, 'responses to a machine are lost'],
+    [30_000, 'crash with immediate restart'],
   ] as const) {
     cluster.time.at(at, () => (faults[name] as Fault)(cluster));
   }
@@ -65,15 +65,15 @@
     cluster.cloud.workers.size + cluster.cloud.terminatedCount > 60,
     'more than 60 machines were provisioned',
   );
-  const status = cluster.nodes.map((n) => n.controller?.status() as ControllerStatus);
+  const statuses = cluster.nodes.map((n) => n.controller?.status() as ControllerStatus);
   const sum = (select: (s: ControllerStatus) => number): number =>
-    status.reduce((total, s) => total + select(s), 0);
+    statuses.reduce((total, s) => total + select(s), 0);
   const seconds = endMs / 1000;
   assert.ok(sum((s) => s.store.requests) < 90 * seconds, 'requests to the state store');
   // One write for each job and machine would be several times as many.
   const writes = sum((s) => s.store.writes);
   assert.ok(writes < 6.5 * seconds, `${writes} writes`);
-  for (const { partitions } of status)
+  for (const { partitions } of statuses)
     for (const partition of partitions)
       assert.ok(partition.placementPasses <= partition.reports, 'at most one placement pass per heartbeat');
 });
--- a/test/standin/balance-day.ts
+++ b/test/standin/balance-day.ts
@@ -29,8 +29,9 @@
   machineMoves: { allowed: number; refused: number };
   /** The reasons for which tasks were not moved. */
   refusals: { reason: string; count: number }[];
-  /** Run time that was lost because tasks were stopped without a checkpoint, and had to be repeated. */
+  /** Run time of tasks that were stopped without a checkpoint, which had to be repeated. */
   repeatedWorkS: number;
+  /** Processor time that the simulation took on the host. */
   cpuMs: number;
 }
 
@@ -54,7 +55,7 @@
   };
 }
 
-class StartDelayRecorder implements TaskListener {
+class TaskRecorder implements TaskListener {
   readonly byPriority = new Map<string, number[]>();
   repeatedWorkS = 0;
   private readonly jobs = new Map<string, { priority: string; at: number }>();
@@ -80,13 +81,16 @@
   }
 }
 
-/** Fragments the fleet with idle tasks of various run times, and adds large urgent tasks and a team whose load doubles. */
+/**
+ * Fragments the fleet with tasks of priority `idle` and various run times, and adds large urgent tasks. The load of one team
+ * doubles in the middle third of the submissions.
+ */
 function submitJobs(
   cluster: VirtualCluster,
   { seed, machines, submissionMinutes }: BalanceSimulationOptions,
 ): void {
   const random = prand.xoroshiro128plus(seed);
-  const randomInt = (n: number): number => prand.unsafeUniformIntDistribution(0, n - 1, random);
+  const randomInt = (bound: number): number => prand.unsafeUniformIntDistribution(0, bound - 1, random);
   const small = { cpus: 1, image: 'img-0', imageGb: 1, checkpointIntervalS: 10, checkpointDurationS: 1 };
   let n = 0;
   for (let at = WARM_UP_MS; at < submissionMinutes * 60_000; at += 10_000) {
@@ -131,15 +135,15 @@
 export async function runBalanceSimulation(
   options: BalanceSimulationOptions,
 ): Promise<BalanceSimulationResult> {
-  const startDelays = new StartDelayRecorder();
+  const recorder = new TaskRecorder();
   const settings = options.balancing === null ? null : balancerSettingsSchema.parse(options.balancing);
   const cluster = new VirtualCluster(options.seed, {
     controllers: 3,
     maxMachines: options.machines,
     teamLimitFactor: options.machines,
     machineTypes: MACHINE_TYPES,
-    taskListener: startDelays,
-    initialMachines: [{ kind: 'small', count: options.machines }],
+    taskListener: recorder,
+    initialMachines: [{ type: 'small', count: options.machines }],
     ...(settings ? { balancing: (clock) => createLoadBalancing(settings, clock) } : {}),
   });
   submitJobs(cluster, options);
@@ -163,12 +167,12 @@
     violations: cluster.rules.violations,
     jobs: cluster.jobs.list.length,
     finished: cluster.jobs.list.filter((job) => cluster.jobs.incompleteTasks(job).length === 0).length,
-    startDelays: startDelays.byPriority,
+    startDelays: recorder.byPriority,
     spread,
     moves: { planned: sum('planned'), completed: sum('completed'), abandoned: sum('abandoned') },
     machineMoves: fleet?.machineMoves ?? { allowed: 0, refused: 0 },
     refusals: (fleet?.partitions ?? []).flatMap(({ summary }) => summary.refusals),
-    repeatedWorkS: startDelays.repeatedWorkS,
+    repeatedWorkS: recorder.repeatedWorkS,
     cpuMs: (user + system) / 1000,
   };
 }
--- a/test/standin/store.ts
+++ b/test/standin/store.ts
@@ -15,14 +15,14 @@
   stamp: number;
 }
 
-/** Keys on a page by default. Pages are short, so the keys can change between two of them. */
+/** Default number of keys on a page. Pages are short, so that the keys can change between two of them. */
 const DEFAULT_KEYS_PER_PAGE = 7;
 
 /** A fake state store with keys, transactions, session leases, watches and outages. */
 export class FakeStateStore {
   readonly keys = new Map<string, StoredEntry>();
   private readonly changes: RecordedChange[] = [];
-  private readonly leases = new Map<number, { ttl: number; until: number }>();
+  private readonly leases = new Map<number, { ttlMs: number; expiresAt: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextLeaseId = 1;
@@ -39,11 +39,12 @@
     time.at(50, expirePeriodically);
   }
 
+  /** Answers new requests with 503 for `ms`. No session lease expires meanwhile; afterwards each has its full TTL again. */
   startOutage(ms: number): void {
     this.down = true;
     this.time.at(this.time.now + ms, () => {
       this.down = false;
-      for (const lease of this.leases.values()) lease.until = this.time.now + lease.ttl;
+      for (const lease of this.leases.values()) lease.expiresAt = this.time.now + lease.ttlMs;
     });
   }
 
@@ -82,9 +83,9 @@
     return jsonResponse(200, { path: key, ...found });
   }
 
-  private grantLease(ttl: number): Promise<HttpResponse> {
+  private grantLease(ttlMs: number): Promise<HttpResponse> {
     const id = this.nextLeaseId++;
-    this.leases.set(id, { ttl, until: this.time.now + ttl });
+    this.leases.set(id, { ttlMs, expiresAt: this.time.now + ttlMs });
     return jsonResponse(200, { permit: id });
   }
 
@@ -92,10 +93,10 @@
     const lease = this.leases.get(id);
     if (!lease) return jsonResponse(404, {});
     if (method === 'DELETE') {
-      lease.until = 0;
+      lease.expiresAt = 0;
       this.expireLeases();
     } else {
-      lease.until = this.time.now + lease.ttl;
+      lease.expiresAt = this.time.now + lease.ttlMs;
     }
     return jsonResponse(200, {});
   }
@@ -128,7 +129,7 @@
   private expireLeases(): void {
     if (this.down) return;
     for (const [id, lease] of this.leases) {
-      if (lease.until > this.time.now) continue;
+      if (lease.expiresAt > this.time.now) continue;
       this.leases.delete(id);
       this.revision++;
       for (const [path, entry] of this.keys) if (entry.permit === id) this.remove(path);
