--- a/packages/load-balancer/src/partition-balancer.ts
+++ b/packages/load-balancer/src/partition-balancer.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Balances the load of one partition for its owner. It has no clock, timers, input or output of its own: the caller passes the
- * time, the snapshot gives the state of the partition, and the executor carries out the moves.
+ * Balances the load of one partition for its owner. It has no clock, timers or I/O of its own: the caller passes the time, and
+ * the executor carries out the moves.
  */
 export class PartitionBalancer {
   readonly estimator = new RuntimeEstimator();
--- a/src/coordination/balancing/task-moves.ts
+++ b/src/coordination/balancing/task-moves.ts
@@ -87,7 +87,6 @@
     this.balancer.tracker.machineUnavailable(id, now);
   }
 
-  /** Starts the tasks for which resources of the machine are reserved, before placement starts any other task there. */
   startReservedTasks(machine: MachineState, commands: Command[], now: number): void {
     const { tracker } = this.balancer;
     if (tracker.isIdle) return;
--- a/src/coordination/controller/api-server.ts
+++ b/src/coordination/controller/api-server.ts
@@ -75,7 +75,7 @@
   controller.start();
 }
 
-/** Loads Express and the HTTP server of Node.js. Called only when a request has no plain route: loading delays startup. */
+/** Called only when a request has no plain route, because loading Express and the HTTP server of Node.js delays startup. */
 async function loadExpressServer(dependencies: ApiDependencies): Promise<Server> {
   const [{ createServer }, { createExpressApp }] = await Promise.all([
     import('node:http'),
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -1,4 +1,3 @@
-/** The partitions that this controller owns, each with its actor. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { type MachineType } from '../../protocol/cloud';
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -1,4 +1,3 @@
-/** Messages between controllers: encoding, decoding, and dispatch to the actors that they are for. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
--- a/src/coordination/leader/fleet-planner.ts
+++ b/src/coordination/leader/fleet-planner.ts
@@ -61,7 +61,7 @@
     return this.hasNewLoads ? this.pacer.isDue(now) : now - this.plannedAt >= MAX_PLANNING_INTERVAL_MS;
   }
 
-  /** Runs one round of planning and reports the time it took to the pacer. */
+  /** Runs one round of planning. */
   run(now: number): void {
     this.plan(now);
     this.pacer.record(now, this.deps.clock.steady());
--- a/src/coordination/leader/leadership.ts
+++ b/src/coordination/leader/leadership.ts
@@ -37,7 +37,7 @@
     return this.term !== 0 && membership.mayAct() && replica.leader?.term === this.term;
   }
 
-  /** Creates the leader record if there is none. Does nothing while another controller leads. */
+  /** Creates the leader record if there is none. */
   async claim(): Promise<void> {
     const { membership, stateStore, replica } = this.deps;
     if (this.claiming || !membership.mayAct() || !stateStore.replica.synced) return;
--- a/src/coordination/membership/reachability.ts
+++ b/src/coordination/membership/reachability.ts
@@ -40,10 +40,7 @@
   private readonly statsByMember = new Map<string, HeartbeatStats & { at: number }>();
   private readonly avoidedSince = new Map<string, number>();
 
-  /**
-   * Records a member's stats. After the minimum time, a member is no longer avoided if it receives heartbeats again; after
-   * the maximum time, in any case.
-   */
+  /** Records a member's stats, and ends its avoidance if that is due. */
   recordStats(member: string, stats: HeartbeatStats, now: number): void {
     this.statsByMember.set(member, { ...stats, at: now });
     const since = this.avoidedSince.get(member);
--- a/src/coordination/partition/assigned-machine-writer.ts
+++ b/src/coordination/partition/assigned-machine-writer.ts
@@ -26,10 +26,7 @@
 
   constructor(private readonly options: AssignedMachineWriterOptions) {}
 
-  /**
-   * Adds unlisted machines to the stored list, unless a write is in progress or the last one is less than the minimum interval
-   * ago.
-   */
+  /** Adds unlisted machines to the stored list, at most once per minimum interval. */
   async writeIfDue(now: number): Promise<void> {
     const { core, store, valueBytes, minIntervalMs, onAssigned } = this.options;
     if (this.writing || now - this.lastWriteAt < minIntervalMs) return;
--- a/src/coordination/partition/job.ts
+++ b/src/coordination/partition/job.ts
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Whether the job itself seems faulty: none of its tasks is done, and tasks failed on nearly every machine they were started
-   * on. A job whose long tasks keep running on most machines is not faulty; the machines on which it failed are.
+   * Whether the job itself seems faulty. A job whose long tasks keep running on most machines is not faulty; the machines on
+   * which it failed are.
    */
   get failsEverywhere(): boolean {
     const { size } = this.failedMachines;
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Number of further tasks that may be started. A job that fails everywhere is retried with a single task at a time, with pauses
-   * in between, until its user cancels it, so that it takes no resources from other jobs. For any other job there is no limit.
+   * Number of further tasks that may be started; infinity unless the job fails everywhere. Such a job is retried with a single task
+   * at a time, with pauses in between, until its user cancels it, so that it takes no resources from other jobs.
    */
   maxNewStarts(now: number): number {
     if (!this.failsEverywhere) return Number.POSITIVE_INFINITY;
--- a/src/coordination/partition/machine-record-writer.ts
+++ b/src/coordination/partition/machine-record-writer.ts
@@ -26,8 +26,8 @@
   constructor(private readonly options: MachineRecordWriterOptions) {}
 
   /**
-   * Cordons a machine and queues a change of its record. Ignored if the machine cannot be cordoned (see `MachineSet.cordon`), is
-   * being deprovisioned, or has a queued change. With `force`, neither tasks, reservations nor a missing confirmation prevent it.
+   * Cordons a machine and queues a change of its record. Ignored if the machine cannot be cordoned (see `MachineSet.cordon`). With
+   * `force`, neither tasks, reservations nor a missing confirmation prevent it.
    */
   queueChange(id: string, change: Partial<MachineRecord>, force = false): void {
     const { core } = this.options;
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Repeats a write until its outcome is known, and resolves once the replica shows the outcome. Until then the machines stay
-   * cordoned. An attempt whose response was lost may still be applied, so the write is repeated until it is applied, or until it
-   * can no longer be applied because the values have changed. Resolves without an outcome once the partition is released.
+   * Repeats a write until it is applied, or can no longer be applied because the values have changed: an attempt whose response
+   * was lost may still be applied. Resolves once the replica shows the outcome; until then the machines stay cordoned. Resolves
+   * without an outcome once the partition is released.
    */
   private async writeUntilDecided(conditions: Condition[], writes: Write[]): Promise<void> {
     const { store, isReleased } = this.options;
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Cordons a machine that is to be transferred or deprovisioned. Returns false, and does nothing, if the machine is unknown,
-   * already cordoned or not confirmed, or if it has tasks or reservations.
+   * Cordons a machine that is to be transferred or deprovisioned. Returns false, and does nothing, if that is not possible (see
+   * `MachineSet.cordon`).
    */
   cordon(id: string): boolean {
     return this.machineSet.cordon(id);
@@ -202,7 +202,7 @@
 
   /**
    * Drains a machine for its transfer to another partition, or to the cloud if `partition` is `DRAIN_TO_CLOUD`. If `partition` is
-   * this partition, the drain is cancelled. Does nothing if the machine is unknown or cordoned.
+   * this partition, the drain is cancelled.
    */
   drainForTransfer(id: string, partition: string, now: number): void {
     const machine = this.machineSet.setTransferTarget(id, partition);
@@ -214,9 +214,8 @@
   }
 
   /**
-   * Whether a task may be stopped so that its machine can be transferred to another partition. The remaining machines must have
-   * room for the task, and it must have run for more than `MIN_RUN_BEFORE_STOP_MS`. Neither is required when the machine is drained
-   * to the cloud, because the deprovisioning of an expensive machine must not wait.
+   * Whether a task may be stopped so that its machine can be transferred to another partition. These conditions do not apply when
+   * the machine is drained to the cloud, because the deprovisioning of an expensive machine must not wait.
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
--- a/src/coordination/partition/partition-load.ts
+++ b/src/coordination/partition/partition-load.ts
@@ -9,10 +9,7 @@
 /** Share of its expected run time that a task is expected to need at least, however long it has run. */
 const MIN_REMAINING_RATIO = 0.2;
 
-/**
- * The load of a partition, as its owner publishes it to the leader: the remaining work of running tasks, the backlog of pending
- * tasks, the demands of pending tasks within their teams' quota, and the machines.
- */
+/** The load of a partition, as its owner publishes it to the leader. */
 export function partitionLoad(partition: PartitionState, now: number): PartitionLoad {
   const { remainingWork, emptyInS } = estimateRemainingWork(partition, now);
   const noResources = { cpus: 0, accelerators: 0, memoryGb: 0 };
--- a/src/coordination/partition/task-placement.ts
+++ b/src/coordination/partition/task-placement.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Reserves free CPUs for a task that is to be stopped and resumed on another machine of this partition. Returns false if the task
-   * saves no checkpoints or its job is unknown, or if the CPUs that are free beyond those that pending tasks need do not suffice.
+   * Reserves free CPUs that pending tasks do not need, for a task that is to be stopped and resumed on another machine of this
+   * partition. Returns false if they do not suffice, or if the task saves no checkpoints.
    */
   reserveSlack({ spec }: InFlightTask, now: number): boolean {
     if (!spec || spec.checkpointIntervalS <= 0) return false;
--- a/src/coordination/pipeline/pipelines.ts
+++ b/src/coordination/pipeline/pipelines.ts
@@ -28,9 +28,8 @@
 
 /**
  * Evaluates the typed edges of one pipeline from the states of its jobs in the state store and the set of jobs that were
- * interrupted and cannot continue. The function is pure and keeps no state between calls, so every owner obtains the same result
- * from the same states. Only the owner knows the interrupted jobs before their failure is recorded; status queries pass an
- * empty set.
+ * interrupted and cannot continue. The function is pure, so every owner obtains the same result from the same states. Only the
+ * owner knows the interrupted jobs before their failure is recorded; status queries pass an empty set.
  */
 export function evaluatePipeline(
   members: readonly PipelineMember[],
--- a/src/coordination/requests/plain-routes.ts
+++ b/src/coordination/requests/plain-routes.ts
@@ -9,8 +9,7 @@
 
 /**
  * Creates the routes of the frequent requests in their plain form (see plain-request.ts). They respond exactly as the Express
- * routes do. A request in any other form (another path, a query, an unusual job ref) has no route here (null) and is left to
- * the Express routes.
+ * routes do. A request in any other form has no route here (null) and is left to the Express routes.
  */
 export function plainRoutes(dependencies: ApiDependencies): (request: PlainRequest) => PlainRoute | null {
   const { jobService, log } = dependencies;
--- a/src/storage/request-queue.ts
+++ b/src/storage/request-queue.ts
@@ -102,7 +102,7 @@
     if (writes > 0) this.writeLimiter.drain(now);
   }
 
-  /** Resolves all waiting and later requests to false, and cancels the timer. */
+  /** Resolves all waiting and later requests to false. */
   close(): void {
     this.closed = true;
     this.cancelRetry?.();
--- a/src/storage/store-replica.ts
+++ b/src/storage/store-replica.ts
@@ -7,10 +7,7 @@
   resolve: () => void;
 }
 
-/**
- * This controller's copy of every key in the state store, written by the replica feed. While `synced` it is a snapshot of the
- * store at `revision`, never a mixture of revisions.
- */
+/** This controller's copy of every key in the state store, written by the replica feed. */
 export class StoreReplica {
   /** Emits every change, in the order in which it is applied. */
   readonly changes = new Subject<Change>();
@@ -18,7 +15,7 @@
   readonly snapshots = new Subject<void>();
   readonly entries = new Map<string, Entry>();
   revision = 0;
-  /** Whether the replica is a snapshot of the store at one revision. While it is filled, it is a mixture of revisions. */
+  /** Whether the replica is a snapshot of the store at `revision`. While it is filled, it is a mixture of revisions. */
   synced = false;
   /** Steady time in milliseconds: the replica certainly holds everything that was in the store at this moment. */
   freshAsOf = Number.NEGATIVE_INFINITY;
--- a/src/transport/newest-first-queue.ts
+++ b/src/transport/newest-first-queue.ts
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Adds a request. `first` means that it is the first request added for its connection, so no other one was answered there
-   * yet. Its sender has then waited longest, however new the request itself is, so the request goes before the others.
+   * Adds a request. `first` means that it is the first request added for its connection. Its sender has then waited longest,
+   * however new the request itself is, so the request goes before the others.
    */
   add(isAlive: () => boolean, run: () => void, first = false): void {
     const queue = first ? this.firstRequests : this.laterRequests;
