--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -214,8 +214,8 @@
   }
 
   /**
-   * Whether a task may be stopped so that its machine can be transferred to another partition. These conditions do not apply when
-   * the machine is drained to the cloud, because the deprovisioning of an expensive machine must not wait.
+   * Whether a task may be stopped so that its machine can be transferred to another partition. The conditions below do not apply
+   * when the machine is drained to the cloud, because the deprovisioning of an expensive machine must not wait.
    */
   private mayStopForTransfer(task: InFlightTask, now: number): boolean {
     if (task.runningSince === null || now - task.runningSince <= MIN_RUN_BEFORE_STOP_MS) return false;
