--- a/src/coordination/controller/heartbeat-router.ts
+++ b/src/coordination/controller/heartbeat-router.ts
@@ -1,3 +1,4 @@
+/** Routing of workers' heartbeats to the actors or controllers that may answer them. */
 import { type Clock } from '../../transport/clock';
 import { type Metrics } from '../../transport/metrics';
 import { type MisroutedCount } from '../../protocol/peers';
--- a/src/coordination/controller/owned-partitions.ts
+++ b/src/coordination/controller/owned-partitions.ts
@@ -1,3 +1,4 @@
+/** The partitions that this controller owns, each with its actor. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { type MachineType } from '../../protocol/cloud';
--- a/src/coordination/controller/peer-messenger.ts
+++ b/src/coordination/controller/peer-messenger.ts
@@ -1,3 +1,4 @@
+/** Messages between controllers: encoding, decoding, and dispatch to the actors that they are for. */
 import { type Clock } from '../../transport/clock';
 import { type Log } from '../../transport/log';
 import { decodePeerMessage, encodePeerMessage } from '../../protocol/peer-codec';
--- a/src/coordination/controller/status-publisher.ts
+++ b/src/coordination/controller/status-publisher.ts
@@ -1,3 +1,4 @@
+/** Status messages to the other controllers, and load reports to the leader. */
 import { type Clock } from '../../transport/clock';
 import { WorkPacer } from '../../transport/work-pacer';
 import { type PartitionLoad } from '../../protocol/peers';
--- a/src/coordination/leader/machine-list-reconciler.ts
+++ b/src/coordination/leader/machine-list-reconciler.ts
@@ -41,6 +41,7 @@
     });
   }
 
+  /** Registers listed machines that are not recorded, and marks recorded machines as terminated that are no longer listed. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number, now: number): void {
     const { registry, history } = this.deps;
     const names = new Set<string>();
--- a/src/coordination/membership/membership.ts
+++ b/src/coordination/membership/membership.ts
@@ -1,3 +1,4 @@
+/** Membership of this controller in the cluster: a session lease in the state store, renewed while the controller runs. */
 import { MAX_CLOCK_DRIFT_RATIO, type Clock } from '../../transport/clock';
 import { Actor } from '../../transport/actor';
 import { type Log } from '../../transport/log';
@@ -50,8 +51,8 @@
   | { kind: 'renewed'; leaseId: number; result: RenewalResult; sentAt: number };
 
 /**
- * The session lease of this controller in the state store, and with it the permission to act. Every action must be preceded by
- * a check of `mayAct()`, because the permission may end at any time.
+ * The session lease of this controller, and with it the permission to act. Every action must be preceded by a check of
+ * `mayAct()`, because the permission may end at any time.
  */
 export class Membership extends Actor<MembershipMessage> {
   readonly name: string;
--- a/src/coordination/membership/misrouted-heartbeats.ts
+++ b/src/coordination/membership/misrouted-heartbeats.ts
@@ -16,6 +16,7 @@
   /** Time of the last heartbeat by partition and machine. A partition's machines are ordered by that time. */
   private readonly lastSeenAt = new Map<string, Map<string, number>>();
 
+  /** Records a misrouted heartbeat, and removes the machines of its partition that no longer count as misrouted. */
   record(partition: string, machine: string, now: number): void {
     let machines = this.lastSeenAt.get(partition);
     if (!machines) this.lastSeenAt.set(partition, (machines = new Map<string, number>()));
--- a/src/coordination/requests/deferred-heartbeats.ts
+++ b/src/coordination/requests/deferred-heartbeats.ts
@@ -1,3 +1,4 @@
+/** Heartbeats that wait for a failover or handover of their partition. */
 import { type Clock } from '../../transport/clock';
 import { type Heartbeat } from '../../protocol/workers';
 import { type ReplicaView, type StoredPartition } from '../../storage/replica-view';
