--- a/src/coordination/partition/job-set.ts
+++ b/src/coordination/partition/job-set.ts
@@ -17,16 +17,16 @@
   specOfClosedJob: (ref: string) => JobSpec | undefined;
 }
 
-/** The specification of a job that the state store has accepted. */
-export interface AcceptedJob {
+/** The specification of a job, and the revision of its acceptance. */
+export interface JobAtRevision {
   spec: JobSpec;
-  /** Revision at which the state store accepted the job. */
+  /** Revision of the batch that accepted the job. */
   revision: number;
 }
 
 /** An open job as stored in the state store. */
-export interface OpenJob extends AcceptedJob {
-  /** Wall-clock time in milliseconds. */
+export interface OpenJob extends JobAtRevision {
+  /** Wall-clock time of the acceptance, in milliseconds since the Unix epoch. */
   acceptedAt: number;
   /** Null if no progress has been written. */
   progress: JobProgress | null;
@@ -63,7 +63,7 @@
   }
 
   /** Adds a terminated job to its pipeline, where its edges still apply. Ignores a job without a pipeline. */
-  addTerminatedPipelineJob({ spec, revision }: AcceptedJob, state: JobState): void {
+  addTerminatedPipelineJob({ spec, revision }: JobAtRevision, state: JobState): void {
     if (!this.options.quota.has(spec.team) || !spec.pipeline) return;
     this.pipelines.setMember(spec, state, revision);
     this.applyPipeline(spec.ref);
@@ -73,7 +73,7 @@
    * Reserves quota for a job that an earlier owner may have started and that ended in a state other than `done`: its tasks may be
    * on unconfirmed machines.
    */
-  reserveQuotaForCancelled({ spec, revision }: AcceptedJob, state: JobState): void {
+  reserveQuotaForCancelled({ spec, revision }: JobAtRevision, state: JobState): void {
     const { epoch, quota } = this.options;
     if (quota.has(spec.team) && state !== 'done' && revision <= epoch)
       quota.reserveForCancelled(spec, spec.tasks);
--- a/src/coordination/partition/partition-core.ts
+++ b/src/coordination/partition/partition-core.ts
@@ -11,7 +11,7 @@
 import { type Heartbeat } from '../../protocol/workers';
 import { HeartbeatHandler, type HeartbeatAnswer } from './heartbeat-handler';
 import { type PartitionJob } from './job';
-import { JobSet, type OpenJob, type AcceptedJob } from './job-set';
+import { JobSet, type OpenJob, type JobAtRevision } from './job-set';
 import { type InFlightTask } from './in-flight-task';
 import { type MachineState } from './machine';
 import { MachineSet, type DrainedMachine } from './machine-set';
@@ -278,7 +278,7 @@
   }
 
   /** Adds a terminated job to its pipeline, where its edges still apply. Ignores a job without a pipeline. */
-  addTerminatedPipelineJob(job: AcceptedJob, state: JobState): void {
+  addTerminatedPipelineJob(job: JobAtRevision, state: JobState): void {
     this.jobSet.addTerminatedPipelineJob(job, state);
   }
 
@@ -286,7 +286,7 @@
    * Reserves quota for a job that an earlier owner may have started and that ended in a state other than `done`: its tasks may be
    * on unconfirmed machines.
    */
-  reserveQuotaForCancelled(job: AcceptedJob, state: JobState): void {
+  reserveQuotaForCancelled(job: JobAtRevision, state: JobState): void {
     this.jobSet.reserveQuotaForCancelled(job, state);
   }
 
--- a/test/cluster/removed-guards.test.ts
+++ b/test/cluster/removed-guards.test.ts
@@ -33,10 +33,10 @@
   {
     name: 'an owner answers workers without knowing recent cancellations',
     removeGuard: () => {
-      const aliveOnly = function (this: Membership): boolean {
+      const mayRenewWhileMayAct = function (this: Membership): boolean {
         return this.mayAct();
       };
-      return patchProperty(Membership.prototype, 'mayRenewLeases', { value: aliveOnly });
+      return patchProperty(Membership.prototype, 'mayRenewLeases', { value: mayRenewWhileMayAct });
     },
     fault: () => undefined,
     expectedViolation: /ran_cancelled/,
--- a/test/partition/partition-actor.test.ts
+++ b/test/partition/partition-actor.test.ts
@@ -24,7 +24,7 @@
 /** A partition actor whose transactions get the given responses in order; the last response is repeated. */
 class PartitionActorHarness {
   readonly time = new VirtualTime();
-  alive = true;
+  mayAct = true;
   transactionCount = 0;
   readonly actor: PartitionActor;
   readonly core: PartitionCore;
@@ -64,7 +64,7 @@
       replica,
       clock,
       log,
-      authority: { mayAct: () => this.alive, mayRenewLeases: () => this.alive },
+      authority: { mayAct: () => this.mayAct, mayRenewLeases: () => this.mayAct },
       options: { valueBytes: 4096, txnOps: 12, writeRate: 1000, partitionCount: 2, progressIntervalMs: 2000 },
       balancing: null,
     });
@@ -129,8 +129,8 @@
       harness.actor.send({ kind: 'move', machine: MACHINE, toPartition: 'p1', drain: false });
       harness.actor.send({ kind: 'tick' });
       // A controller attempts the transfer at each tick; one tick is enough here.
-      harness.time.at(1000, () => (harness.alive = false));
-      harness.time.at(4000, () => (harness.alive = true));
+      harness.time.at(1000, () => (harness.mayAct = false));
+      harness.time.at(4000, () => (harness.mayAct = true));
       await flushPromises();
       await harness.time.run(20_000);
       assert.equal(harness.core.machines.get(MACHINE)?.cordoned, cordoned);
